--- a/leader/leases_test.go
+++ b/leader/leases_test.go
@@ -189,6 +189,28 @@
 	})
 }
 
+// TestLeasesOvertakenOnUnknownBase: an agent drops a refusal once it is told that the poll which carried it was heard. Were a poll called heard that
+// builds on one which the leader does not have, and from which it takes nothing, the refusal would be lost. Neither before anything is kept nor after
+// is such a poll heard.
+func TestLeasesOvertakenOnUnknownBase(t *testing.T) {
+	withLeases(t, func(t *testing.T, l *leases) {
+		ask(t, l, poll(1))
+		unknown := assignment.Poll{Worker: "w", Agent: "a", Sequence: 2, Term: 3, Since: &assignment.Since{Sequence: 99}}
+		unknown.Refused = []assignment.Refusal{{RunID: wantedRun}}
+		if a := ask(t, l, unknown); a.Heard != 0 || a.Base != 1 {
+			t.Errorf("%d was heard before anything was kept, on base %d, want 0 on 1", a.Heard, a.Base)
+		}
+		if taken := l.take()["w"].poll; taken.Sequence != 1 || len(taken.Refused) != 0 {
+			t.Errorf("the poll %d was taken over with %v", taken.Sequence, taken.Refused)
+		}
+		l.publish(map[string]dispatch.Want{"w": {Life: present.ID}})
+		unknown.Sequence = 3
+		if a := ask(t, l, unknown); a.Heard != 1 || a.Base != 1 {
+			t.Errorf("%d was heard on base %d, want 1 on 1", a.Heard, a.Base)
+		}
+	})
+}
+
 // TestLeasesAgents: another life of an agent gets a higher fence, and the former one is not listened to any more.
 func TestLeasesAgents(t *testing.T) {
 	withLeases(t, func(t *testing.T, l *leases) {
