--- /dev/null
+++ b/leader/golden_test.go
@@ -0,0 +1,313 @@
+package leader
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"net/http"
+	"net/http/httptest"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+	"github.com/uber-go/tally/v4"
+
+	"yarrowgrade.example/yarrowgrade/assignment"
+	"yarrowgrade.example/yarrowgrade/catalog"
+	"yarrowgrade.example/yarrowgrade/dispatch"
+	"yarrowgrade.example/yarrowgrade/goldentest"
+	"yarrowgrade.example/yarrowgrade/hedge"
+	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobtest"
+	"yarrowgrade.example/yarrowgrade/life"
+)
+
+// Values of the golden messages.
+var (
+	goldenLife  = life.ID{Instance: "i-7f3a91c2", Born: 1764722812345}
+	goldenRun   = assignment.RunID{Task: job.TaskName{Job: "0000000000000001", Round: 2, Step: 3, Index: 4}, Run: 5}
+	goldenOther = assignment.RunID{Task: job.TaskName{Job: "0000000000000006", Round: 7, Step: 8, Index: 9}, Run: 10}
+)
+
+func goldenPresent() *assignment.Life {
+	return &assignment.Life{
+		ID:      goldenLife,
+		Machine: "m-17",
+		Service: "roster",
+		Zone:    "zone-1",
+		Rack:    "rack-3",
+		Labels:  []string{"a", "b"},
+		Room:    job.Need{CPU: 4000, Memory: 8192, Accelerators: 2},
+		Leaving: true, LeavesIn: 4000,
+	}
+}
+
+func goldenPoll() assignment.Poll {
+	return assignment.Poll{
+		Worker:   "worker-1",
+		Agent:    "agent-1/7",
+		Sequence: 12,
+		Term:     3,
+		Life:     goldenPresent(),
+		Listed:   true,
+		Runs:     []assignment.Run{{RunID: goldenRun, Percent: 40, AgeMillis: 1500, ListedMillis: 1400}},
+		Ends:     []assignment.End{{RunID: goldenOther, Number: 6, How: job.EndStopped, Saved: "checkpoint-4", TookMillis: 2500}},
+		Refused:  []assignment.Refusal{{RunID: goldenOther, Reason: "no room", Silent: true, Begun: true}},
+		Over: []assignment.LifeEnd{{
+			ID:          life.ID{Instance: "i-7f3a91c2", Born: 1764722800000},
+			Left:        true,
+			Leaving:     true,
+			Runs:        []assignment.CutRun{{RunID: goldenOther, Begun: true, AgeMillis: 900}},
+			Listed:      true,
+			SinceMillis: 700,
+		}},
+		Closing:       []life.ID{{Instance: "i-0", Born: 1764722700000}},
+		Silent:        true,
+		FailingMillis: 350,
+		Seen:          5,
+		Wait:          true,
+		Since:         &assignment.Since{Sequence: 11, Millis: 500, ListedMillis: 450, Percents: []int{45}},
+	}
+}
+
+// TestGoldenPoll holds what agents send.
+func TestGoldenPoll(t *testing.T) { goldentest.JSON(t, "poll", goldenPoll()) }
+
+// TestGoldenAnswer holds what agents are told.
+func TestGoldenAnswer(t *testing.T) {
+	goldentest.JSON(t, "answer", assignment.Answer{
+		Term:        3,
+		Fence:       3145729,
+		HeldMillis:  120,
+		LeaseMillis: 6000,
+		Start:       []assignment.Start{{RunID: goldenRun, Spec: "{}", Saved: "checkpoint-4", Ticket: "ticket-8"}},
+		Stop:        []assignment.RunID{goldenRun},
+		Settle:      []assignment.RunID{goldenOther},
+		Open:        true,
+		OpenMillis:  410,
+		Roles:       []assignment.Role{{RunID: goldenRun, TargetMillis: 80, Fills: true}},
+		Life:        goldenLife,
+		Seen:        6,
+		Heard:       12,
+		Base:        11,
+	})
+}
+
+// TestGoldenRedirect holds the word of an entry on who leads.
+func TestGoldenRedirect(t *testing.T) {
+	goldentest.JSON(t, "redirect", assignment.Redirect{Term: 3, Address: "10.1.0.19:7000", Self: "entry-2/5"})
+}
+
+// TestGoldenHandover holds a leader's offer.
+func TestGoldenHandover(t *testing.T) {
+	goldentest.JSON(t, "handover", assignment.Handover{Term: 3, Name: "entry-1/4", FailingMillis: 450})
+}
+
+// TestGoldenWorkerStatus holds what operators read of a worker.
+func TestGoldenWorkerStatus(t *testing.T) {
+	goldentest.JSON(t, "worker-status", WorkerStatus{
+		Worker:  "worker-1",
+		Life:    goldenLife,
+		Zone:    "zone-1",
+		Rack:    "rack-3",
+		Service: "roster",
+		Leaving: true,
+		Silent:  true,
+		Room:    job.Need{CPU: 4000, Memory: 8192, Accelerators: 2},
+		Runs:    3,
+		Cordon:  &catalog.Cordon{Zone: "zone-1", Revision: 7, Since: time.Date(2026, 3, 4, 5, 6, 7, 0, time.UTC)},
+		Former:  []life.ID{{Instance: "i-7f3a91c2", Born: 1764722800000}},
+	})
+}
+
+// withCandidate runs a test with a candidate that leads in term 3, though no goroutine of it runs.
+func withCandidate(t *testing.T, f func(t *testing.T, c *Candidate, log *bytes.Buffer)) {
+	withLeases(t, func(t *testing.T, l *leases) {
+		ctx, cancel := context.WithCancel(t.Context())
+		defer func() { cancel(); time.Sleep(10 * time.Second) }()
+		var out bytes.Buffer
+		log := jobtest.NewLog(1)
+		replica := jobstore.NewReplica(log.Client("e"), func() int { return 1 }, zerolog.Nop())
+		go replica.Run(ctx)
+		c := New(Settings{Entry: "entry-1", Name: "entry-1/4", Address: "10.1.0.18:7000", Timing: l.timing}, Parts{
+			Log:       log.Client("e"),
+			Replica:   replica,
+			Catalog:   catalog.NewFollower(jobtest.NewLog(2).Client("e"), catalog.Format{}, zerolog.Nop()),
+			Directory: jobstore.NewDirectory(jobtest.NewLog(3).Client("e"), zerolog.Nop()),
+			Latency:   hedge.NewLatency(),
+			Logger:    zerolog.New(&out),
+			Metrics:   tally.NoopScope,
+		})
+		c.leases = l
+		time.Sleep(time.Second)
+		f(t, c, &out)
+	})
+}
+
+// recordLeader has another entry lead in a term.
+func recordLeader(t *testing.T, c *Candidate, term int64) {
+	t.Helper()
+	record, err := jobstore.LeaderRecord(jobstore.Leader{Term: term, Name: "entry-2/5", Address: "10.1.0.19:7000"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := c.parts.Log.Append(t.Context(), []jobstore.Record{record}, jobstore.Condition{Producer: jobstore.TermOf(term, 0)}); err != nil {
+		t.Fatal(err)
+	}
+	time.Sleep(time.Second)
+}
+
+// served is what a handler answers: its status, and its body in the next line.
+func served(handler http.HandlerFunc, method, path, body string) []byte {
+	w := httptest.NewRecorder()
+	handler(w, httptest.NewRequest(method, path, strings.NewReader(body)))
+	return append([]byte(http.StatusText(w.Code)+"\n"), append(bytes.TrimSpace(w.Body.Bytes()), '\n')...)
+}
+
+// TestGoldenServePoll holds a poll as it stands in the file, and what the leader answers.
+func TestGoldenServePoll(t *testing.T) {
+	withCandidate(t, func(t *testing.T, c *Candidate, _ *bytes.Buffer) {
+		described := goldenPoll()
+		described.Since, described.Silent, described.Wait = nil, false, false
+		body, err := json.Marshal(described)
+		if err != nil {
+			t.Fatal(err)
+		}
+		goldentest.Bytes(t, "poll-described.json", body)
+		cordonsProof = time.Now()
+		first := served(c.ServePoll, http.MethodPost, assignment.Path, string(goldentest.Read(t, "poll-described.json")))
+		goldentest.Bytes(t, "served-first.txt", first)
+		if got := c.leases.take()["worker-1"].poll; !sameJSON(t, got, described) {
+			t.Errorf("the decision gets %+v, want %+v", got, described)
+		}
+		settled := assignment.RunID{Task: job.TaskName{Job: "000000000000000b", Round: 1, Step: 1, Index: 1}, Run: 1}
+		started := assignment.RunID{Task: job.TaskName{Job: "000000000000000c", Round: 1, Step: 1, Index: 1}, Run: 2}
+		c.leases.publish(map[string]dispatch.Want{"worker-1": {Life: goldenLife, Seen: 6, Runs: map[job.TaskName]dispatch.WantedRun{
+			settled.Task: {Start: assignment.Start{RunID: settled}, Stopping: true},
+			started.Task: {
+				Start: assignment.Start{RunID: started, Spec: "{}", Saved: "checkpoint-4", Ticket: "ticket-8"},
+				Role:  &assignment.Role{RunID: started, TargetMillis: 80},
+			},
+		}}})
+		goldentest.Bytes(t, "served-orders.txt", served(c.ServePoll, http.MethodPost, assignment.Path, string(body)))
+		brief := `{"worker":"worker-1","agent":"agent-1/7","seq":13,"term":3,"since":{"seq":4,"ms":500,"listed_ms":450,"p":[45]}}`
+		goldentest.Bytes(t, "served-unknown-base.txt", served(c.ServePoll, http.MethodPost, assignment.Path, brief))
+		recordLeader(t, c, 9)
+		goldentest.Bytes(t, "served-redirect.txt", served(c.ServePoll, http.MethodPost, assignment.Path, `{"worker":"worker-1","agent":"agent-1/7","seq":14,"term":9}`))
+		goldentest.Bytes(t, "served-leader.txt", served(c.ServeLeader, http.MethodGet, assignment.LeaderPath, ""))
+	})
+}
+
+func sameJSON(t *testing.T, got, want any) bool {
+	t.Helper()
+	a, errA := json.Marshal(got)
+	b, errB := json.Marshal(want)
+	if err := errors.Join(errA, errB); err != nil {
+		t.Fatal(err)
+	}
+	return bytes.Equal(a, b)
+}
+
+// TestGoldenServeHandover holds an offer as it stands in the file, the answers to it, and the log line.
+func TestGoldenServeHandover(t *testing.T) {
+	withCandidate(t, func(t *testing.T, c *Candidate, log *bytes.Buffer) {
+		recordLeader(t, c, 3)
+		time.Sleep(2 * time.Second)
+		offer := `{"term":3,"holder":"entry-2/5","failing_ms":450}`
+		goldentest.Bytes(t, "served-handover.txt", served(c.ServeHandover, http.MethodPost, assignment.HandoverPath, offer))
+		goldentest.Bytes(t, "log-handover.txt", fields(log))
+		late := strings.Replace(offer, "3", "2", 1)
+		goldentest.Bytes(t, "served-handover-late.txt", served(c.ServeHandover, http.MethodPost, assignment.HandoverPath, late))
+	})
+}
+
+// TestGoldenServeWorkers holds the list that operators read.
+func TestGoldenServeWorkers(t *testing.T) {
+	withCandidate(t, func(t *testing.T, c *Candidate, _ *bytes.Buffer) {
+		goldentest.Bytes(t, "served-workers-none.txt", served(c.ServeWorkers, http.MethodGet, WorkersPath, ""))
+		described := goldenPoll()
+		described.Since = nil
+		ask(t, c.leases, described)
+		next := *described.Life
+		next.ID.Born++
+		described.Sequence, described.Life = 13, &next
+		ask(t, c.leases, described)
+		cordons = catalog.Cordons{}.With(catalog.Cordon{Zone: "zone-1", Revision: 7, Since: time.Date(2026, 3, 4, 5, 6, 7, 0, time.UTC)})
+		goldentest.Bytes(t, "served-workers.txt", served(c.ServeWorkers, http.MethodGet, WorkersPath, ""))
+		c.leases.close()
+		goldentest.Bytes(t, "served-workers-elsewhere.txt", served(c.ServeWorkers, http.MethodGet, WorkersPath, ""))
+	})
+}
+
+// fields are the fields of log lines. What a line and an error say in words is left out.
+func fields(log *bytes.Buffer) []byte {
+	return regexp.MustCompile(`"(message|error)":"(?:[^"\\]|\\.)*"`).ReplaceAll(log.Bytes(), []byte(`"$1":""`))
+}
+
+// TestGoldenLeadership holds the log lines of an entry that claims leadership, leads and gives it up.
+func TestGoldenLeadership(t *testing.T) {
+	withCandidate(t, func(t *testing.T, c *Candidate, log *bytes.Buffer) {
+		ctx, cancel := context.WithCancel(t.Context())
+		defer func() { cancel(); time.Sleep(10 * time.Second) }()
+		c.parts.Announced = jobtest.NewLog(3).Client("e")
+		c.settings.Dispatch = dispatch.DefaultSettings()
+		go c.Run(ctx)
+		time.Sleep(5 * time.Second)
+		c.Resign()
+		time.Sleep(time.Second)
+		goldentest.Bytes(t, "log-leadership.txt", fields(log))
+	})
+}
+
+// TestGoldenClaim holds the record that claims a term, as it stands in the log, and the log line.
+func TestGoldenClaim(t *testing.T) {
+	withCandidate(t, func(t *testing.T, c *Candidate, log *bytes.Buffer) {
+		if err := c.claim(t.Context(), 4, 0); err != nil {
+			t.Fatal(err)
+		}
+		goldentest.Bytes(t, "record-claim.json", stored(t, c))
+		goldentest.Bytes(t, "log-claim.txt", fields(log))
+	})
+}
+
+// TestGoldenTerm holds the records of a term that is given up.
+func TestGoldenTerm(t *testing.T) {
+	withCandidate(t, func(t *testing.T, c *Candidate, _ *bytes.Buffer) {
+		if err := c.claim(t.Context(), 4, 0); err != nil {
+			t.Fatal(err)
+		}
+		time.Sleep(time.Second)
+		tm := &term{leader: jobstore.Leader{Term: 4, Name: "entry-1/4", Address: "10.1.0.18:7000"}, parts: c.parts, leases: c.leases}
+		if err := tm.renew(t.Context()); err != nil {
+			t.Fatal(err)
+		}
+		if err := c.giveUp(t.Context(), tm); !errors.Is(err, errResigned) {
+			t.Fatal(err)
+		}
+		goldentest.Bytes(t, "records-term.json", stored(t, c))
+	})
+}
+
+// stored are the records of the job topic, one a line.
+func stored(t *testing.T, c *Candidate) []byte {
+	t.Helper()
+	batch, err := c.parts.Log.Read(t.Context(), jobstore.Query{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out bytes.Buffer
+	for _, r := range batch.Records {
+		out.WriteString(r.Key + " " + string(r.Value) + "\n")
+	}
+	return out.Bytes()
+}
+
+// TestGoldenPaths holds the paths on which entries and agents meet.
+func TestGoldenPaths(t *testing.T) {
+	paths := []string{assignment.Path, assignment.LeaderPath, assignment.HandoverPath, WorkersPath}
+	goldentest.Bytes(t, "paths.txt", []byte(strings.Join(paths, "\n")+"\n"))
+}
