--- /dev/null
+++ b/dispatch/golden_test.go
@@ -0,0 +1,282 @@
+package dispatch
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/rs/zerolog"
+	"github.com/uber-go/tally/v4"
+
+	"yarrowgrade.example/yarrowgrade/assignment"
+	"yarrowgrade.example/yarrowgrade/goldentest"
+	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobstore"
+	"yarrowgrade.example/yarrowgrade/life"
+)
+
+// golden runs a scene on a controller whose clock and log are the test's, and compares what it
+// logs with a golden record. Lines are sorted, since some come in the order of a map.
+func golden(t *testing.T, name string, racks, perRack int, scene func(b *fixture)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		b := newFixture(t, racks, perRack)
+		b.now = b.now.UTC()
+		var out bytes.Buffer
+		b.control.logger = zerolog.New(&out)
+		b.control.advice.logger = b.control.logger
+		scene(b)
+		lines := strings.SplitAfter(out.String(), "\n")
+		slices.Sort(lines)
+		goldentest.Bytes(t, name+".log", []byte(strings.Join(lines, "")))
+	})
+}
+
+// TestGoldenStart: the lines of starts and of the end of a run and of a job, which `yarrowgrade losses` adds up.
+func TestGoldenStart(t *testing.T) {
+	golden(t, "start", 1, 1, func(b *fixture) {
+		j := b.job(0, "sure", job.Step{Tasks: 1})
+		b.plan(0)
+		_, id, poll := b.reported(j)
+		poll.Ends = []assignment.End{{RunID: id, Number: 1, How: job.EndDone, TookMillis: 4200}}
+		b.control.Report(b.now, poll)
+	})
+}
+
+// TestGoldenStop: an urgent job takes the room of another one, whose run ends stopped and loses its work.
+func TestGoldenStop(t *testing.T) {
+	golden(t, "stop", 1, 1, func(b *fixture) {
+		j := b.job(1, "other", job.Step{Tasks: 1, Estimate: time.Minute})
+		b.plan(0)
+		_, id, poll := b.reported(j)
+		poll.Runs = []assignment.Run{{RunID: id, Percent: 1}}
+		b.control.Report(b.now, poll)
+		b.job(0, "sure", job.Step{Tasks: 1, Estimate: time.Second})
+		b.plan(2 * time.Second)
+		poll.Runs, poll.Ends = nil, []assignment.End{{RunID: id, Number: 1, How: job.EndStopped, TookMillis: 2500}}
+		b.control.Report(b.now, poll)
+		b.plan(time.Second)
+	})
+}
+
+// TestGoldenWaits: why units wait.
+func TestGoldenWaits(t *testing.T) {
+	golden(t, "waits", 1, 1, func(b *fixture) {
+		b.job(0, "sure", job.Step{Tasks: 1, Estimate: time.Minute})
+		b.plan(0)
+		b.job(1, "other", job.Step{Tasks: 1})
+		b.job(1, "other", job.Step{Tasks: 2, Gang: true, Need: job.Need{Accelerators: 4}})
+		b.job(0, "other", job.Step{Tasks: 1})
+		advised := b.job(1, "other", job.Step{Tasks: 1})
+		advised.job.Advised = true
+		b.plan(time.Second)
+	})
+}
+
+// TestGoldenStopCauses: the other reasons for which runs are told to stop, each with its end.
+func TestGoldenStopCauses(t *testing.T) {
+	for _, why := range []string{
+		whyYields + "0000000000000001.0.0.0",
+		whyStalled,
+		whyCordoned,
+		whyShrunk,
+		"its worker leaves before it ends",
+		"its worker leaves, and its work is saved",
+	} {
+		name := strings.NewReplacer(" ", "-", ",", "", "'", "", "0000000000000001.0.0.0", "a-task").Replace(why)
+		t.Run(name, func(t *testing.T) {
+			golden(t, "stop-cause-"+name, 1, 1, func(b *fixture) {
+				j := b.job(1, "other", job.Step{Tasks: 1})
+				b.plan(0)
+				_, id, poll := b.reported(j)
+				p := &plan{c: b.control, now: b.now}
+				p.stop(&running{
+					tracked: j, name: id.Task, run: id.Run, lostWork: 12.5,
+					node: &node{worker: b.control.workers["w0-0"]},
+				}, why)
+				poll.Ends = []assignment.End{{RunID: id, Number: 1, How: job.EndStopped, TookMillis: 1500}}
+				b.control.Report(b.now, poll)
+			})
+		})
+	}
+}
+
+// TestGoldenEndings: each ending of a run, with the cause under which its work counts as lost.
+func TestGoldenEndings(t *testing.T) {
+	for _, how := range []job.Ending{
+		job.EndDone, job.EndFailed, job.EndStopped, job.EndLapsed, job.EndBroken, job.EndAlone, job.EndRefused,
+	} {
+		t.Run(string(how), func(t *testing.T) {
+			golden(t, "end-"+string(how), 1, 1, func(b *fixture) {
+				j := b.job(1, "other", job.Step{Tasks: 1})
+				j.job.Attempts = 1
+				b.plan(0)
+				_, id, poll := b.reported(j)
+				poll.Ends = []assignment.End{{RunID: id, Number: 1, How: how, TookMillis: 1500}}
+				b.control.Report(b.now, poll)
+			})
+		})
+	}
+}
+
+// TestGoldenLosses: what is logged when a life of a worker or its lease is over, and when the worker reports again.
+func TestGoldenLosses(t *testing.T) {
+	golden(t, "life-over", 1, 1, func(b *fixture) {
+		j := b.job(1, "other", job.Step{Tasks: 1})
+		b.plan(0)
+		for !j.progress.Phase.Final() {
+			w, id, poll := b.reported(j)
+			poll.Runs = []assignment.Run{{RunID: id, Percent: 3}}
+			b.control.Report(b.now, poll)
+			time.Sleep(20 * time.Second)
+			over := assignment.LifeEnd{ID: w.life.ID, Listed: true, Runs: []assignment.CutRun{{RunID: id, Begun: true}}}
+			next := *w.life
+			next.ID.Born++
+			b.now = time.Now().UTC()
+			b.control.Report(b.now, assignment.Poll{Worker: w.name, Life: &next, Listed: true, Over: []assignment.LifeEnd{over}})
+			b.plan(2 * trialPatience)
+		}
+	})
+	golden(t, "lease-over", 1, 1, func(b *fixture) {
+		j := b.job(1, "other", job.Step{Tasks: 1})
+		b.plan(0)
+		w, id, poll := b.reported(j)
+		poll.Runs = []assignment.Run{{RunID: id, Percent: 3}}
+		b.control.Report(b.now, poll)
+		b.control.LeaseOver(map[string]bool{w.name: true})
+		b.plan(0)
+		poll.Runs, poll.Ends = nil, []assignment.End{{RunID: id, Number: 1, How: job.EndDone}}
+		b.control.Report(b.now, poll)
+	})
+}
+
+// TestGoldenReports: lines about workers: one refuses a start, another one runs what was sent to it
+// before it restarted, and leaves.
+func TestGoldenReports(t *testing.T) {
+	golden(t, "reports", 1, 2, func(b *fixture) {
+		j := b.job(1, "other", job.Step{Tasks: 1})
+		b.plan(0)
+		_, id, refused := b.reported(j)
+		refused.Refused = []assignment.Refusal{{RunID: id, Reason: "no room"}}
+		b.control.Report(b.now, refused)
+		b.plan(0)
+		w, id, poll := b.reported(j)
+		next := *w.life
+		next.ID.Born++
+		poll.Life, poll.Over = &next, []assignment.LifeEnd{{ID: w.life.ID, Listed: true}}
+		poll.Runs = []assignment.Run{{RunID: id, Percent: 3}}
+		b.control.Report(b.now, poll)
+		leaving := next
+		leaving.Leaving, leaving.LeavesIn = true, 2500
+		poll.Life, poll.Over = &leaving, nil
+		b.control.Report(b.now, poll)
+	})
+}
+
+// TestGoldenJobs: lines about a job that is cancelled, and about ones that can't be read.
+func TestGoldenJobs(t *testing.T) {
+	golden(t, "jobs", 1, 1, func(b *fixture) {
+		j := b.job(1, "other", job.Step{Tasks: 1})
+		b.control.Take(jobstore.View{ID: j.job.ID, Cancelled: true})
+		b.control.Take(jobstore.View{ID: "00000000000000fe", Submission: []byte("{")})
+		submission, err := (&job.Job{Service: service, Steps: []job.Step{{Tasks: 1}}}).Encode()
+		if err != nil {
+			b.t.Fatal(err)
+		}
+		b.control.Take(jobstore.View{ID: "00000000000000ff", Submission: submission, Progress: []byte("r{")})
+	})
+}
+
+// TestGoldenClear: a task that lasts is no longer suspected after a while.
+func TestGoldenClear(t *testing.T) {
+	golden(t, "clear", 1, 1, func(b *fixture) {
+		j := b.job(1, "other", job.Step{Tasks: 1, Lasts: true})
+		b.plan(0)
+		w, id, poll := b.reported(j)
+		over := assignment.LifeEnd{ID: w.life.ID, Listed: true, Runs: []assignment.CutRun{{RunID: id, Begun: true}}}
+		next := *w.life
+		next.ID.Born++
+		poll.Life, poll.Over = &next, []assignment.LifeEnd{over}
+		b.control.Report(b.now, poll)
+		b.plan(time.Second)
+		b.observe(j, b.now, 1)
+		b.plan(2 * soundAfter)
+	})
+}
+
+// goldenAdviser gives a ticket for the first life that it is asked about, unless it fails.
+type goldenAdviser struct{ err error }
+
+// Advise implements Adviser.
+func (a goldenAdviser) Advise(_ context.Context, _ string, lives []life.ID) ([]Ticket, time.Duration, error) {
+	return []Ticket{{Life: lives[0], Text: "ticket"}}, time.Minute, a.err
+}
+
+// TestGoldenAdvice: what the adviser said, and that it said nothing.
+func TestGoldenAdvice(t *testing.T) {
+	golden(t, "advice", 1, 2, func(b *fixture) {
+		j := b.job(1, "other", job.Step{Tasks: 1})
+		j.job.Advised = true
+		for _, err := range []error{errors.New("not now"), nil} {
+			b.control.advice.adviser = goldenAdviser{err: err}
+			b.plan(time.Second)
+			b.control.TakeAdvice(<-b.control.Advice())
+		}
+		b.plan(time.Second)
+	})
+}
+
+// TestGoldenNames: names that operators give and read: mechanisms in settings, and metrics with their labels.
+func TestGoldenNames(t *testing.T) {
+	mechanisms, err := json.MarshalIndent(Mechanisms(), "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Bytes(t, "mechanisms.json", mechanisms)
+	scope := tally.NewTestScope("", nil)
+	b := newFixture(t, 1, 1)
+	b.control.metrics = NewMetrics(scope)
+	b.job(1, "other", job.Step{Tasks: 1})
+	b.control.metrics.observe(b.control)
+	var names []string
+	for name, c := range scope.Snapshot().Counters() {
+		names = append(names, fmt.Sprintf("counter %s %d\n", name, c.Value()))
+	}
+	for name, g := range scope.Snapshot().Gauges() {
+		names = append(names, fmt.Sprintf("gauge %s %g\n", name, g.Value()))
+	}
+	slices.Sort(names)
+	goldentest.Bytes(t, "metrics.txt", []byte(strings.Join(names, "")))
+}
+
+// TestGoldenWant: what a worker should run, as the leader takes it over.
+func TestGoldenWant(t *testing.T) {
+	b := newFixture(t, 1, 1)
+	j := b.job(1, "other", job.Step{Tasks: 1, Target: 250 * time.Millisecond})
+	j.job.Spec = "spec"
+	b.plan(0)
+	want := b.control.Wants(b.now)["w0-0"]
+	var lines []string
+	byName := func(a, b job.TaskName) int { return strings.Compare(a.String(), b.String()) }
+	for _, name := range slices.SortedFunc(maps.Keys(want.Runs), byName) {
+		run := want.Runs[name]
+		start, err := json.Marshal(run.Start)
+		if err != nil {
+			t.Fatal(err)
+		}
+		role, err := json.Marshal(run.Role)
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines = append(lines, fmt.Sprintf("%s %s %v %s %s\n", want.Life, name, run.Stopping, start, role))
+	}
+	goldentest.Bytes(t, "want.txt", []byte(strings.Join(lines, "")))
+}
--- /dev/null
+++ b/job/golden_test.go
@@ -0,0 +1,300 @@
+package job
+
+import (
+	"bytes"
+	"encoding/json"
+	"reflect"
+	"testing"
+	"time"
+
+	"yarrowgrade.example/yarrowgrade/goldentest"
+	"yarrowgrade.example/yarrowgrade/life"
+)
+
+// goldenTime has a fraction, so that its precision is part of the record.
+var goldenTime = time.Date(2026, 5, 4, 10, 20, 30, 123456789, time.UTC)
+
+func goldenStep() Step {
+	return Step{
+		Tasks:      3,
+		Need:       Need{CPU: 1500, Memory: 2048, Accelerators: 2},
+		Estimate:   90 * time.Second,
+		After:      []int{1, 2},
+		Gang:       true,
+		SameRack:   true,
+		Label:      "fast",
+		DataRack:   "r7",
+		PerWorker:  4,
+		Checkpoint: true,
+		Racing:     true,
+		Lasts:      true,
+		Image:      "image-1",
+		Target:     250 * time.Millisecond,
+		Fills:      true,
+		MayMiss:    5,
+		Bounded:    true,
+	}
+}
+
+func goldenJob() Job {
+	return Job{
+		ID:       "0123456789abcdef",
+		Queue:    "batch",
+		Team:     "atlas",
+		Service:  "roster",
+		Priority: 2,
+		Attempts: 3,
+		Stretch:  1.5,
+		Aim:      4 * time.Second,
+		Advised:  true,
+		Spec:     "spec \"quoted\"",
+		Steps:    []Step{goldenStep()},
+		Times:    6,
+		First:    goldenTime.Add(time.Minute),
+		Every:    10 * time.Minute,
+		Accepted: goldenTime,
+	}
+}
+
+func goldenTask() Task {
+	return Task{
+		Run:       7,
+		Worker:    "side-a-1",
+		Life:      life.ID{Instance: "i-7f3a91c2", Born: 1764722812345},
+		Failures:  2,
+		FailedRun: 6,
+		Done:      true,
+		GivenUp:   []int{3, 4},
+		Saved:     "00000bb87a21d901",
+		Avoid:     "side-a-2",
+		Crashes:   1,
+		Doubts:    2,
+		Alone:     3,
+		Extra:     4,
+		Open: map[life.ID]openLife{
+			{Instance: "i-1"}: {Worker: "side-a-3", Run: 5, Begun: true, Silent: true, At: goldenTime},
+		},
+	}
+}
+
+// goldenProgress is the progress of a job with tasks in two rounds.
+func goldenProgress(t *testing.T) *Progress {
+	t.Helper()
+	p := NewProgress()
+	p.Phase, p.EndedAt = Failed, goldenTime
+	task := goldenTask()
+	p.tasks[slot{round: 1, step: 2, index: 3}] = &task
+	p.tasks[slot{}] = &Task{Run: 1}
+	p.placed = []placedTask{{slot: slot{round: 1, step: 2, index: 3}, task: &task}}
+	return p
+}
+
+// largeGoldenProgress is stored compressed.
+func largeGoldenProgress() *Progress {
+	p := NewProgress()
+	for i := range 20 {
+		name := TaskName{Job: "0123456789abcdef", Index: i}
+		p.Assign(goldenTime, name, 2, "side-a-1", life.ID{Instance: "i-7f3a91c2", Born: 1764722812345})
+		p.Task(name).Saved = "00000bb87a21d901"
+	}
+	return p
+}
+
+func TestGoldenNeed(t *testing.T) {
+	goldentest.JSON(t, "need", Need{CPU: 1500, Memory: 2048, Accelerators: 2})
+}
+
+func TestGoldenStep(t *testing.T) { goldentest.JSON(t, "step", goldenStep()) }
+
+func TestGoldenTask(t *testing.T) { goldentest.JSON(t, "task", goldenTask()) }
+
+// TestGoldenJob: the stored form of a job, which leaves the ID out.
+func TestGoldenJob(t *testing.T) {
+	goldentest.JSON(t, "job", goldenJob())
+	want := goldenJob()
+	encoded, err := want.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	stored := bytes.TrimSuffix(goldentest.Read(t, "job.json"), []byte("\n"))
+	if !bytes.Equal(encoded, stored) {
+		t.Errorf("encoded %s, want %s", encoded, stored)
+	}
+	decoded, err := Decode(want.ID, stored)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(*decoded, want) {
+		t.Errorf("decoded %+v, want %+v", *decoded, want)
+	}
+}
+
+// TestGoldenProgress: small records are the byte of the phase and plain JSON.
+func TestGoldenProgress(t *testing.T) {
+	tests := []struct {
+		name     string
+		progress *Progress
+	}{
+		{"progress.stored", goldenProgress(t)},
+		{"progress-defaults.stored", NewProgress()},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			encoded, err := test.progress.Encode()
+			if err != nil {
+				t.Fatal(err)
+			}
+			goldentest.Bytes(t, test.name, encoded)
+			stored := goldentest.Read(t, test.name)
+			decoded, err := DecodeProgress(stored)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !reflect.DeepEqual(decoded, test.progress) {
+				t.Errorf("decoded %+v, want %+v", decoded, test.progress)
+			}
+			if again, err := decoded.Encode(); err != nil || !bytes.Equal(again, stored) {
+				t.Errorf("encoded again %q (%v), want %q", again, err, stored)
+			}
+		})
+	}
+}
+
+// TestGoldenCompressedProgress: a large record is read, and what is written holds the same text.
+// The compressed bytes may differ between versions of the library; progress-large.json is the text
+// without the phase.
+func TestGoldenCompressedProgress(t *testing.T) {
+	want := largeGoldenProgress()
+	encoded, err := want.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := inflate(encoded[1:])
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Bytes(t, "progress-large.json", text)
+	stored := goldentest.Read(t, "progress-large.stored")
+	if stored[0] != 'r' || stored[1] != 'z' || encoded[0] != 'r' || encoded[1] != 'z' {
+		t.Errorf("records begin with %q and %q, want the phase and the mark of compression", stored[:2], encoded[:2])
+	}
+	decoded, err := DecodeProgress(stored)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(decoded, want) {
+		t.Errorf("decoded %+v, want %+v", decoded, want)
+	}
+}
+
+// TestGoldenOlderProgress: records of versions that did not compress, and that knew only the instance of a worker.
+func TestGoldenOlderProgress(t *testing.T) {
+	want := largeGoldenProgress()
+	for _, placed := range want.placed {
+		placed.task.Life.Born = 0
+	}
+	stored := goldentest.Read(t, "progress-older.stored")
+	if len(stored) < compressFrom {
+		t.Fatalf("the record has %d bytes, want at least %d, so that it would be compressed", len(stored), compressFrom)
+	}
+	decoded, err := DecodeProgress(stored)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(decoded, want) {
+		t.Errorf("decoded %+v, want %+v", decoded, want)
+	}
+}
+
+// TestGoldenTaskName: the text of a name, as a value and as a key.
+func TestGoldenTaskName(t *testing.T) {
+	type stored struct {
+		Task TaskName         `json:"task"`
+		Runs map[TaskName]int `json:"runs"`
+	}
+	name := TaskName{Job: "0123456789abcdef", Round: 1, Step: 2, Index: 3}
+	want := stored{Task: name, Runs: map[TaskName]int{name: 4}}
+	encoded, err := json.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Bytes(t, "task-name.json", encoded)
+	var decoded stored
+	if err := json.Unmarshal(goldentest.Read(t, "task-name.json"), &decoded); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(decoded, want) {
+		t.Errorf("decoded %+v, want %+v", decoded, want)
+	}
+}
+
+// TestGoldenWords: phases are stored as bytes and shown as words; endings are sent as words.
+func TestGoldenWords(t *testing.T) {
+	type phase struct {
+		Stored string `json:"stored"`
+		Shown  string `json:"shown"`
+		Final  bool   `json:"final"`
+	}
+	words := struct {
+		Phases  []phase  `json:"phases"`
+		Endings []Ending `json:"endings"`
+	}{
+		Endings: []Ending{EndDone, EndFailed, EndStopped, EndLapsed, EndBroken, EndAlone, EndLost, EndRefused},
+	}
+	for _, p := range []Phase{Queued, Running, Completed, Failed, Cancelled, Phase('?')} {
+		words.Phases = append(words.Phases, phase{Stored: string(rune(p)), Shown: p.String(), Final: p.Final()})
+		if got := PhaseOf([]byte{byte(p)}); got != p && p != Phase('?') {
+			t.Errorf("%q is read as %v", byte(p), got)
+		}
+	}
+	encoded, err := json.MarshalIndent(words, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Bytes(t, "words.json", encoded)
+}
+
+// TestGoldenFates: how runs end is kept in the counts of their tasks.
+func TestGoldenFates(t *testing.T) {
+	name := TaskName{Job: "0123456789abcdef"}
+	at := life.ID{Instance: "i-7f3a91c2", Born: 1764722812345}
+	tests := []struct {
+		file string
+		loss Loss
+	}{
+		{"fate-spared", Loss{Fate: Spared}},
+		{"fate-unbegun", Loss{Fate: Unbegun}},
+		{"fate-crashed", Loss{Fate: Crashed, Alone: true}},
+		{"fate-doubtful", Loss{Fate: Doubtful, Alone: true}},
+		{"fate-open", Loss{Fate: Open, Silent: true, At: goldenTime}},
+		{"fate-open-doubtful", Loss{Fate: OpenDoubtful, At: goldenTime}},
+	}
+	for _, test := range tests {
+		t.Run(test.file, func(t *testing.T) {
+			j := &Job{ID: name.Job, Attempts: 3, Steps: []Step{{Tasks: 1}}}
+			p := NewProgress()
+			for run := 1; run <= 2; run++ {
+				p.Assign(goldenTime, name, run, "side-a-1", at)
+				if !p.Lose(j, name, run, at, test.loss) {
+					t.Fatalf("run %d is not there", run)
+				}
+			}
+			encoded, err := p.Encode()
+			if err != nil {
+				t.Fatal(err)
+			}
+			goldentest.Bytes(t, test.file+".stored", encoded)
+			stored := goldentest.Read(t, test.file+".stored")
+			decoded, err := DecodeProgress(stored)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got, want := decoded.Task(name).Suspicion(), p.Task(name).Suspicion(); got != want {
+				t.Errorf("of the decoded task %d workers are known to have crashed, want %d", got, want)
+			}
+			if again, err := decoded.Encode(); err != nil || !bytes.Equal(again, stored) {
+				t.Errorf("encoded again %q (%v), want %q", again, err, stored)
+			}
+		})
+	}
+}
