--- /dev/null
+++ b/jobstore/golden_test.go
@@ -0,0 +1,362 @@
+package jobstore_test
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"reflect"
+	"regexp"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/julienschmidt/httprouter"
+	"github.com/rs/zerolog"
+
+	"yarrowgrade.example/yarrowgrade/goldentest"
+	"yarrowgrade.example/yarrowgrade/hedge"
+	"yarrowgrade.example/yarrowgrade/hosting/standin"
+	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobtest"
+	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/suspend"
+)
+
+var goldenTime = time.Date(2026, 3, 4, 5, 6, 7, 8_000_000, time.UTC)
+
+// goldenJob has every field set.
+func goldenJob() *job.Job {
+	return &job.Job{
+		ID: one, Queue: "urgent", Team: "plates", Service: "parkpay",
+		Priority: 2, Attempts: 3, Stretch: 1.5, Aim: 90 * time.Second, Advised: true, Spec: "spec of the caller",
+		Steps: []job.Step{{
+			Tasks: 4, Need: job.Need{CPU: 1500, Memory: 2048, Accelerators: 8}, Estimate: time.Minute, After: []int{1},
+			Gang: true, SameRack: true, Label: "gpu", DataRack: "rack-2", PerWorker: 2, Checkpoint: true, Racing: true, Lasts: true,
+			Image: "plates:7", Target: 250 * time.Millisecond, Fills: true, MayMiss: 1, Bounded: true,
+		}},
+		Times: 7, First: goldenTime, Every: 24 * time.Hour, Accepted: goldenTime.Add(time.Second),
+	}
+}
+
+// goldenTask is a stored task with every field set.
+const goldenTask = `{"r":9,"w":"worker-3","l":"i-7f3a91c2@1764722812345","f":2,"fr":8,"d":true,"gu":[6,7],"s":"checkpoint-5","a":"worker-1",` +
+	`"c":3,"cd":1,"ca":2,"ce":1,"co":{"i-0000@5":{"w":"worker-2","r":4,"b":true,"s":true,"at":"2026-03-04T05:06:07.008Z"}}}`
+
+// goldenProgress are stored forms of a progress by name: the newest forms, and those that earlier versions wrote.
+func goldenProgress(t *testing.T) map[string][]byte {
+	t.Helper()
+	running := job.NewProgress()
+	for i := range 2 {
+		running.Assign(goldenTime, taskName(i), 1, "worker-"+strconv.Itoa(i), life.ID{Instance: "i-7f3a91c2", Born: 1764722812345})
+	}
+	large := job.NewProgress()
+	for i := range 40 {
+		large.Assign(goldenTime, taskName(i), 2, "worker-"+strconv.Itoa(i/8), life.ID{Instance: "i-7f3a91c2", Born: 1764722812345})
+	}
+	return map[string][]byte{
+		"progress-defaults": encoded(t, job.NewProgress()),
+		"progress-running":  encoded(t, running),
+		"progress-full":     []byte(`f{"e":"2026-03-04T05:06:07.008Z","t":{"1.2.3":` + goldenTask + `}}`),
+		"progress-large":    encoded(t, large),
+	}
+}
+
+func taskName(index int) job.TaskName { return job.TaskName{Job: one, Index: index} }
+
+func encoded(t *testing.T, p *job.Progress) []byte {
+	t.Helper()
+	data, err := p.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return data
+}
+
+// TestGoldenProgress: each stored progress is read, and written to the same bytes.
+func TestGoldenProgress(t *testing.T) {
+	for name, data := range goldenProgress(t) {
+		goldentest.Bytes(t, name, data)
+		p, err := job.DecodeProgress(goldentest.Read(t, name))
+		if err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		goldentest.Bytes(t, name, encoded(t, p))
+	}
+	full, err := job.DecodeProgress(goldentest.Read(t, "progress-full"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	task := full.Task(job.TaskName{Job: one, Round: 1, Step: 2, Index: 3})
+	if task == nil {
+		t.Fatal("the task is not known")
+	}
+	goldentest.JSON(t, "task", *task)
+}
+
+// TestGoldenOldProgress: earlier versions stored large ones plain, and lives without the time of their start. Both are read, and written in the newest
+// form.
+func TestGoldenOldProgress(t *testing.T) {
+	var tasks []string
+	for i := range 40 {
+		tasks = append(tasks, fmt.Sprintf(`"0.0.%d":{"r":2,"w":"worker-%d","l":"i-7f3a91c2@1764722812345"}`, i, i/8))
+	}
+	goldentest.Bytes(t, "progress-old-plain", []byte(`r{"t":{`+strings.Join(tasks, ",")+`}}`))
+	goldentest.Bytes(t, "progress-old-life", []byte(`r{"t":{"0.0.1":{"r":3,"w":"worker-1","l":"i-7f3a91c2"}}}`))
+	plain, err := job.DecodeProgress(goldentest.Read(t, "progress-old-plain"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	goldentest.Bytes(t, "progress-large", encoded(t, plain))
+	old, err := job.DecodeProgress(goldentest.Read(t, "progress-old-life"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got, want := old.Task(taskName(1)).Life, (life.ID{Instance: "i-7f3a91c2"}); got != want {
+		t.Errorf("the life is %v, want %v", got, want)
+	}
+	goldentest.Bytes(t, "progress-old-life", encoded(t, old))
+}
+
+// TestGoldenSubmission: the stored form of a job.
+func TestGoldenSubmission(t *testing.T) {
+	goldentest.JSON(t, "submission.value", *goldenJob())
+}
+
+// TestGoldenJSON: the forms that are plain JSON.
+func TestGoldenJSON(t *testing.T) {
+	stored := jobstore.Stored{Record: jobstore.Record{Key: "c/0000000000000001", Value: []byte("1")}, Offset: 41}
+	goldentest.JSON(t, "leader", jobstore.Leader{Term: 7, Name: "entry-1", Address: "10.1.0.19:7000"})
+	goldentest.JSON(t, "record", stored.Record)
+	goldentest.JSON(t, "relayed", jobstore.Relayed{Records: []jobstore.Stored{stored}, End: 42, AgeMillis: 12, HeldMillis: 3})
+}
+
+// lines writes records one a line, as text.
+func lines(records []jobstore.Record) []byte {
+	var out bytes.Buffer
+	for _, r := range records {
+		value := "dropped"
+		if r.Value != nil {
+			value = strconv.Quote(string(r.Value))
+		}
+		fmt.Fprintf(&out, "%s %s\n", r.Key, value)
+	}
+	return out.Bytes()
+}
+
+// readLines is the reverse of lines.
+func readLines(t *testing.T, name string) []jobstore.Record {
+	t.Helper()
+	var records []jobstore.Record
+	for line := range strings.Lines(string(goldentest.Read(t, name))) {
+		key, value, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
+		record := jobstore.Record{Key: key}
+		if value != "dropped" {
+			text, err := strconv.Unquote(value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			record.Value = []byte(text)
+		}
+		records = append(records, record)
+	}
+	return records
+}
+
+func made(t *testing.T) func(r jobstore.Record, err error) jobstore.Record {
+	return func(r jobstore.Record, err error) jobstore.Record {
+		t.Helper()
+		if err != nil {
+			t.Fatal(err)
+		}
+		return r
+	}
+}
+
+// TestGoldenJobsTopic: the records of the jobs' topic, and what a replica makes of them.
+func TestGoldenJobsTopic(t *testing.T) {
+	const three job.ID = "0000000000000003"
+	must := made(t)
+	full, err := job.DecodeProgress(goldenProgress(t)["progress-full"])
+	if err != nil {
+		t.Fatal(err)
+	}
+	records := []jobstore.Record{
+		must(jobstore.SubmissionRecord(goldenJob())),
+		must(jobstore.ProgressRecord(one, full)),
+		must(jobstore.SubmissionRecord(&job.Job{ID: two})),
+		must(jobstore.ProgressRecord(two, job.NewProgress())),
+		jobstore.CancelRecord(two),
+		must(jobstore.LeaderRecord(jobstore.Leader{Term: 7, Name: "entry-1", Address: "10.1.0.19:7000"})),
+		must(jobstore.SubmissionRecord(&job.Job{ID: three})),
+		jobstore.CancelRecord(three),
+	}
+	records = append(records, jobstore.ForgetRecords(three)...)
+	records = append(records, must(jobstore.LeaderRecord(jobstore.Leader{Term: 8})))
+	goldentest.Bytes(t, "jobs-topic", lines(records))
+
+	stored := readLines(t, "jobs-topic")
+	r := jobstore.NewReplica(jobtest.NewLog(1).Client("entry"), alone, zerolog.Nop())
+	r.Note(stored[:6], 0)
+	if leader, _, _ := r.Leader(); leader != (jobstore.Leader{Term: 7, Name: "entry-1", Address: "10.1.0.19:7000"}) {
+		t.Errorf("the leader is %+v", leader)
+	}
+	r.Note(stored[6:], 6)
+	if leader, _, _ := r.Leader(); leader != (jobstore.Leader{Term: 8}) {
+		t.Errorf("the leader is %+v, want nobody in term 8", leader)
+	}
+	if got := r.IDs(); !reflect.DeepEqual(got, []job.ID{one, two}) {
+		t.Errorf("the jobs are %v", got)
+	}
+	view, _ := r.View(one)
+	if j, err := job.Decode(view.ID, view.Submission); err != nil || !reflect.DeepEqual(j, goldenJob()) || view.Cancelled {
+		t.Errorf("the first job is %+v, cancelled %v, %v", j, view.Cancelled, err)
+	}
+	for id, want := range map[job.ID]job.Phase{one: job.Failed, two: job.Cancelled} {
+		if got, _ := r.Phase(id); got != want {
+			t.Errorf("job %s is %v, want %v", id, got, want)
+		}
+	}
+}
+
+// topic reads all records of a log.
+func topic(t *testing.T, log *jobtest.Log) []jobstore.Record {
+	t.Helper()
+	batch, err := log.Client("reader").Read(t.Context(), jobstore.Query{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var records []jobstore.Record
+	for _, s := range batch.Records {
+		records = append(records, s.Record)
+	}
+	return records
+}
+
+// TestGoldenDirectoryTopic: the announcements, and what a directory makes of them. Earlier versions announce no processor time.
+func TestGoldenDirectoryTopic(t *testing.T) {
+	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
+		client := log.Client("entry")
+		jobstore.AnnounceEntry(ctx, client, "entry-1", "10.1.0.19:7000", 0.4)
+		jobstore.AnnounceEntry(ctx, client, "entry-2", "10.1.0.20:7000", 2)
+		jobstore.AnnounceEntry(ctx, client, "entry-3", "10.1.0.21:7000", 0)
+		jobstore.AnnounceEntry(ctx, client, "entry-4", "10.1.0.22:7000", 1)
+		if err := jobstore.RemoveEntries(ctx, client, []string{"entry-4"}); err != nil {
+			t.Error(err)
+		}
+		jobstore.AnnounceLeader(ctx, client, jobstore.Leader{Term: 7, Name: "entry-1", Address: "10.1.0.19:7000"})
+		goldentest.Bytes(t, "directory-topic", lines(topic(t, log)))
+	})
+	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
+		add(t, log, readLines(t, "directory-topic")...)
+		d := jobstore.NewDirectory(log.Client("entry"), zerolog.Nop())
+		go d.Run(ctx)
+		time.Sleep(time.Second)
+		want := map[string]string{"entry-1": "10.1.0.19:7000", "entry-2": "10.1.0.20:7000", "entry-3": "10.1.0.21:7000"}
+		if got := d.Listed(); !reflect.DeepEqual(got, want) {
+			t.Errorf("the entries are %v, want %v", got, want)
+		}
+		if got := d.Larger(0.4); !reflect.DeepEqual(got, []string{"10.1.0.20:7000"}) {
+			t.Errorf("larger are %v", got)
+		}
+		if got := d.Leader(); got != (jobstore.Leader{Term: 7, Name: "entry-1", Address: "10.1.0.19:7000"}) {
+			t.Errorf("the leader is %+v", got)
+		}
+	})
+}
+
+// TestGoldenProducer: the name under which a leader writes fences those of earlier versions too.
+func TestGoldenProducer(t *testing.T) {
+	p := jobstore.TermOf(7, 3)
+	goldentest.Bytes(t, "producer", fmt.Appendf(nil, "%s %d %d\n", p.Name, p.Epoch, p.Sequence))
+}
+
+// TestGoldenRelay: the question for news, and its answer as it is given and taken.
+func TestGoldenRelay(t *testing.T) {
+	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
+		source := jobstore.NewSource(nil)
+		records := []jobstore.Stored{
+			{Record: jobstore.Record{Key: "config", Value: []byte("{}")}, Offset: 5},
+			{Record: jobstore.Record{Key: "zone-1"}, Offset: 6},
+		}
+		source.Take(jobstore.News{Records: records, Next: 7, Proof: suspend.Clock(nil).Now()})
+		goldentest.Bytes(t, "relay-answer", answerOf(source, http.MethodGet, "?from=5", ""))
+		goldentest.Bytes(t, "relay-answer-none", answerOf(source, http.MethodGet, "?from=7", ""))
+		goldentest.Bytes(t, "relay-answer-unknown", answerOf(source, http.MethodGet, "?from=4000", ""))
+
+		var asked string
+		network := standin.NewNetwork()
+		network.Attach("http://10.1.0.19:7000", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			asked = r.Method + " " + r.URL.RequestURI() + "\n"
+			w.Header().Set("Content-Type", "application/json")
+			_, body, _ := bytes.Cut(goldentest.Read(t, "relay-answer"), []byte("\n"))
+			_, err := w.Write(body)
+			if err != nil {
+				t.Error(err)
+			}
+		}))
+		addresses := func() []string { return []string{"10.1.0.19:7000"} }
+		relay := jobstore.NewRelay(log.Client("entry"), "/news", network.Client("http://agent"), addresses, zerolog.Nop())
+		batch, err := relay.Read(ctx, jobstore.Query{From: 5, Wait: time.Second})
+		if err != nil || !reflect.DeepEqual(batch.Records, records) || batch.End != 7 {
+			t.Errorf("the answer is taken as %+v, %v", batch, err)
+		}
+		goldentest.Bytes(t, "relay-question", []byte(asked))
+	})
+}
+
+// answerOf returns the status and the body that a handler answers with.
+func answerOf(h http.Handler, method, target, body string) []byte {
+	r := httptest.NewRequest(method, "http://entry/"+target, strings.NewReader(body))
+	w := httptest.NewRecorder()
+	h.ServeHTTP(w, r)
+	return fmt.Appendf(nil, "%d\n%s", w.Code, maskText(w.Body.Bytes()))
+}
+
+var textForPeople = regexp.MustCompile(`"(error|message)":"[^"]*"`)
+
+// maskText takes out the text of errors and log lines: it is for people, and nothing reads it.
+func maskText(data []byte) []byte { return textForPeople.ReplaceAll(data, []byte(`"$1":"..."`)) }
+
+// TestGoldenRecordsPath: what an entry asks of another one to have a record kept, the answers, and the line that the keeper logs, in which the
+// trace of a job finds its ID.
+func TestGoldenRecordsPath(t *testing.T) {
+	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
+		var logged bytes.Buffer
+		var asked []byte
+		peer := jobstore.NewWriter(log.Client("b"), hedge.NewLatency(), followed(ctx, log, "b"), func() []string { return nil }, "b", http.DefaultClient, zerolog.New(&logged))
+		keep := http.HandlerFunc(peer.ServeWrite)
+		network := standin.NewNetwork()
+		router := httprouter.New()
+		router.HandlerFunc(http.MethodPost, "/internal/records", func(w http.ResponseWriter, r *http.Request) {
+			asked, _ = io.ReadAll(r.Body)
+			r.Body = io.NopCloser(bytes.NewReader(asked))
+			keep(w, r)
+		})
+		network.Attach("http://b", router)
+		log.SetFault("a", jobtest.Fault{Refuse: true})
+		w := jobstore.NewWriter(log.Client("a"), hedge.NewLatency(), followed(ctx, log, "a"), func() []string { return []string{"a", "b"} }, "a", network.Client("http://a"), zerolog.Nop())
+		time.Sleep(50 * time.Millisecond)
+		if err := w.Write(ctx, jobstore.CancelRecord(one)); err != nil {
+			t.Error(err)
+		}
+		goldentest.Bytes(t, "records-question", asked)
+		var record jobstore.Record
+		if err := json.Unmarshal(goldentest.Read(t, "records-question"), &record); err != nil || !reflect.DeepEqual(record, jobstore.CancelRecord(one)) {
+			t.Errorf("the question is read as %+v, %v", record, err)
+		}
+		goldentest.Bytes(t, "records-log", maskText(logged.Bytes()))
+		goldentest.Bytes(t, "records-answer", answerOf(keep, http.MethodPost, "", string(goldentest.Read(t, "records-question"))))
+		goldentest.Bytes(t, "records-answer-other-key", answerOf(keep, http.MethodPost, "", `{"Key":"d","Value":"MQ=="}`))
+		goldentest.Bytes(t, "records-answer-bad", answerOf(keep, http.MethodPost, "", `{"Key":7}`))
+		log.SetFault("b", jobtest.Fault{Refuse: true})
+		goldentest.Bytes(t, "records-answer-refused", answerOf(keep, http.MethodPost, "", string(goldentest.Read(t, "records-question"))))
+		time.Sleep(3 * time.Second)
+		goldentest.Bytes(t, "records-answer-unreached", answerOf(keep, http.MethodPost, "", string(goldentest.Read(t, "records-question"))))
+	})
+}
