--- /dev/null
+++ b/runner/golden_test.go
@@ -0,0 +1,230 @@
+package runner_test
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"maps"
+	"net/http"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/rs/zerolog"
+	"github.com/uber-go/tally/v4"
+
+	"yarrowgrade.example/yarrowgrade/assignment"
+	"yarrowgrade.example/yarrowgrade/goldentest"
+	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobtest"
+	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/runner"
+)
+
+// wire is a transport that notes each request and gives each the same answer.
+type wire struct {
+	mu       sync.Mutex
+	requests bytes.Buffer
+	status   int
+	answer   []byte
+}
+
+func (w *wire) RoundTrip(r *http.Request) (*http.Response, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	body, _ := io.ReadAll(r.Body)
+	fmt.Fprintf(&w.requests, "%s %s\n%s\n", r.Method, r.URL, body)
+	return &http.Response{StatusCode: w.status, Body: io.NopCloser(bytes.NewReader(w.answer)), Request: r}, nil
+}
+
+// answers sets what each request gets from now on.
+func (w *wire) answers(status int, answer []byte) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.status, w.answer = status, answer
+}
+
+// noted returns the requests so far.
+func (w *wire) noted() []byte {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return bytes.Clone(w.requests.Bytes())
+}
+
+// TestGoldenExchange: what is sent to a leader and to entries that are asked for it, and what is learnt from the
+// answers.
+func TestGoldenExchange(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		defer func() { cancel(); time.Sleep(10 * time.Second) }()
+		log := jobtest.NewLog(1)
+		jobstore.AnnounceEntry(ctx, log.Client("e"), "entry-1", "10.0.0.1:7000", 1)
+		directory := jobstore.NewDirectory(log.Client("a"), zerolog.Nop())
+		go directory.Run(ctx)
+		time.Sleep(time.Second)
+		w := &wire{}
+		w.answers(http.StatusOK, goldentest.Read(t, "redirect.json"))
+		client := runner.NewLeaderClient(directory, &http.Client{Transport: w})
+		poll := assignment.Poll{Worker: "worker-1", Agent: "agent-1", Sequence: 7, Term: 4}
+		if _, err := client.Poll(ctx, poll); err == nil {
+			t.Error("a leader answered before one was known")
+		}
+		time.Sleep(time.Second)
+		w.answers(http.StatusOK, goldentest.Read(t, "answer.json"))
+		answer, err := client.Poll(ctx, poll)
+		if err != nil || answer.Term != 4 || answer.Fence != 65537 || answer.Held() != 300*time.Millisecond || answer.Lease() != lease {
+			t.Errorf("got %+v, %v", answer, err)
+		}
+		w.answers(http.StatusConflict, []byte(`{"term":5,"address":"10.0.0.3:7000","self":"entry-2/1"}`))
+		if _, err := client.Poll(ctx, poll); err == nil {
+			t.Error("a redirect was taken for an answer")
+		}
+		if got := directory.Leader(); got.Term != 5 || got.Address != "10.0.0.3:7000" {
+			t.Errorf("from the redirect was learnt %+v", got)
+		}
+		time.Sleep(time.Second)
+		goldentest.Bytes(t, "leader-requests.txt", w.noted())
+	})
+}
+
+// scripted is a worker that answers as a test tells it to.
+type scripted struct {
+	mu      sync.Mutex
+	listing runner.Listing
+	err     error
+	starts  map[assignment.RunID]error
+}
+
+func (w *scripted) Start(_ context.Context, _ runner.Order, s assignment.Start, _ int64) (int64, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return 1000, w.starts[s.RunID]
+}
+
+func (w *scripted) Stop(context.Context, runner.Order, assignment.RunID) (int64, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return 1000, w.err
+}
+
+func (w *scripted) Pace(context.Context, runner.Order, assignment.RunID, int) (int64, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return 1000, w.err
+}
+
+func (w *scripted) Hold(
+	_ context.Context, _ runner.Order, _, _ int64, wait time.Duration,
+) (runner.Listing, int64, error) {
+	time.Sleep(wait)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.listing, 1000, w.err
+}
+
+// set changes what the worker answers, and lets the agent hear it.
+func (w *scripted) set(change func(w *scripted)) {
+	w.mu.Lock()
+	change(w)
+	w.mu.Unlock()
+	time.Sleep(3 * time.Second)
+}
+
+// lineShapes are the lines of a log as their levels, steps, fields and whether there is a text, each once.
+func lineShapes(t *testing.T, log []byte) []byte {
+	t.Helper()
+	shapes := map[string]bool{}
+	for line := range bytes.Lines(log) {
+		var fields map[string]any
+		if err := json.Unmarshal(line, &fields); err != nil {
+			t.Fatalf("%s: %v", line, err)
+		}
+		names := strings.Join(slices.Sorted(maps.Keys(fields)), " ")
+		shapes[fmt.Sprintf("%v %v: %s\n", fields["level"], fields["step"], names)] = true
+	}
+	return []byte(strings.Join(slices.Sorted(maps.Keys(shapes)), ""))
+}
+
+// TestGoldenLogLines: the steps and the fields of what an agent logs, which operators' tools read.
+func TestGoldenLogLines(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		var lines bytes.Buffer
+		w := &scripted{starts: map[assignment.RunID]error{}}
+		o := &leader{answer: assignment.Answer{Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds()}}
+		r := runner.New(
+			runner.Settings{Name: "w", Agent: "1", Lease: lease, Cordon: jobtest.CordonBound, Service: "s", Zone: "z"},
+			runner.Parts{
+				Worker:     w,
+				Leader:     o,
+				Logger:     zerolog.New(zerolog.SyncWriter(&lines)),
+				Metrics:    tally.NoopScope,
+				Suspension: func() time.Duration { return 0 },
+			},
+		)
+		go r.Run(ctx)
+		said := assignment.Life{ID: life.ID{Instance: "i-1"}, Service: "s", Zone: "z", Room: job.Need{Accelerators: 8}}
+		beat := func(change func(l *assignment.Life)) {
+			changed := said
+			change(&changed)
+			r.Heartbeat(ctx, changed)
+		}
+		listed := func(runs ...int) []assignment.Run {
+			var list []assignment.Run
+			for _, run := range runs {
+				list = append(list, assignment.Run{RunID: id(run)})
+			}
+			return list
+		}
+		start := func(run int) {
+			r.Heartbeat(ctx, said)
+			o.set(func(a *assignment.Answer) { a.Start = []assignment.Start{{RunID: id(run)}} })
+			time.Sleep(time.Second)
+			o.set(func(a *assignment.Answer) { a.Start = nil })
+		}
+
+		start(1)
+		o.set(func(a *assignment.Answer) { a.Open = true })
+		w.set(func(w *scripted) { w.listing.Runs = listed(1) })
+		start(1)
+		w.set(func(w *scripted) { w.listing.Runs = listed(1) })
+		beat(func(l *assignment.Life) { l.Zone = "y" })
+		beat(func(l *assignment.Life) { l.Room.Accelerators = 4 })
+		o.set(func(a *assignment.Answer) {
+			a.Roles = []assignment.Role{{RunID: id(1), Fills: true}, {RunID: id(2), TargetMillis: 100}}
+		})
+		w.set(func(w *scripted) { w.listing.Runs = listed(1, 2) })
+		o.set(func(a *assignment.Answer) { a.Roles, a.Stop = nil, []assignment.RunID{id(2)} })
+		w.set(func(w *scripted) { w.listing.Unreadable = []error{errors.New("unreadable")} })
+		w.set(func(w *scripted) {
+			w.listing = runner.Listing{Runs: listed(2), Ends: []assignment.End{{RunID: id(1), Number: 1, How: job.EndDone}}}
+		})
+		o.set(func(a *assignment.Answer) { a.Stop, a.Seen = nil, 3 })
+		time.Sleep(time.Second)
+		w.set(func(w *scripted) {
+			w.listing = runner.Listing{Ends: []assignment.End{{RunID: id(9), Number: 2, How: job.EndDone}}}
+		})
+		w.set(func(w *scripted) { w.listing = runner.Listing{Runs: listed(10)} })
+		w.set(func(w *scripted) { w.err = errors.New("no answer") })
+		time.Sleep(3 * lease)
+		w.set(func(w *scripted) { w.err, w.listing = nil, runner.Listing{Runs: listed(11)} })
+		beat(func(l *assignment.Life) { l.ID.Instance = "i-0" })
+		beat(func(l *assignment.Life) { l.Leaving, l.LeavesIn = true, 900 })
+		r.Gone("i-1")
+		said.ID.Born = 1764722812345
+		r.Heartbeat(ctx, said)
+		w.set(func(w *scripted) { w.listing.Born, w.listing.Runs = said.ID.Born, listed(12) })
+		r.Gone("i-1")
+		w.set(func(w *scripted) { w.err = runner.ErrOtherLife })
+		cancel()
+		time.Sleep(20 * time.Second)
+		goldentest.Bytes(t, "log-lines.txt", lineShapes(t, lines.Bytes()))
+	})
+}
