--- /dev/null
+++ b/gang/golden_test.go
@@ -0,0 +1,19 @@
+package gang
+
+import (
+	"testing"
+	"time"
+
+	"yarrowgrade.example/yarrowgrade/goldentest"
+)
+
+func TestGoldenBeat(t *testing.T) {
+	goldentest.JSON(t, "beat", Beat{Token: 7, Worker: "worker-1", Status: Running, Progress: time.Minute})
+	goldentest.JSON(t, "grant", Grant{Run: true, Stop: true})
+	goldentest.JSON(t, "report", Report{Token: 7, Ready: true, Finished: true, Progress: time.Minute, Failed: "why"})
+}
+
+// TestGoldenStatus: the words for a member's stage stand in beats.
+func TestGoldenStatus(t *testing.T) {
+	goldentest.JSON(t, "statuses", []Status{Preparing, Ready, Running, Finished, Failed, Stopped})
+}
--- /dev/null
+++ b/request/golden_test.go
@@ -0,0 +1,43 @@
+package request
+
+import (
+	"testing"
+	"time"
+
+	"yarrowgrade.example/yarrowgrade/goldentest"
+)
+
+// goldenKey is a key as an earlier version minted it.
+const goldenKey = "worker-1~incarnation-1~0190163d-8694-739b-aea5-966c26f8ad91"
+
+func TestGoldenCall(t *testing.T) {
+	goldentest.JSON(t, "call", Call{
+		Service: "parkpay", Team: "plates", Key: goldenKey, NotRepeatable: true, DeadlineMillis: 5000, Body: "pay 42",
+	})
+}
+
+func TestGoldenHop(t *testing.T) {
+	goldentest.JSON(t, "hop", Hop{
+		ID: "id-1", Service: "parkpay", Team: "plates", Key: goldenKey, LeftMillis: 4900, Body: "pay 42",
+	})
+}
+
+func TestGoldenAnswer(t *testing.T) {
+	goldentest.JSON(t, "answer", Answer{
+		ID: "id-1", Outcome: Done, Status: 200, Body: "paid", Digest: DigestOf("paid"), Reason: "why",
+		RetryAfterMillis: 500, Target: "worker-1", Leaving: true,
+	})
+}
+
+// TestGoldenKey: a key that a caller kept is still read, and written as it was.
+func TestGoldenKey(t *testing.T) {
+	goldentest.Bytes(t, "key.txt", []byte(goldenKey))
+	key, err := ParseKey(string(goldentest.Read(t, "key.txt")))
+	if err != nil || key.Worker != "worker-1" || key.Incarnation != "incarnation-1" || key.String() != goldenKey {
+		t.Errorf("read %+v, %v", key, err)
+	}
+	minted := time.Date(2024, 6, 14, 10, 14, 9, 300_000_000, time.UTC)
+	if !key.minted().Equal(minted) {
+		t.Errorf("minted %v, want %v", key.minted().UTC(), minted)
+	}
+}
