--- /dev/null
+++ b/cmd/yarrowgrade/golden_test.go
@@ -0,0 +1,46 @@
+package main
+
+import (
+	"bytes"
+	"net/http"
+	"net/http/httptest"
+	"path/filepath"
+	"testing"
+
+	"yarrowgrade.example/yarrowgrade/goldentest"
+)
+
+// goldenLogs are lines that an earlier version's leader and agents wrote: a wide job is stopped for an urgent one.
+var goldenLogs = []string{filepath.Join("testdata", "entries.log"), filepath.Join("testdata", "agents.log")}
+
+// runGolden runs a command line and compares what it prints.
+func runGolden(t *testing.T, name string, args ...string) {
+	t.Helper()
+	var out, errOut bytes.Buffer
+	if code := run(args, &out, &errOut); code != 0 {
+		t.Fatalf("%v: exit code %d: %s", args, code, errOut.String())
+	}
+	goldentest.Bytes(t, name, out.Bytes())
+}
+
+func TestGoldenLosses(t *testing.T) {
+	runGolden(t, "losses.json", append([]string{"--json", "losses"}, goldenLogs...)...)
+	runGolden(t, "losses.txt", append([]string{"losses"}, goldenLogs...)...)
+}
+
+func TestGoldenTrace(t *testing.T) {
+	runGolden(t, "trace.txt", append([]string{"trace", "0000000000000001.0.0.1"}, goldenLogs...)...)
+}
+
+// TestGoldenExplain: an earlier version's entry explains why a session waits.
+func TestGoldenExplain(t *testing.T) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.Method != http.MethodGet || r.URL.Path != "/v1/sessions/session-1/explain" {
+			t.Errorf("%s %s", r.Method, r.URL.Path)
+		}
+		_, _ = w.Write(goldentest.Read(t, "explanation.json"))
+	}))
+	defer server.Close()
+	runGolden(t, "explain.txt", "--entry", server.URL, "explain", "session-1")
+	runGolden(t, "explain.json", "--json", "--entry", server.URL, "explain", "session-1")
+}
--- a/jobtest/system_test.go
+++ b/jobtest/system_test.go
@@ -93,6 +93,8 @@
 	// sameID and unborn are how workers name their starts; see jobtest.Workers.
 	sameID float64
 	unborn bool
+	// logger gets the log lines of all processes, if it is set.
+	logger *zerolog.Logger
 }
 
 // newSystem starts entries, agents and workers.
@@ -107,6 +109,9 @@
 		zerolog.TimeFieldFormat = time.RFC3339Nano
 		s.logger = zerolog.New(zerolog.NewTestWriter(t)).With().Timestamp().Logger()
 	}
+	if sh.logger != nil {
+		s.logger = *sh.logger
+	}
 	s.workers.FailureShare = 0.03
 	s.workers.SameID, s.workers.Unborn = sh.sameID, sh.unborn
 	s.readers = cmp.Or(sh.readers, entryCount)
