--- a/client/client.go
+++ b/client/client.go
@@ -16,14 +16,14 @@
 	"net/url"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/admission"
-	"yarrowgrade.example/yarrowgrade/entry"
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
-	"yarrowgrade.example/yarrowgrade/leader"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/policy"
-	"yarrowgrade.example/yarrowgrade/request"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/jobs/admission"
+	"yarrowgrade.example/yarrowgrade/jobs/leader"
+	"yarrowgrade.example/yarrowgrade/sessions/entry"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/policy"
+	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
 // DefaultAddress is where `yarrowgraded dev` listens.
--- a/client/golden_test.go
+++ b/client/golden_test.go
@@ -9,11 +9,11 @@
 	"net/http/httptest"
 	"testing"
 
-	"yarrowgrade.example/yarrowgrade/goldentest"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/placement"
-	"yarrowgrade.example/yarrowgrade/policy"
-	"yarrowgrade.example/yarrowgrade/request"
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
+	"yarrowgrade.example/yarrowgrade/sessions/policy"
+	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
 // TestGoldenRequests: the method, path and body of each call.
--- a/cmd/soak/callers.go
+++ b/cmd/soak/callers.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/platform/standin"
 )
 
--- a/cmd/soak/cluster.go
+++ b/cmd/soak/cluster.go
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobtest"
-	"yarrowgrade.example/yarrowgrade/loopback"
+	"yarrowgrade.example/yarrowgrade/internal/loopback"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 	"yarrowgrade.example/yarrowgrade/platform/standin"
 )
 
--- a/cmd/soak/explain_test.go
+++ b/cmd/soak/explain_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 	"yarrowgrade.example/yarrowgrade/platform/standin"
 )
 
--- a/cmd/soak/faults.go
+++ b/cmd/soak/faults.go
@@ -8,8 +8,8 @@
 	"syscall"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/jobtest"
-	"yarrowgrade.example/yarrowgrade/loopback"
+	"yarrowgrade.example/yarrowgrade/internal/loopback"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
 // striker draws faults and lets them strike a cluster. Faults overlap: each ends by itself after its time.
--- a/cmd/soak/soak_test.go
+++ b/cmd/soak/soak_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/loopback/loopbacktest"
+	"yarrowgrade.example/yarrowgrade/internal/loopback/loopbacktest"
 )
 
 // binaries is where TestMain built the programs.
--- a/cmd/soak/starts.go
+++ b/cmd/soak/starts.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/pause"
+	"yarrowgrade.example/yarrowgrade/internal/pause"
 )
 
 // Pace of a day on which workers start again under the ids that they had.
--- a/cmd/soak/troubles.go
+++ b/cmd/soak/troubles.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/pause"
+	"yarrowgrade.example/yarrowgrade/internal/pause"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // Pace of a troubled day.
--- a/cmd/yarrowgrade/config.go
+++ b/cmd/yarrowgrade/config.go
@@ -7,8 +7,8 @@
 	"os"
 	"os/user"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/ledger"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
 )
 
 const configUsage = `
--- a/cmd/yarrowgrade/golden_test.go
+++ b/cmd/yarrowgrade/golden_test.go
@@ -7,7 +7,7 @@
 	"path/filepath"
 	"testing"
 
-	"yarrowgrade.example/yarrowgrade/goldentest"
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
 )
 
 // goldenLogs are lines that an earlier version's leader and agents wrote: a wide job is stopped for an urgent one.
--- a/cmd/yarrowgrade/job.go
+++ b/cmd/yarrowgrade/job.go
@@ -6,11 +6,11 @@
 	"strings"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/admission"
-	"yarrowgrade.example/yarrowgrade/catalog"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/leader"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/jobs/admission"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/leader"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 const jobUsage = `
--- a/cmd/yarrowgrade/main.go
+++ b/cmd/yarrowgrade/main.go
@@ -30,8 +30,8 @@
 	"github.com/alecthomas/kong"
 
 	"yarrowgrade.example/yarrowgrade/client"
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
 )
 
 // Exit codes, as in the package comment.
--- a/cmd/yarrowgrade/policy.go
+++ b/cmd/yarrowgrade/policy.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"io"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/policy"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/sessions/policy"
 )
 
 const policyUsage = `
--- a/cmd/yarrowgrade/request.go
+++ b/cmd/yarrowgrade/request.go
@@ -5,7 +5,7 @@
 	"io"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/request"
+	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
 const requestUsage = `
--- a/cmd/yarrowgrade/session.go
+++ b/cmd/yarrowgrade/session.go
@@ -6,10 +6,10 @@
 	"strings"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/entry"
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/placement"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/sessions/entry"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
 const sessionUsage = `
--- a/cmd/yarrowgrade/status.go
+++ b/cmd/yarrowgrade/status.go
@@ -6,8 +6,8 @@
 	"sort"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/entry"
-	"yarrowgrade.example/yarrowgrade/membership"
+	"yarrowgrade.example/yarrowgrade/sessions/entry"
+	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
 const statusUsage = `
--- a/cmd/yarrowgrade/team.go
+++ b/cmd/yarrowgrade/team.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"io"
 
-	"yarrowgrade.example/yarrowgrade/entry"
+	"yarrowgrade.example/yarrowgrade/sessions/entry"
 )
 
 const teamUsage = `
--- a/cmd/yarrowgrade/worker.go
+++ b/cmd/yarrowgrade/worker.go
@@ -5,7 +5,7 @@
 	"io"
 	"strings"
 
-	"yarrowgrade.example/yarrowgrade/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
 )
 
 const workerUsage = `
--- a/cmd/yarrowgraded/agent.go
+++ b/cmd/yarrowgraded/agent.go
@@ -11,13 +11,13 @@
 
 	"github.com/google/uuid"
 
-	"yarrowgrade.example/yarrowgrade/agent"
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/gang"
-	"yarrowgrade.example/yarrowgrade/hosting"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/request"
-	"yarrowgrade.example/yarrowgrade/telemetry"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/internal/telemetry"
+	"yarrowgrade.example/yarrowgrade/sessions/agent"
+	"yarrowgrade.example/yarrowgrade/sessions/gang"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
 const agentUsage = `
--- a/cmd/yarrowgraded/entry.go
+++ b/cmd/yarrowgraded/entry.go
@@ -6,10 +6,10 @@
 	"os"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/entry"
-	"yarrowgrade.example/yarrowgrade/hosting"
-	"yarrowgrade.example/yarrowgrade/pause"
-	"yarrowgrade.example/yarrowgrade/telemetry"
+	"yarrowgrade.example/yarrowgrade/internal/pause"
+	"yarrowgrade.example/yarrowgrade/internal/telemetry"
+	"yarrowgrade.example/yarrowgrade/sessions/entry"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 )
 
 const entryUsage = `
--- a/cmd/yarrowgraded/jobagent.go
+++ b/cmd/yarrowgraded/jobagent.go
@@ -11,11 +11,11 @@
 	"github.com/julienschmidt/httprouter"
 	"github.com/sourcegraph/conc"
 
-	"yarrowgrade.example/yarrowgrade/jobstore"
+	"yarrowgrade.example/yarrowgrade/internal/suspend"
+	"yarrowgrade.example/yarrowgrade/internal/telemetry"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/runner"
 	"yarrowgrade.example/yarrowgrade/platform"
-	"yarrowgrade.example/yarrowgrade/runner"
-	"yarrowgrade.example/yarrowgrade/suspend"
-	"yarrowgrade.example/yarrowgrade/telemetry"
 )
 
 const jobAgentUsage = `
--- a/cmd/yarrowgraded/jobentry.go
+++ b/cmd/yarrowgraded/jobentry.go
@@ -14,16 +14,16 @@
 	"github.com/rs/zerolog"
 	"github.com/sourcegraph/conc"
 
-	"yarrowgrade.example/yarrowgrade/admission"
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/catalog"
-	"yarrowgrade.example/yarrowgrade/dispatch"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/leader"
-	"yarrowgrade.example/yarrowgrade/pause"
+	"yarrowgrade.example/yarrowgrade/internal/pause"
+	"yarrowgrade.example/yarrowgrade/internal/suspend"
+	"yarrowgrade.example/yarrowgrade/internal/telemetry"
+	"yarrowgrade.example/yarrowgrade/jobs/admission"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/leader"
 	"yarrowgrade.example/yarrowgrade/platform"
-	"yarrowgrade.example/yarrowgrade/suspend"
-	"yarrowgrade.example/yarrowgrade/telemetry"
 )
 
 const jobEntryUsage = `
--- a/cmd/yarrowgraded/main.go
+++ b/cmd/yarrowgraded/main.go
@@ -22,7 +22,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"yarrowgrade.example/yarrowgrade/fault"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
 // exitBadSettings is the exit code for settings that won't do; all other failures exit with 1.
--- a/cmd/yarrowgraded/metrics_test.go
+++ b/cmd/yarrowgraded/metrics_test.go
@@ -10,9 +10,9 @@
 	"github.com/rs/zerolog"
 	"github.com/uber-go/tally/v4"
 
-	"yarrowgrade.example/yarrowgrade/dispatch"
+	"yarrowgrade.example/yarrowgrade/internal/telemetry"
+	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
 	"yarrowgrade.example/yarrowgrade/platform"
-	"yarrowgrade.example/yarrowgrade/telemetry"
 )
 
 // registered are the names of all metrics that a process for jobs registers.
--- a/cmd/yarrowgraded/serve.go
+++ b/cmd/yarrowgraded/serve.go
@@ -9,8 +9,8 @@
 	"net/netip"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/telemetry"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/internal/telemetry"
 )
 
 // Bounds of the HTTP servers.
--- a/e2e/capacity_agent_test.go
+++ b/e2e/capacity_agent_test.go
@@ -10,15 +10,15 @@
 	"sync/atomic"
 	"testing"
 
-	"yarrowgrade.example/yarrowgrade/agent"
 	"yarrowgrade.example/yarrowgrade/client"
-	"yarrowgrade.example/yarrowgrade/gang"
-	"yarrowgrade.example/yarrowgrade/hosting"
-	"yarrowgrade.example/yarrowgrade/hosting/standin"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/placement"
-	"yarrowgrade.example/yarrowgrade/request"
-	"yarrowgrade.example/yarrowgrade/telemetry"
+	"yarrowgrade.example/yarrowgrade/internal/telemetry"
+	"yarrowgrade.example/yarrowgrade/sessions/agent"
+	"yarrowgrade.example/yarrowgrade/sessions/gang"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
+	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
 // BenchmarkAgent measures one agent, in a process of its own: idle, and as the leader of a gang of 2, 16 and 64.
--- a/e2e/capacity_test.go
+++ b/e2e/capacity_test.go
@@ -15,14 +15,14 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/agent"
 	"yarrowgrade.example/yarrowgrade/client"
-	"yarrowgrade.example/yarrowgrade/gang"
-	"yarrowgrade.example/yarrowgrade/hosting"
-	"yarrowgrade.example/yarrowgrade/hosting/standin"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/placement"
-	"yarrowgrade.example/yarrowgrade/telemetry"
+	"yarrowgrade.example/yarrowgrade/internal/telemetry"
+	"yarrowgrade.example/yarrowgrade/sessions/agent"
+	"yarrowgrade.example/yarrowgrade/sessions/gang"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
 const (
--- a/e2e/cluster_test.go
+++ b/e2e/cluster_test.go
@@ -16,12 +16,12 @@
 	"time"
 
 	"yarrowgrade.example/yarrowgrade/client"
-	"yarrowgrade.example/yarrowgrade/hosting/standin"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/loopback"
-	"yarrowgrade.example/yarrowgrade/loopback/loopbacktest"
-	"yarrowgrade.example/yarrowgrade/placement"
-	"yarrowgrade.example/yarrowgrade/request"
+	"yarrowgrade.example/yarrowgrade/internal/loopback"
+	"yarrowgrade.example/yarrowgrade/internal/loopback/loopbacktest"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
+	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
 // patience bounds every poll. It is far above what any step takes, so that no verdict rests on the machine's speed.
--- a/e2e/cut_test.go
+++ b/e2e/cut_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/loopback"
-	"yarrowgrade.example/yarrowgrade/placement"
-	"yarrowgrade.example/yarrowgrade/request"
+	"yarrowgrade.example/yarrowgrade/internal/loopback"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
+	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
 // TestCutFromLog cuts each entry in turn off the platform while it still reaches the agents, and they it. What runs goes
--- a/e2e/failure_test.go
+++ b/e2e/failure_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/placement"
-	"yarrowgrade.example/yarrowgrade/request"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
+	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
 // fast makes gangs notice a lost member within seconds: the bound is 4 s.
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -7,9 +7,9 @@
 	"syscall"
 	"testing"
 
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/placement"
-	"yarrowgrade.example/yarrowgrade/request"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
+	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
 var plates = ledger.Team{
--- a/e2e/trace_test.go
+++ b/e2e/trace_test.go
@@ -12,7 +12,7 @@
 	collector "go.opentelemetry.io/proto/otlp/collector/trace/v1"
 	"google.golang.org/protobuf/proto"
 
-	"yarrowgrade.example/yarrowgrade/request"
+	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
 // traceSink is a stand-in for an OTLP/HTTP collector.
--- a/fault/golden_test.go
+++ b/internal/fault/golden_test.go
@@ -4,7 +4,7 @@
 	"errors"
 	"testing"
 
-	"yarrowgrade.example/yarrowgrade/goldentest"
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
 )
 
 // TestGoldenField: which field of an input is named, and under which name, is part of every answer to a bad request.
--- a/jsonhttp/golden_test.go
+++ b/internal/jsonhttp/golden_test.go
@@ -8,8 +8,8 @@
 	"net/http/httptest"
 	"testing"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/goldentest"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
 )
 
 func TestGoldenErrorBody(t *testing.T) {
--- a/jsonhttp/jsonhttp.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -22,7 +22,7 @@
 	"sync/atomic"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/fault"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
 // maxAnswerBytes bounds one answer. A batch of 256 log records of at most 64 KiB stays below it.
--- a/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/pause"
+	"yarrowgrade.example/yarrowgrade/internal/pause"
 )
 
 func TestFor(t *testing.T) {
--- a/suspend/suspend_test.go
+++ b/internal/suspend/suspend_test.go
@@ -5,7 +5,7 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/suspend"
+	"yarrowgrade.example/yarrowgrade/internal/suspend"
 )
 
 // TestSince: a mark ages by what passes on the steady clock and by what the machine was suspended, and by nothing from before it.
--- a/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/goldentest"
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
 )
 
 // TestGoldenLine: operators' tools and the command-line tool read log lines of this form.
--- a/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -32,7 +32,7 @@
 	"go.opentelemetry.io/otel/sdk/resource"
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 
-	"yarrowgrade.example/yarrowgrade/fault"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
 // reportInterval is how often tally hands its values to the scrape endpoint.
--- a/admission/admission.go
+++ b/jobs/admission/admission.go
@@ -20,9 +20,9 @@
 	"github.com/rs/zerolog"
 	"github.com/uber-go/tally/v4"
 
-	"yarrowgrade.example/yarrowgrade/catalog"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 )
 
 // Answers that are no success. All others of Submit and Cancel mean that it is not known what became of the call.
--- a/admission/admission_test.go
+++ b/jobs/admission/admission_test.go
@@ -12,11 +12,11 @@
 	"github.com/rs/zerolog"
 	"github.com/uber-go/tally/v4"
 
-	"yarrowgrade.example/yarrowgrade/admission"
-	"yarrowgrade.example/yarrowgrade/catalog"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/admission"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
 // service is an admission service whose configuration has one open queue, beside a log that a test gives faults to.
--- a/admission/cordons.go
+++ b/jobs/admission/cordons.go
@@ -9,8 +9,8 @@
 
 	"github.com/julienschmidt/httprouter"
 
-	"yarrowgrade.example/yarrowgrade/catalog"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
 )
 
 // JobsStatus is what an entry knows of what operators have put in force.
--- a/admission/golden_test.go
+++ b/jobs/admission/golden_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/admission"
-	"yarrowgrade.example/yarrowgrade/catalog"
-	"yarrowgrade.example/yarrowgrade/goldentest"
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
+	"yarrowgrade.example/yarrowgrade/jobs/admission"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 var (
--- a/admission/metrics.go
+++ b/jobs/admission/metrics.go
@@ -6,8 +6,8 @@
 
 	"github.com/uber-go/tally/v4"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/telemetry"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/internal/telemetry"
 )
 
 // outcome is what a caller is told, as it is counted.
--- a/admission/operators.go
+++ b/jobs/admission/operators.go
@@ -8,10 +8,10 @@
 
 	"github.com/julienschmidt/httprouter"
 
-	"yarrowgrade.example/yarrowgrade/catalog"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 )
 
 // JobSummary is a job as operators list it.
--- a/admission/operators_test.go
+++ b/jobs/admission/operators_test.go
@@ -10,12 +10,12 @@
 	"github.com/julienschmidt/httprouter"
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/admission"
-	"yarrowgrade.example/yarrowgrade/catalog"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/jobtest"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/jobs/admission"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // cordonedCatalog follows a configuration and the cordon of zone-1.
--- a/assignment/assignment.go
+++ b/jobs/assignment/assignment.go
@@ -14,8 +14,8 @@
 import (
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // Path is where a leader takes polls.
--- a/assignment/golden_test.go
+++ b/jobs/assignment/golden_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
-	"yarrowgrade.example/yarrowgrade/goldentest"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // The golden values of the types that messages are made of.
--- a/assignment/since_test.go
+++ b/jobs/assignment/since_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // TestOn: a poll that says what has changed since another one is taken only on that one, and says then what it would have said in full.
--- a/catalog/catalog_test.go
+++ b/jobs/catalog/catalog_test.go
@@ -14,9 +14,9 @@
 
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/catalog"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
 func decode(data []byte) (*catalog.Catalog, error) {
--- a/catalog/follower.go
+++ b/jobs/catalog/follower.go
@@ -8,8 +8,8 @@
 
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/suspend"
+	"yarrowgrade.example/yarrowgrade/internal/suspend"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 )
 
 // How long a read waits for news. It does not delay them; it bounds the age of the proof, which is up to twice as old, and so how soon after the beginning of
--- a/catalog/golden_test.go
+++ b/jobs/catalog/golden_test.go
@@ -13,10 +13,10 @@
 
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/catalog"
-	"yarrowgrade.example/yarrowgrade/goldentest"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/jobtest"
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 	"yarrowgrade.example/yarrowgrade/platform"
 )
 
--- a/catalog/readers_test.go
+++ b/jobs/catalog/readers_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/catalog"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
 // TestReadersOfOperatorsRecords: each of 183 entries read the operators' records twice a second, a fourth of all calls to the store, though next to nothing comes
--- a/catalog/relay_test.go
+++ b/jobs/catalog/relay_test.go
@@ -10,10 +10,10 @@
 
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/catalog"
-	"yarrowgrade.example/yarrowgrade/hosting/standin"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
 )
 
 // relays are followers of which some read the log and the others are told by these.
--- a/dispatch/advice.go
+++ b/jobs/dispatch/advice.go
@@ -8,8 +8,8 @@
 
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // Ticket lets a step run on a life of a worker, for some time.
--- a/dispatch/carried_test.go
+++ b/jobs/dispatch/carried_test.go
@@ -4,9 +4,9 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // TestCarriedOver: a run that was under way to a worker when it crashed, and that its next start under the same id has carried out, is placed there with its
--- a/dispatch/chance_test.go
+++ b/jobs/dispatch/chance_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // TestChance: the chance to be in time falls with the delay and with the slowness of the workers, and rises with the length of the work.
--- a/dispatch/controller.go
+++ b/jobs/dispatch/controller.go
@@ -22,10 +22,10 @@
 
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/catalog"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // Settings of a controller.
--- a/dispatch/controller_test.go
+++ b/jobs/dispatch/controller_test.go
@@ -4,10 +4,10 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // reported is a poll of the worker on which the only task of a job is placed.
--- a/dispatch/cordon.go
+++ b/jobs/dispatch/cordon.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // withdraw stops what was placed in an availability zone that has been cordoned since, and is not known to have begun: its agent
--- a/dispatch/cordon_test.go
+++ b/jobs/dispatch/cordon_test.go
@@ -7,11 +7,11 @@
 
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/catalog"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
 // cordonable gives the fixture operators' records that a test can change; each rack is a zone of its name.
--- a/dispatch/crashes.go
+++ b/jobs/dispatch/crashes.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // endLife ends all that is placed on a life of a worker, and counts the crash, if it is one, for the tasks that were there.
--- a/dispatch/earliest.go
+++ b/jobs/dispatch/earliest.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // fit is room that a unit would find by itself.
--- a/dispatch/golden_test.go
+++ b/jobs/dispatch/golden_test.go
@@ -16,11 +16,11 @@
 	"github.com/rs/zerolog"
 	"github.com/uber-go/tally/v4"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/goldentest"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // golden runs a scene on a controller whose clock and log are the test's, and compares what it
--- a/dispatch/headroom.go
+++ b/jobs/dispatch/headroom.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // Bounds of the room that is kept free for urgent jobs. An urgent job that finds room starts 0.3 to 0.9 s sooner than one for
--- a/dispatch/headroom_test.go
+++ b/jobs/dispatch/headroom_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // TestHeadroom: what can wait leaves a rack's worth of room to urgent jobs, if such have come lately, and takes it when it has
--- a/dispatch/health.go
+++ b/jobs/dispatch/health.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // Bounds of the judgement on a worker.
--- a/dispatch/health_test.go
+++ b/jobs/dispatch/health_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // failed lets the only run of a job fail, after it was there for a time, and makes a decision.
--- a/dispatch/losses.go
+++ b/jobs/dispatch/losses.go
@@ -1,8 +1,8 @@
 package dispatch
 
 import (
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // lossCause is why the work of a run was thrown away.
--- a/dispatch/losses_test.go
+++ b/jobs/dispatch/losses_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // TestLosses: the work of a run that ends without being saved counts under what began it: a gang breaks for whatever ended its
--- a/dispatch/metrics.go
+++ b/jobs/dispatch/metrics.go
@@ -5,8 +5,8 @@
 
 	"github.com/uber-go/tally/v4"
 
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/telemetry"
+	"yarrowgrade.example/yarrowgrade/internal/telemetry"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // Metrics are those of controllers. Those with a team have a series for each team of the configuration.
--- a/dispatch/plan.go
+++ b/jobs/dispatch/plan.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // reservations is how many waiting gangs have room held back for them at once.
--- a/dispatch/plan_test.go
+++ b/jobs/dispatch/plan_test.go
@@ -6,8 +6,8 @@
 
 	"pgregory.net/rapid"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 func TestPlacement(t *testing.T) {
--- a/dispatch/policy_test.go
+++ b/jobs/dispatch/policy_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 func TestPolicy(t *testing.T) {
--- a/dispatch/preempt.go
+++ b/jobs/dispatch/preempt.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 func runID(r *running) assignment.RunID { return assignment.RunID{Task: r.name, Run: r.run} }
--- a/dispatch/preempt_test.go
+++ b/jobs/dispatch/preempt_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // TestUrgentOrder: what may be in time comes before what is late, small jobs before large ones, and a guarantee before all.
--- a/dispatch/reports.go
+++ b/jobs/dispatch/reports.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 func (c *Controller) workerOf(name string) *worker {
--- a/dispatch/room.go
+++ b/jobs/dispatch/room.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // dataPatience is how long, in estimates of a task, a task waits for room near its data.
--- a/dispatch/running.go
+++ b/jobs/dispatch/running.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // addRuns takes what runs off the workers' room.
--- a/dispatch/speed.go
+++ b/jobs/dispatch/speed.go
@@ -3,8 +3,8 @@
 import (
 	"math"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // Workers of one kind differ in speed for good: on the users' largest site a third takes 0.8 times, and a third 1.22 times, as long as the
--- a/dispatch/speed_test.go
+++ b/jobs/dispatch/speed_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // speedClasses are the times that workers of a drawn fleet take for the same work.
--- a/dispatch/state.go
+++ b/jobs/dispatch/state.go
@@ -4,8 +4,8 @@
 	"math"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // tracked is a job as the control goroutine holds it.
--- a/dispatch/suspects.go
+++ b/jobs/dispatch/suspects.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // A task under which workers have crashed is a suspect: it, or what ran beside it, may crash the next one too. Placed as others are, it
--- a/dispatch/suspects_test.go
+++ b/jobs/dispatch/suspects_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // crash ends the first task of a job with its worker, alone there, and lets the worker come back.
--- a/dispatch/wants.go
+++ b/jobs/dispatch/wants.go
@@ -4,9 +4,9 @@
 	"maps"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // Want is what a life of a worker should run. The zero value is that of a worker of which no life is known.
--- a/dispatch/wants_test.go
+++ b/jobs/dispatch/wants_test.go
@@ -9,9 +9,9 @@
 
 	"pgregory.net/rapid"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // wantsAnew is what each worker should run, made from all workers and all jobs.
--- a/job/crashes.go
+++ b/jobs/job/crashes.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // Fate is what the end of a worker's life means for a run that was placed there.
--- a/job/crashes_test.go
+++ b/jobs/job/crashes_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // lifeNumber is one of many lives: each second one is a new start under the id of the one before.
--- a/job/golden_test.go
+++ b/jobs/job/golden_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/goldentest"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // goldenTime has a fraction, so that its precision is part of the record.
--- a/job/job.go
+++ b/jobs/job/job.go
@@ -16,7 +16,7 @@
 	"fmt"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/fault"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
 // Bounds of a job.
--- a/job/job_test.go
+++ b/jobs/job/job_test.go
@@ -8,8 +8,8 @@
 
 	"pgregory.net/rapid"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // present is the life on which the tests place tasks.
--- a/job/progress.go
+++ b/jobs/job/progress.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // TaskName names a task: job, round, step and index.
--- a/job/stored_test.go
+++ b/jobs/job/stored_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // largeProgress is that of a job of so many tasks, all of which run with a checkpoint.
--- a/jobstore/announce.go
+++ b/jobs/jobstore/announce.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/pause"
+	"yarrowgrade.example/yarrowgrade/internal/pause"
 )
 
 // misses reports whether an entry is not listed, though the directory has been read.
--- a/jobstore/chase_test.go
+++ b/jobs/jobstore/chase_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
 // busyLog takes a while to bring records, and none to say that there is nothing.
--- a/jobstore/golden_test.go
+++ b/jobs/jobstore/golden_test.go
@@ -18,14 +18,14 @@
 	"github.com/julienschmidt/httprouter"
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/goldentest"
-	"yarrowgrade.example/yarrowgrade/hedge"
-	"yarrowgrade.example/yarrowgrade/hosting/standin"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/jobtest"
-	"yarrowgrade.example/yarrowgrade/life"
-	"yarrowgrade.example/yarrowgrade/suspend"
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
+	"yarrowgrade.example/yarrowgrade/internal/hedge"
+	"yarrowgrade.example/yarrowgrade/internal/suspend"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
 )
 
 var goldenTime = time.Date(2026, 3, 4, 5, 6, 7, 8_000_000, time.UTC)
--- a/jobstore/jobstore_test.go
+++ b/jobs/jobstore/jobstore_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
 func submission(t *testing.T, id job.ID, spec string) jobstore.Record {
--- a/jobstore/line_test.go
+++ b/jobs/jobstore/line_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
 // TestLine: those in line to lead are five at the most, whatever the number of entries, all of them large ones where some are, and not all of one zone.
--- a/jobstore/metered.go
+++ b/jobs/jobstore/metered.go
@@ -7,7 +7,7 @@
 
 	"github.com/uber-go/tally/v4"
 
-	"yarrowgrade.example/yarrowgrade/telemetry"
+	"yarrowgrade.example/yarrowgrade/internal/telemetry"
 )
 
 // result is what came of a call to the log, as it is counted.
--- a/jobstore/records.go
+++ b/jobs/jobstore/records.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strings"
 
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // Keys of the topic. A job's key is one of the prefixes and the job's ID.
--- a/jobstore/relay.go
+++ b/jobs/jobstore/relay.go
@@ -12,9 +12,9 @@
 
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
-	"yarrowgrade.example/yarrowgrade/suspend"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/internal/suspend"
 )
 
 // Bounds of news that one process hands on to another.
--- a/jobstore/replica.go
+++ b/jobs/jobstore/replica.go
@@ -9,9 +9,9 @@
 
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/hedge"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/suspend"
+	"yarrowgrade.example/yarrowgrade/internal/hedge"
+	"yarrowgrade.example/yarrowgrade/internal/suspend"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // replicaWait is how long a read of a replica waits for news: it bounds the age of its proof.
--- a/jobstore/tail.go
+++ b/jobs/jobstore/tail.go
@@ -8,8 +8,8 @@
 
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/hedge"
-	"yarrowgrade.example/yarrowgrade/suspend"
+	"yarrowgrade.example/yarrowgrade/internal/hedge"
+	"yarrowgrade.example/yarrowgrade/internal/suspend"
 )
 
 // Pace of a tail. Each answered read renews the proof that nothing newer exists.
--- a/jobstore/writer.go
+++ b/jobs/jobstore/writer.go
@@ -12,10 +12,10 @@
 
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/hedge"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
-	"yarrowgrade.example/yarrowgrade/pause"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/internal/hedge"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/internal/pause"
 )
 
 // RecordsPath is where an entry keeps a record for another one that does not reach the log.
--- a/jobstore/writer_test.go
+++ b/jobs/jobstore/writer_test.go
@@ -14,10 +14,10 @@
 	"github.com/julienschmidt/httprouter"
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/hedge"
-	"yarrowgrade.example/yarrowgrade/hosting/standin"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/jobtest"
+	"yarrowgrade.example/yarrowgrade/internal/hedge"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
 )
 
 // writers starts two entries that keep records for each other.
--- a/jobtest/blame_test.go
+++ b/jobs/jobtest/blame_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 var blameSeeds = flag.Int("jobtest.blame", 8, "number of seeds of TestBlame")
--- a/jobtest/cordon_test.go
+++ b/jobs/jobtest/cordon_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
 // keepBusy hands in small jobs for a while, so that something new starts at any time while jobs are taken.
--- a/jobtest/counted.go
+++ b/jobs/jobtest/counted.go
@@ -4,7 +4,7 @@
 	"context"
 	"sync/atomic"
 
-	"yarrowgrade.example/yarrowgrade/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 )
 
 // CountedLog counts the reads of a log.
--- a/jobtest/crash.go
+++ b/jobs/jobtest/crash.go
@@ -5,9 +5,9 @@
 	"fmt"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // Bounds on tasks that crash workers.
--- a/jobtest/crash_test.go
+++ b/jobs/jobtest/crash_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/admission"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/admission"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
 // TestTaskThatCrashesWorkers: a task that crashes each worker that starts it is given up, whatever strikes meanwhile.
--- a/jobtest/golden_test.go
+++ b/jobs/jobtest/golden_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/goldentest"
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // lineBuffer gathers the log lines of all processes.
--- a/jobtest/log.go
+++ b/jobs/jobtest/log.go
@@ -17,8 +17,8 @@
 	"sync"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/pause"
+	"yarrowgrade.example/yarrowgrade/internal/pause"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 )
 
 // Fault is how the log treats a client.
--- a/jobtest/orders.go
+++ b/jobs/jobtest/orders.go
@@ -5,9 +5,9 @@
 	"errors"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/runner"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
 
 var errLost = errors.New("the answer was lost")
--- a/jobtest/recovery_test.go
+++ b/jobs/jobtest/recovery_test.go
@@ -8,8 +8,8 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
 // within runs a test in a bubble with a system that has settled.
--- a/jobtest/room.go
+++ b/jobs/jobtest/room.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // ShrinkBound is how long after a worker has said that its room has shrunk a start may still count on the room from before.
--- a/jobtest/room_test.go
+++ b/jobs/jobtest/room_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
 // TestShrunkWorkers: whatever strikes when the room of workers shrinks that do not guard it, nothing starts beyond it once the bound is over, and when it has
--- a/jobtest/rules.go
+++ b/jobs/jobtest/rules.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // breaks notes a broken rule. The lock must be held.
--- a/jobtest/starts_test.go
+++ b/jobs/jobtest/starts_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // TestEndsAfterANewStart: what ends on a worker that has started again under the id that it had is read, however much had been read of its
--- a/jobtest/system_test.go
+++ b/jobs/jobtest/system_test.go
@@ -18,16 +18,16 @@
 	"github.com/rs/zerolog"
 	"github.com/uber-go/tally/v4"
 
-	"yarrowgrade.example/yarrowgrade/admission"
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/catalog"
-	"yarrowgrade.example/yarrowgrade/dispatch"
-	"yarrowgrade.example/yarrowgrade/hosting/standin"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/jobtest"
-	"yarrowgrade.example/yarrowgrade/leader"
-	"yarrowgrade.example/yarrowgrade/runner"
+	"yarrowgrade.example/yarrowgrade/jobs/admission"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/leader"
+	"yarrowgrade.example/yarrowgrade/jobs/runner"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
 )
 
 // Shape of the system under test.
--- a/jobtest/workers.go
+++ b/jobs/jobtest/workers.go
@@ -7,10 +7,10 @@
 	"sync"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/life"
-	"yarrowgrade.example/yarrowgrade/runner"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
+	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
 
 // Pace and bounds of the stand-in workers.
--- a/leader/election.go
+++ b/jobs/leader/election.go
@@ -8,9 +8,9 @@
 	"syscall"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 )
 
 // await returns when this entry leads in a term above the one that it has lost. It claims none before the end of the rest.
--- a/leader/golden_test.go
+++ b/jobs/leader/golden_test.go
@@ -15,15 +15,15 @@
 	"github.com/rs/zerolog"
 	"github.com/uber-go/tally/v4"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/catalog"
-	"yarrowgrade.example/yarrowgrade/dispatch"
-	"yarrowgrade.example/yarrowgrade/goldentest"
-	"yarrowgrade.example/yarrowgrade/hedge"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/jobtest"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
+	"yarrowgrade.example/yarrowgrade/internal/hedge"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // Values of the golden messages.
--- a/leader/handler.go
+++ b/jobs/leader/handler.go
@@ -3,8 +3,8 @@
 import (
 	"net/http"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 )
 
 // ServePoll answers an agent's poll, or says where the leader is.
--- a/leader/handover.go
+++ b/jobs/leader/handover.go
@@ -8,10 +8,10 @@
 	"slices"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
-	"yarrowgrade.example/yarrowgrade/pause"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/internal/pause"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 )
 
 // Times of a handover.
--- a/leader/handover_test.go
+++ b/jobs/leader/handover_test.go
@@ -16,9 +16,9 @@
 
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/hedge"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/jobtest"
+	"yarrowgrade.example/yarrowgrade/internal/hedge"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
 // countingTransport notes who was called. Those at an address that is gone can't be reached, the others answer with an empty object or, if refusing is set,
--- a/leader/leader.go
+++ b/jobs/leader/leader.go
@@ -32,12 +32,12 @@
 	"github.com/rs/zerolog"
 	"github.com/uber-go/tally/v4"
 
-	"yarrowgrade.example/yarrowgrade/catalog"
-	"yarrowgrade.example/yarrowgrade/dispatch"
-	"yarrowgrade.example/yarrowgrade/hedge"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/pause"
-	"yarrowgrade.example/yarrowgrade/suspend"
+	"yarrowgrade.example/yarrowgrade/internal/hedge"
+	"yarrowgrade.example/yarrowgrade/internal/pause"
+	"yarrowgrade.example/yarrowgrade/internal/suspend"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 )
 
 // Timing is the pace of a leader and the bounds that others count on.
--- a/leader/leases.go
+++ b/jobs/leader/leases.go
@@ -7,11 +7,11 @@
 
 	"github.com/uber-go/tally/v4"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/catalog"
-	"yarrowgrade.example/yarrowgrade/dispatch"
-	"yarrowgrade.example/yarrowgrade/life"
-	"yarrowgrade.example/yarrowgrade/suspend"
+	"yarrowgrade.example/yarrowgrade/internal/suspend"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // agentLease is what is known of one worker and its agent.
--- a/leader/leases_test.go
+++ b/jobs/leader/leases_test.go
@@ -7,11 +7,11 @@
 
 	"github.com/uber-go/tally/v4"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/catalog"
-	"yarrowgrade.example/yarrowgrade/dispatch"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // cordons are what operators have cordoned, as the leader knows, and cordonsProof is when that was proved.
--- a/leader/metrics.go
+++ b/jobs/leader/metrics.go
@@ -3,8 +3,8 @@
 import (
 	"github.com/uber-go/tally/v4"
 
-	"yarrowgrade.example/yarrowgrade/dispatch"
-	"yarrowgrade.example/yarrowgrade/telemetry"
+	"yarrowgrade.example/yarrowgrade/internal/telemetry"
+	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
 )
 
 // metrics are a candidate's.
--- a/leader/news.go
+++ b/jobs/leader/news.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 )
 
 // decides reports whether a poll brings something to decide on beside what the one before it said: an end, a refusal, a life, another room, a run that is not
--- a/leader/prune.go
+++ b/jobs/leader/prune.go
@@ -11,11 +11,11 @@
 
 	"github.com/sourcegraph/conc"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
-	"yarrowgrade.example/yarrowgrade/pause"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/internal/pause"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 )
 
 // Pace at which the leader looks for entries that are gone. The directory keeps what an entry has announced for good, and ten boxes a day are lost for good at the
--- a/leader/term.go
+++ b/jobs/leader/term.go
@@ -5,8 +5,8 @@
 	"errors"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/hedge"
-	"yarrowgrade.example/yarrowgrade/jobstore"
+	"yarrowgrade.example/yarrowgrade/internal/hedge"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 )
 
 // Times of an append. A second try with the same number is harmless.
--- a/leader/workers.go
+++ b/jobs/leader/workers.go
@@ -5,11 +5,11 @@
 	"net/http"
 	"slices"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/catalog"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // WorkersPath is where the leader lists the workers that it knows.
--- a/life/golden_test.go
+++ b/jobs/life/golden_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"yarrowgrade.example/yarrowgrade/goldentest"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // storedLives is a document with an ID as a value, as an optional value and as a key.
--- a/life/life_test.go
+++ b/jobs/life/life_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 func TestText(t *testing.T) {
--- a/runner/export_test.go
+++ b/jobs/runner/export_test.go
@@ -1,6 +1,6 @@
 package runner
 
-import "yarrowgrade.example/yarrowgrade/assignment"
+import "yarrowgrade.example/yarrowgrade/jobs/assignment"
 
 // PaceAfter returns the pace of a run that fills beside one that serves, after a look at each of the serving one's figures.
 func PaceAfter(serving, filling assignment.RunID, target int64, gauges []int) int {
--- a/runner/golden_test.go
+++ b/jobs/runner/golden_test.go
@@ -19,13 +19,13 @@
 	"github.com/rs/zerolog"
 	"github.com/uber-go/tally/v4"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/goldentest"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/jobtest"
-	"yarrowgrade.example/yarrowgrade/life"
-	"yarrowgrade.example/yarrowgrade/runner"
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
+	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
 
 // wire is a transport that notes each request and gives each the same answer.
--- a/runner/leader.go
+++ b/jobs/runner/leader.go
@@ -11,9 +11,9 @@
 	"sync"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/jobstore"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 )
 
 // Bounds of the exchange with a leader.
--- a/runner/leader_test.go
+++ b/jobs/runner/leader_test.go
@@ -12,10 +12,10 @@
 
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/jobstore"
-	"yarrowgrade.example/yarrowgrade/jobtest"
-	"yarrowgrade.example/yarrowgrade/runner"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
 
 // countingTransport answers nothing and counts what it was asked.
--- a/runner/listing.go
+++ b/jobs/runner/listing.go
@@ -5,9 +5,9 @@
 	"errors"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/pause"
+	"yarrowgrade.example/yarrowgrade/internal/pause"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // listLoop asks the worker what it runs, again and again; an answer comes as soon as a run ends.
--- a/runner/lives.go
+++ b/jobs/runner/lives.go
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // lifeEnd is a life that is over. It is told until a poll that told it has been heard.
--- a/runner/metrics.go
+++ b/jobs/runner/metrics.go
@@ -5,9 +5,9 @@
 
 	"github.com/uber-go/tally/v4"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/telemetry"
+	"yarrowgrade.example/yarrowgrade/internal/telemetry"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // outcome is what came of an order to the worker, or of a poll, as it is counted.
--- a/runner/orders.go
+++ b/jobs/runner/orders.go
@@ -5,8 +5,8 @@
 	"errors"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/pause"
+	"yarrowgrade.example/yarrowgrade/internal/pause"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 )
 
 // maxBusy is how often a start is tried on a worker that does nothing, before the leader is told.
--- a/runner/pace.go
+++ b/jobs/runner/pace.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/pause"
+	"yarrowgrade.example/yarrowgrade/internal/pause"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 )
 
 // Bounds of the pace of what fills beside tasks that serve users. A worker's figures are of the last half second, and an order
--- a/runner/reports_test.go
+++ b/jobs/runner/reports_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/jobtest"
-	"yarrowgrade.example/yarrowgrade/runner"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
 
 // TestOddHeartbeats: a heartbeat that says otherwise what a worker can't change in a life is taken only when it is said twice in a row: others may write there too.
--- a/runner/room.go
+++ b/jobs/runner/room.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // A worker need not guard its room, and users forbid a start beyond it from 4.5 s after it has shrunk (their contact time and a heartbeat). An order that
--- a/runner/runner.go
+++ b/jobs/runner/runner.go
@@ -12,11 +12,11 @@
 	"github.com/sourcegraph/conc"
 	"github.com/uber-go/tally/v4"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/life"
-	"yarrowgrade.example/yarrowgrade/pause"
-	"yarrowgrade.example/yarrowgrade/suspend"
+	"yarrowgrade.example/yarrowgrade/internal/pause"
+	"yarrowgrade.example/yarrowgrade/internal/suspend"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // Settings of a runner.
--- a/runner/runner_test.go
+++ b/jobs/runner/runner_test.go
@@ -12,11 +12,11 @@
 	"github.com/rs/zerolog"
 	"github.com/uber-go/tally/v4"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobtest"
-	"yarrowgrade.example/yarrowgrade/life"
-	"yarrowgrade.example/yarrowgrade/runner"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
+	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
 
 const lease = 6 * time.Second
--- a/runner/since.go
+++ b/jobs/runner/since.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 )
 
 // described is a poll that described the worker, and when it was made.
--- a/runner/since_test.go
+++ b/jobs/runner/since_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // manyID is a run of one of many tasks.
--- a/runner/starts_test.go
+++ b/jobs/runner/starts_test.go
@@ -10,10 +10,10 @@
 	"github.com/rs/zerolog"
 	"github.com/uber-go/tally/v4"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/job"
-	"yarrowgrade.example/yarrowgrade/jobtest"
-	"yarrowgrade.example/yarrowgrade/runner"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
 
 // heldCall is one call of a recorder's Hold: what it said, and what came of it.
--- a/runner/worker.go
+++ b/jobs/runner/worker.go
@@ -20,8 +20,8 @@
 	"errors"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/assignment"
-	"yarrowgrade.example/yarrowgrade/life"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // Order is what comes with each call to a worker: the life it is meant for and the fence. The call names the life's instance only, so it may be
--- a/agent/agent.go
+++ b/sessions/agent/agent.go
@@ -23,13 +23,13 @@
 
 	"github.com/sourcegraph/conc"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/gang"
-	"yarrowgrade.example/yarrowgrade/hosting"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/membership"
-	"yarrowgrade.example/yarrowgrade/request"
-	"yarrowgrade.example/yarrowgrade/telemetry"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/internal/telemetry"
+	"yarrowgrade.example/yarrowgrade/sessions/gang"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/membership"
+	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
 // Settings of an agent.
--- a/agent/config.go
+++ b/sessions/agent/config.go
@@ -5,8 +5,8 @@
 	"maps"
 	"strings"
 
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/membership"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
 // config is the configuration in force at an agent. It is immutable.
--- a/agent/config_test.go
+++ b/sessions/agent/config_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/membership"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
 func limitsView(revision int64, value string) membership.View {
--- a/agent/control.go
+++ b/sessions/agent/control.go
@@ -8,11 +8,11 @@
 
 	"github.com/sourcegraph/conc"
 
-	"yarrowgrade.example/yarrowgrade/gang"
-	"yarrowgrade.example/yarrowgrade/hosting"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/membership"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/sessions/gang"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
 // gangs is what the agent has to do with gangs, as the control goroutine published it. It is immutable.
--- a/agent/entries.go
+++ b/sessions/agent/entries.go
@@ -5,9 +5,9 @@
 	"sync"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/membership"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
 // Settings of an entryList.
--- a/agent/entries_test.go
+++ b/sessions/agent/entries_test.go
@@ -6,10 +6,10 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/membership"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
 // TestEntriesOfSettingsStayKnown gives an agent a view from an entry that took the other one for dead. If that entry is
--- a/agent/fuzz_test.go
+++ b/sessions/agent/fuzz_test.go
@@ -12,12 +12,12 @@
 
 	"github.com/sourcegraph/conc"
 
-	"yarrowgrade.example/yarrowgrade/gang"
-	"yarrowgrade.example/yarrowgrade/hosting/standin"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/membership"
-	"yarrowgrade.example/yarrowgrade/request"
-	"yarrowgrade.example/yarrowgrade/telemetry"
+	"yarrowgrade.example/yarrowgrade/internal/telemetry"
+	"yarrowgrade.example/yarrowgrade/sessions/gang"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/membership"
+	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
 // okTarget answers everything.
--- a/agent/handler.go
+++ b/sessions/agent/handler.go
@@ -5,10 +5,10 @@
 
 	"github.com/julienschmidt/httprouter"
 
-	"yarrowgrade.example/yarrowgrade/gang"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
-	"yarrowgrade.example/yarrowgrade/membership"
-	"yarrowgrade.example/yarrowgrade/request"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/sessions/gang"
+	"yarrowgrade.example/yarrowgrade/sessions/membership"
+	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
 // Handler serves the agent's interface: requests from entries, beats from gang members, and its own state.
--- a/agent/poll.go
+++ b/sessions/agent/poll.go
@@ -6,8 +6,8 @@
 	"net/http"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
-	"yarrowgrade.example/yarrowgrade/membership"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
 // Settings of the poll.
--- a/entry/avoidance.go
+++ b/sessions/entry/avoidance.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
 )
 
 // Settings of an avoidance.
--- a/entry/callers.go
+++ b/sessions/entry/callers.go
@@ -7,10 +7,10 @@
 
 	"github.com/julienschmidt/httprouter"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
-	"yarrowgrade.example/yarrowgrade/policy"
-	"yarrowgrade.example/yarrowgrade/request"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/sessions/policy"
+	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
 // KeyRequest asks for a key.
--- a/entry/control.go
+++ b/sessions/entry/control.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/membership"
-	"yarrowgrade.example/yarrowgrade/policy"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/membership"
+	"yarrowgrade.example/yarrowgrade/sessions/policy"
 )
 
 // Settings of the control goroutine.
--- a/entry/entry.go
+++ b/sessions/entry/entry.go
@@ -27,12 +27,12 @@
 
 	"github.com/sourcegraph/conc"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/hosting"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/membership"
-	"yarrowgrade.example/yarrowgrade/policy"
-	"yarrowgrade.example/yarrowgrade/telemetry"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/internal/telemetry"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/membership"
+	"yarrowgrade.example/yarrowgrade/sessions/policy"
 )
 
 // Settings of an entry.
--- a/entry/explain.go
+++ b/sessions/entry/explain.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/placement"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
 // explain says in a few lines why a session is where it is.
--- a/entry/fuzz_test.go
+++ b/sessions/entry/fuzz_test.go
@@ -11,10 +11,10 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/hosting/standin"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/telemetry"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/internal/telemetry"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
 )
 
 // FuzzHandler sends any body to any route of a running entry. It must neither panic nor hang, and whatever it refuses it
--- a/entry/golden_test.go
+++ b/sessions/entry/golden_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/goldentest"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/membership"
-	"yarrowgrade.example/yarrowgrade/placement"
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/membership"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
 // The golden values have every exported field set.
--- a/entry/operators.go
+++ b/sessions/entry/operators.go
@@ -10,12 +10,12 @@
 	"github.com/julienschmidt/httprouter"
 	"github.com/sourcegraph/conc"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/membership"
-	"yarrowgrade.example/yarrowgrade/placement"
-	"yarrowgrade.example/yarrowgrade/policy"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/membership"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
+	"yarrowgrade.example/yarrowgrade/sessions/policy"
 )
 
 // SessionView is a session as operators see it.
--- a/entry/peers.go
+++ b/sessions/entry/peers.go
@@ -10,10 +10,10 @@
 
 	"github.com/sourcegraph/conc"
 
-	"yarrowgrade.example/yarrowgrade/hosting"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/membership"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
 // Settings of the peers.
--- a/entry/peers_test.go
+++ b/sessions/entry/peers_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/julienschmidt/httprouter"
 
-	"yarrowgrade.example/yarrowgrade/hosting"
-	"yarrowgrade.example/yarrowgrade/hosting/standin"
-	"yarrowgrade.example/yarrowgrade/telemetry"
+	"yarrowgrade.example/yarrowgrade/internal/telemetry"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
 )
 
 // silentBoxes is a platform whose list of boxes gives no answer.
--- a/entry/polls.go
+++ b/sessions/entry/polls.go
@@ -8,10 +8,10 @@
 
 	"github.com/julienschmidt/httprouter"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/membership"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
 // serveJoin records an agent's incarnation. The same incarnation may ask again when an answer was lost.
--- a/entry/polls_test.go
+++ b/sessions/entry/polls_test.go
@@ -6,11 +6,11 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/hosting"
-	"yarrowgrade.example/yarrowgrade/hosting/standin"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/membership"
-	"yarrowgrade.example/yarrowgrade/telemetry"
+	"yarrowgrade.example/yarrowgrade/internal/telemetry"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
 // TestStepBack cuts an entry off the log while its peer is not. The polls that it holds end at once with the peer's name,
--- a/entry/router.go
+++ b/sessions/entry/router.go
@@ -9,10 +9,10 @@
 
 	"github.com/google/uuid"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/request"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
 // Settings of the router.
--- a/entry/router_test.go
+++ b/sessions/entry/router_test.go
@@ -10,12 +10,12 @@
 	"sync"
 	"testing"
 
-	"yarrowgrade.example/yarrowgrade/hosting"
-	"yarrowgrade.example/yarrowgrade/hosting/standin"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/request"
-	"yarrowgrade.example/yarrowgrade/telemetry"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/internal/telemetry"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
 // agentFunc is a fake agent: it answers a hop, or says how the connection ends.
--- a/entry/routes.go
+++ b/sessions/entry/routes.go
@@ -6,8 +6,8 @@
 
 	"github.com/julienschmidt/httprouter"
 
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
-	"yarrowgrade.example/yarrowgrade/membership"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
 // Handler serves the entry's interfaces. This is the list of all its routes.
--- a/entry/wants.go
+++ b/sessions/entry/wants.go
@@ -5,9 +5,9 @@
 	"strings"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/placement"
-	"yarrowgrade.example/yarrowgrade/policy"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
+	"yarrowgrade.example/yarrowgrade/sessions/policy"
 )
 
 // want is a record that should be in the ledger.
--- a/gang/gang.go
+++ b/sessions/gang/gang.go
@@ -22,7 +22,7 @@
 import (
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/fault"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
 // Timing is the pace of a gang.
--- a/gang/gang_test.go
+++ b/sessions/gang/gang_test.go
@@ -9,8 +9,8 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/hosting"
-	"yarrowgrade.example/yarrowgrade/hosting/standin"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
 )
 
 const testToken = 7
--- a/gang/member.go
+++ b/sessions/gang/member.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/hosting"
-	"yarrowgrade.example/yarrowgrade/pause"
+	"yarrowgrade.example/yarrowgrade/internal/pause"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 )
 
 // Pauses between tries.
--- a/hosting/client.go
+++ b/sessions/hosting/client.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
 )
 
 // Client is a Platform that is reached over HTTP with JSON.
--- a/hosting/golden_test.go
+++ b/sessions/hosting/golden_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/goldentest"
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
 )
 
 func TestGoldenLog(t *testing.T) {
--- a/hosting/standin/handler.go
+++ b/sessions/hosting/standin/handler.go
@@ -10,8 +10,8 @@
 
 	"github.com/julienschmidt/httprouter"
 
-	"yarrowgrade.example/yarrowgrade/hosting"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 )
 
 // maxRecordBytes bounds one record of the log.
--- a/hosting/standin/standin.go
+++ b/sessions/hosting/standin/standin.go
@@ -19,7 +19,7 @@
 	"sync"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/hosting"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 )
 
 // Errors of the faults.
--- a/hosting/standin/workers.go
+++ b/sessions/hosting/standin/workers.go
@@ -6,7 +6,7 @@
 	"sort"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/hosting"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 )
 
 func (p *Platform) worker(name string) *worker {
--- a/ledger/bench_test.go
+++ b/sessions/ledger/bench_test.go
@@ -5,7 +5,7 @@
 	"runtime"
 	"testing"
 
-	"yarrowgrade.example/yarrowgrade/placement"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
 // designHistory is a state of the size to design for: 1,400 workers, 170 teams, 700 running and 50 waiting sessions, and
--- a/ledger/config.go
+++ b/sessions/ledger/config.go
@@ -5,9 +5,9 @@
 	"strings"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/placement"
-	"yarrowgrade.example/yarrowgrade/policy"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
+	"yarrowgrade.example/yarrowgrade/sessions/policy"
 )
 
 // Keys of the configuration. Teams and policies have one entry for each, "team/NAME" and "policy/NAME".
--- a/ledger/follower.go
+++ b/sessions/ledger/follower.go
@@ -5,8 +5,8 @@
 	"errors"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/hosting"
-	"yarrowgrade.example/yarrowgrade/pause"
+	"yarrowgrade.example/yarrowgrade/internal/pause"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 )
 
 // Settings of the follower.
--- a/ledger/golden_test.go
+++ b/sessions/ledger/golden_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/goldentest"
-	"yarrowgrade.example/yarrowgrade/placement"
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
 // The golden values have every exported field set.
--- a/ledger/placing.go
+++ b/sessions/ledger/placing.go
@@ -4,8 +4,8 @@
 	"strconv"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/placement"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
 func decimal(n int64) string { return strconv.FormatInt(n, 10) }
--- a/ledger/proposer.go
+++ b/sessions/ledger/proposer.go
@@ -7,8 +7,8 @@
 
 	"github.com/google/uuid"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/hosting"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 )
 
 // Settings of the proposer.
--- a/ledger/proposer_test.go
+++ b/sessions/ledger/proposer_test.go
@@ -8,9 +8,9 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/hosting"
-	"yarrowgrade.example/yarrowgrade/hosting/standin"
-	"yarrowgrade.example/yarrowgrade/placement"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
 // noPeers is a process that runs alone.
--- a/ledger/record.go
+++ b/sessions/ledger/record.go
@@ -22,8 +22,8 @@
 	"encoding/json"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/placement"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
 // Record is one proposal. Exactly one of the pointers is set.
--- a/ledger/replica.go
+++ b/sessions/ledger/replica.go
@@ -6,7 +6,7 @@
 	"slices"
 	"sync"
 
-	"yarrowgrade.example/yarrowgrade/hosting"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 )
 
 // Replica holds a process's newest state. One goroutine calls Apply and Replace; any may read.
--- a/ledger/session.go
+++ b/sessions/ledger/session.go
@@ -4,8 +4,8 @@
 	"regexp"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/placement"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
 // namePattern is what sessions, teams and policies may be called. Names stand in paths and logs.
--- a/ledger/snapshot.go
+++ b/sessions/ledger/snapshot.go
@@ -12,8 +12,8 @@
 
 	"github.com/benbjohnson/immutable"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/hosting"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 )
 
 // chunkBytes is the size of one record of a snapshot. The platform takes some hundred appends a second; a state of
--- a/ledger/state.go
+++ b/sessions/ledger/state.go
@@ -8,8 +8,8 @@
 
 	"github.com/benbjohnson/immutable"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/placement"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
 // seenLimit is how many ids the fold remembers. At the design size a day has about 750 jobs of some ten records, 450
--- a/ledger/state_test.go
+++ b/sessions/ledger/state_test.go
@@ -11,8 +11,8 @@
 
 	"pgregory.net/rapid"
 
-	"yarrowgrade.example/yarrowgrade/hosting"
-	"yarrowgrade.example/yarrowgrade/placement"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
 // history folds records one after the other, as a log would hold them.
--- a/ledger/worker.go
+++ b/sessions/ledger/worker.go
@@ -3,7 +3,7 @@
 import (
 	"net/url"
 
-	"yarrowgrade.example/yarrowgrade/fault"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
 // Bounds of a worker's description.
--- a/membership/golden_test.go
+++ b/sessions/membership/golden_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/gang"
-	"yarrowgrade.example/yarrowgrade/goldentest"
-	"yarrowgrade.example/yarrowgrade/ledger"
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
+	"yarrowgrade.example/yarrowgrade/sessions/gang"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
 )
 
 // The golden values have every exported field set.
--- a/membership/poll.go
+++ b/sessions/membership/poll.go
@@ -14,8 +14,8 @@
 	"encoding/json"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/gang"
-	"yarrowgrade.example/yarrowgrade/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/gang"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
 )
 
 // The pace of an open poll. An entry with nothing newer to tell holds it for PollWait, and sends a newline every
--- a/oracle/config_test.go
+++ b/sessions/oracle/config_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"yarrowgrade.example/yarrowgrade/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
 )
 
 // putEvent is one operator's attempt to change the limits, as the operator saw it.
--- a/oracle/load_test.go
+++ b/sessions/oracle/load_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/request"
+	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
 // Today's request path: 10 targets with 8 slots, 100 ms for each request, so 800 requests a second.
--- a/oracle/plan_test.go
+++ b/sessions/oracle/plan_test.go
@@ -10,11 +10,11 @@
 
 	"pgregory.net/rapid"
 
-	"yarrowgrade.example/yarrowgrade/hosting"
-	"yarrowgrade.example/yarrowgrade/hosting/standin"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/placement"
-	"yarrowgrade.example/yarrowgrade/request"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
+	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
 // step is one action of a plan, with its parameters drawn.
--- a/oracle/schemes_test.go
+++ b/sessions/oracle/schemes_test.go
@@ -7,9 +7,9 @@
 	"testing/synctest"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/hosting/standin"
-	"yarrowgrade.example/yarrowgrade/membership"
-	"yarrowgrade.example/yarrowgrade/request"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
+	"yarrowgrade.example/yarrowgrade/sessions/membership"
+	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
 // The payments of TestKeySchemes: 20 a second for 20 s, and something that happens 5 s after the first.
--- a/oracle/system_test.go
+++ b/sessions/oracle/system_test.go
@@ -20,17 +20,17 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/agent"
 	"yarrowgrade.example/yarrowgrade/client"
-	"yarrowgrade.example/yarrowgrade/entry"
-	"yarrowgrade.example/yarrowgrade/gang"
-	"yarrowgrade.example/yarrowgrade/hosting"
-	"yarrowgrade.example/yarrowgrade/hosting/standin"
-	"yarrowgrade.example/yarrowgrade/jsonhttp"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/placement"
-	"yarrowgrade.example/yarrowgrade/request"
-	"yarrowgrade.example/yarrowgrade/telemetry"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/internal/telemetry"
+	"yarrowgrade.example/yarrowgrade/sessions/agent"
+	"yarrowgrade.example/yarrowgrade/sessions/entry"
+	"yarrowgrade.example/yarrowgrade/sessions/gang"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
+	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
 // Shape of the system under test.
--- a/oracle/verdict_test.go
+++ b/sessions/oracle/verdict_test.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/hosting"
-	"yarrowgrade.example/yarrowgrade/hosting/standin"
-	"yarrowgrade.example/yarrowgrade/ledger"
-	"yarrowgrade.example/yarrowgrade/request"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
 // finish heals the system, waits until it is quiet, and checks what must hold at the end.
--- a/placement/experiment/main.go
+++ b/sessions/placement/experiment/main.go
@@ -24,8 +24,8 @@
 
 	"github.com/sourcegraph/conc/iter"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/placement"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
 // variant is a profile with a name.
--- a/placement/experiment/run.go
+++ b/sessions/placement/experiment/run.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/placement"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
 func pow(x, y float64) float64 { return math.Pow(x, y) }
--- a/placement/experiment/workload.go
+++ b/sessions/placement/experiment/workload.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/placement"
+	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
 // arrival is a session of the workload.
--- a/placement/main_test.go
+++ b/sessions/placement/main_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"yarrowgrade.example/yarrowgrade/oracle"
+	"yarrowgrade.example/yarrowgrade/sessions/oracle"
 )
 
 func TestMain(m *testing.M) { oracle.Main(m) }
--- a/placement/placement.go
+++ b/sessions/placement/placement.go
@@ -17,7 +17,7 @@
 import (
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/fault"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
 // Adjacency says how close the accelerators of a shape must be to each other.
--- a/policy/golden_test.go
+++ b/sessions/policy/golden_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"yarrowgrade.example/yarrowgrade/fault"
-	"yarrowgrade.example/yarrowgrade/goldentest"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
 )
 
 func TestGoldenPolicy(t *testing.T) {
--- a/policy/policy.go
+++ b/sessions/policy/policy.go
@@ -31,7 +31,7 @@
 	"github.com/expr-lang/expr/file"
 	"github.com/expr-lang/expr/vm"
 
-	"yarrowgrade.example/yarrowgrade/fault"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
 // Question is what a policy decides.
--- a/policy/policy_test.go
+++ b/sessions/policy/policy_test.go
@@ -7,13 +7,13 @@
 	"strings"
 	"testing"
 
-	"yarrowgrade.example/yarrowgrade/fault"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
 // load reads an example policy.
 func load(t testing.TB, path string) Policy {
 	t.Helper()
-	data, err := os.ReadFile(filepath.Join("..", "examples", path))
+	data, err := os.ReadFile(filepath.Join("..", "..", "examples", path))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/request/golden_test.go
+++ b/sessions/request/golden_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/goldentest"
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
 )
 
 // goldenKey is a key as an earlier version minted it.
--- a/request/key.go
+++ b/sessions/request/key.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/google/uuid"
 
-	"yarrowgrade.example/yarrowgrade/fault"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
 // keySeparator stands between the parts of a key. No part can hold it.
--- a/request/request.go
+++ b/sessions/request/request.go
@@ -19,7 +19,7 @@
 import (
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/fault"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
 // Outcome is the final word on a request.
--- a/request/target.go
+++ b/sessions/request/target.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/fault"
+	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
 // idleTimeout ends idle connections before the usual server does (5 s and up). A request that meets a connection which
