--- a/cmd/yarrowgraded/jobagent.go
+++ b/cmd/yarrowgraded/jobagent.go
@@ -13,8 +13,9 @@
 
 	"yarrowgrade.example/yarrowgrade/internal/suspend"
 	"yarrowgrade.example/yarrowgrade/internal/telemetry"
-	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/directory"
 	"yarrowgrade.example/yarrowgrade/jobs/runner"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 	"yarrowgrade.example/yarrowgrade/platform"
 )
 
@@ -77,10 +78,10 @@
 }
 
 // newJobAgent returns what an agent consists of: the way to the leader, the runner, and the handler of the worker's heartbeats.
-func newJobAgent(s *platform.Settings, t *telemetry.Telemetry) (*jobstore.Directory, *runner.Runner, http.Handler) {
+func newJobAgent(s *platform.Settings, t *telemetry.Telemetry) (*directory.Directory, *runner.Runner, http.Handler) {
 	client := newClient(t)
-	topic := jobstore.Metered(platform.NewStore(s, client).Topic(platform.DirectoryTopic), t.Metrics)
-	directory := jobstore.NewDirectory(topic, t.Log)
+	topic := topic.Metered(platform.NewStore(s, client).Topic(platform.DirectoryTopic), t.Metrics)
+	directory := directory.NewDirectory(topic, t.Log)
 	r := runner.New(
 		runner.Settings{Name: s.Node, Agent: uuid.NewString(), Service: s.Service, Zone: s.Zone, Lease: s.Hold(), Drift: workerDrift, Cordon: s.Cordon()},
 		runner.Parts{Worker: platform.NewWorker(s, client), Leader: runner.NewLeaderClient(directory, client), Logger: t.Log, Metrics: t.Metrics, Suspension: suspend.Machine()},
--- a/cmd/yarrowgraded/jobentry.go
+++ b/cmd/yarrowgraded/jobentry.go
@@ -20,9 +20,11 @@
 	"yarrowgrade.example/yarrowgrade/jobs/admission"
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/directory"
 	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/leader"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 	"yarrowgrade.example/yarrowgrade/platform"
 )
 
@@ -87,8 +89,8 @@
 	// address is where others of the system reach the entry.
 	address   string
 	telemetry *telemetry.Telemetry
-	announced jobstore.Log
-	directory *jobstore.Directory
+	announced topic.Log
+	directory *directory.Directory
 	replica   *jobstore.Replica
 	writer    *jobstore.Writer
 	catalog   *catalog.Follower
@@ -100,14 +102,14 @@
 func newJobEntry(s *platform.Settings, t *telemetry.Telemetry, address string, policy dispatch.Policy) *jobEntry {
 	client := newClient(t)
 	store := platform.NewStore(s, client)
-	topic := func(name string) jobstore.Log { return jobstore.Metered(store.Topic(name), t.Metrics) }
-	e := &jobEntry{settings: s, address: address, telemetry: t, announced: topic(platform.DirectoryTopic), leaving: make(chan struct{})}
-	e.directory = jobstore.NewDirectory(e.announced, t.Log)
-	jobs := topic(platform.JobsTopic)
+	metered := func(name string) topic.Log { return topic.Metered(store.Topic(name), t.Metrics) }
+	e := &jobEntry{settings: s, address: address, telemetry: t, announced: metered(platform.DirectoryTopic), leaving: make(chan struct{})}
+	e.directory = directory.NewDirectory(e.announced, t.Log)
+	jobs := metered(platform.JobsTopic)
 	suspension := suspend.Machine()
 	inLine := func() bool { return e.directory.InLine(s.Node) }
 	e.replica = jobstore.NewReplica(jobs, e.directory.Size, t.Log).WithSuspension(suspension).WithLine(inLine)
-	e.catalog = catalog.NewFollower(jobstore.NewRelay(topic(platform.OperatorTopic), catalog.NewsPath, client, e.sources, t.Log), platform.OperatorFormat(s.ZoneNames()), t.Log).WithSuspension(suspension).
+	e.catalog = catalog.NewFollower(topic.NewRelay(metered(platform.OperatorTopic), catalog.NewsPath, client, e.sources, t.Log), platform.OperatorFormat(s.ZoneNames()), t.Log).WithSuspension(suspension).
 		WithReaders(e.directory.Size, e.replica.Leads)
 	// Reads are frequent: they know that the log is slow before the first append does.
 	latency := e.replica.Latency()
--- a/jobs/admission/admission.go
+++ b/jobs/admission/admission.go
@@ -23,6 +23,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // Answers that are no success. All others of Submit and Cancel mean that it is not known what became of the call.
@@ -195,7 +196,7 @@
 }
 
 // keep keeps a record, or says whether nothing was done.
-func (s *Service) keep(ctx context.Context, record jobstore.Record) error {
+func (s *Service) keep(ctx context.Context, record topic.Record) error {
 	ctx, cancel := context.WithTimeout(ctx, keepTimeout)
 	defer cancel()
 	began := time.Now()
@@ -204,7 +205,7 @@
 	case err == nil:
 		s.metrics.keepTime.RecordDuration(time.Since(began))
 		return nil
-	case jobstore.NotDone(err):
+	case topic.NotDone(err):
 		return s.notReady("the log does not take it", err)
 	}
 	return errors.Join(ErrUncertain, err)
--- a/jobs/admission/admission_test.go
+++ b/jobs/admission/admission_test.go
@@ -17,6 +17,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // service is an admission service whose configuration has one open queue, beside a log that a test gives faults to.
@@ -56,7 +57,7 @@
 				log, config := jobtest.NewLog(1), jobtest.NewLog(2)
 				var lines strings.Builder
 				s := service(ctx, log, config, zerolog.New(zerolog.SyncWriter(&lines)))
-				if _, err := config.Client("o").Append(ctx, []jobstore.Record{{Key: "config", Value: []byte("1")}}, jobstore.Condition{}); err != nil {
+				if _, err := config.Client("o").Append(ctx, []topic.Record{{Key: "config", Value: []byte("1")}}, topic.Condition{}); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(time.Second)
--- a/jobs/admission/operators_test.go
+++ b/jobs/admission/operators_test.go
@@ -16,13 +16,14 @@
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 	"yarrowgrade.example/yarrowgrade/jobs/life"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // cordonedCatalog follows a configuration and the cordon of zone-1.
 func cordonedCatalog(t *testing.T) *catalog.Follower {
 	log := jobtest.NewLog(1)
-	records := []jobstore.Record{{Key: "config", Value: []byte("1")}, {Key: "zone-1", Value: []byte("{}")}}
-	if _, err := log.Client("o").Append(t.Context(), records, jobstore.Condition{}); err != nil {
+	records := []topic.Record{{Key: "config", Value: []byte("1")}, {Key: "zone-1", Value: []byte("{}")}}
+	if _, err := log.Client("o").Append(t.Context(), records, topic.Condition{}); err != nil {
 		t.Fatal(err)
 	}
 	f := catalog.NewFollower(log.Client("e"), catalog.Format{
@@ -51,7 +52,7 @@
 		t.Fatal(err)
 	}
 	replica := jobstore.NewReplica(jobtest.NewLog(1).Client("e"), func() int { return 1 }, zerolog.Nop())
-	replica.Note([]jobstore.Record{submission, progress}, 0)
+	replica.Note([]topic.Record{submission, progress}, 0)
 	router := httprouter.New()
 	admission.NewOperators(replica, cordonedCatalog(t)).Register(router)
 	tests := []struct {
--- a/jobs/catalog/catalog_test.go
+++ b/jobs/catalog/catalog_test.go
@@ -15,8 +15,8 @@
 	"github.com/rs/zerolog"
 
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
-	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 func decode(data []byte) (*catalog.Catalog, error) {
@@ -77,7 +77,7 @@
 			value string
 			want  int64
 		}{{"3", 3}, {"8", 8}, {"5", 8}, {"broken", 8}, {"9", 9}} {
-			if _, err := log.Client("o").Append(ctx, []jobstore.Record{{Key: "config", Value: []byte(step.value)}, {Key: "other", Value: []byte("99")}}, jobstore.Condition{}); err != nil {
+			if _, err := log.Client("o").Append(ctx, []topic.Record{{Key: "config", Value: []byte(step.value)}, {Key: "other", Value: []byte("99")}}, topic.Condition{}); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -208,11 +208,11 @@
 // put writes a record; an empty value drops its key.
 func put(ctx context.Context, t *testing.T, log *jobtest.Log, key, value string) {
 	t.Helper()
-	r := jobstore.Record{Key: key}
+	r := topic.Record{Key: key}
 	if value != "" {
 		r.Value = []byte(value)
 	}
-	if _, err := log.Client("o").Append(ctx, []jobstore.Record{r}, jobstore.Condition{}); err != nil {
+	if _, err := log.Client("o").Append(ctx, []topic.Record{r}, topic.Condition{}); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/jobs/catalog/follower.go
+++ b/jobs/catalog/follower.go
@@ -9,7 +9,7 @@
 	"github.com/rs/zerolog"
 
 	"yarrowgrade.example/yarrowgrade/internal/suspend"
-	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // How long a read waits for news. It does not delay them; it bounds the age of the proof, which is up to twice as old, and so how soon after the beginning of
@@ -26,8 +26,8 @@
 
 // Follower keeps what operators have in force: the newest catalog, and the cordoned availability zones.
 type Follower struct {
-	tail   *jobstore.Tail
-	source *jobstore.Source
+	tail   *topic.Tail
+	source *topic.Source
 	format Format
 	logger zerolog.Logger
 
@@ -40,13 +40,13 @@
 }
 
 // NewFollower returns a follower of operators' records.
-func NewFollower(log jobstore.Log, format Format, logger zerolog.Logger) *Follower {
-	return &Follower{tail: jobstore.NewTail(log, "configuration", leastWait, logger), source: jobstore.NewSource(nil), format: format, logger: logger, changed: make(chan struct{})}
+func NewFollower(log topic.Log, format Format, logger zerolog.Logger) *Follower {
+	return &Follower{tail: topic.NewTail(log, "configuration", leastWait, logger), source: topic.NewSource(nil), format: format, logger: logger, changed: make(chan struct{})}
 }
 
 // WithSuspension sets the clock that counts for how long the machine was suspended: proofs age by that too.
 func (f *Follower) WithSuspension(clock suspend.Clock) *Follower {
-	f.clock, f.source = clock, jobstore.NewSource(clock)
+	f.clock, f.source = clock, topic.NewSource(clock)
 	f.tail.WithSuspension(clock)
 	return f
 }
@@ -66,18 +66,18 @@
 const NewsPath = "/internal/operators/news"
 
 // Source hands on what is read of operators' records.
-func (f *Follower) Source() *jobstore.Source { return f.source }
+func (f *Follower) Source() *topic.Source { return f.source }
 
 // Run follows the records until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	f.tail.Run(ctx, func(n jobstore.News) {
+	f.tail.Run(ctx, func(n topic.News) {
 		f.take(n)
 		f.source.Take(n)
 	})
 }
 
 // take puts in force what the records say.
-func (f *Follower) take(n jobstore.News) {
+func (f *Follower) take(n topic.News) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before, cordons := f.cordons, f.cordons
@@ -102,7 +102,7 @@
 
 // stillThere returns the cordons of which there is a record among the newest of all keys: the others were taken away while
 // this process read nothing.
-func (f *Follower) stillThere(newest []jobstore.Stored) Cordons {
+func (f *Follower) stillThere(newest []topic.Stored) Cordons {
 	kept := Cordons{}
 	for _, r := range newest {
 		if zone, ok := f.format.zoneOf(r.Key); ok && f.cordons.Has(zone) {
@@ -113,7 +113,7 @@
 }
 
 // takeConfig puts a newer configuration in force. The lock must be held.
-func (f *Follower) takeConfig(r jobstore.Stored) {
+func (f *Follower) takeConfig(r topic.Stored) {
 	c, err := f.format.Config(r.Value)
 	if err != nil {
 		f.logger.Error().Str("step", "catalog.decode").Err(err).Int64("offset", r.Offset).Msg("configuration is unreadable")
@@ -129,7 +129,7 @@
 
 // takeCordon returns the cordons as a record leaves them. An unreadable one changes nothing; but where it is the only one that is left
 // of its key, the zone counts as cordoned: nothing says that it was ever open.
-func (f *Follower) takeCordon(cordons Cordons, zone string, r jobstore.Stored, only bool) Cordons {
+func (f *Follower) takeCordon(cordons Cordons, zone string, r topic.Stored, only bool) Cordons {
 	if r.Value == nil {
 		return cordons.Without(zone)
 	}
--- a/jobs/catalog/golden_test.go
+++ b/jobs/catalog/golden_test.go
@@ -15,8 +15,8 @@
 
 	"yarrowgrade.example/yarrowgrade/internal/goldentest"
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
-	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 	"yarrowgrade.example/yarrowgrade/platform"
 )
 
@@ -80,8 +80,8 @@
 }
 
 // goldenRecords are records of operators as they stand in their topic.
-func goldenRecords() []jobstore.Record {
-	return []jobstore.Record{
+func goldenRecords() []topic.Record {
+	return []topic.Record{
 		{Key: platform.ConfigKey, Value: []byte(goldenConfig)},
 		{Key: platform.CordonKey("zone-1"), Value: []byte(`{"reason":"power"}`)},
 		{Key: platform.CordonKey("zone-2"), Value: []byte("{}")},
@@ -103,7 +103,7 @@
 		time.Sleep(time.Second)
 		for _, r := range goldenRecords() {
 			records.WriteString(r.Key + " " + string(r.Value) + "\n")
-			if _, err := log.Client("o").Append(ctx, []jobstore.Record{r}, jobstore.Condition{}); err != nil {
+			if _, err := log.Client("o").Append(ctx, []topic.Record{r}, topic.Condition{}); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -129,8 +129,8 @@
 
 // TestGoldenNews holds the message with which records are handed on.
 func TestGoldenNews(t *testing.T) {
-	goldentest.JSON(t, "relayed", jobstore.Relayed{
-		Records: []jobstore.Stored{{Record: jobstore.Record{Key: "config", Value: []byte("41")}, Offset: 5}},
+	goldentest.JSON(t, "relayed", topic.Relayed{
+		Records: []topic.Stored{{Record: topic.Record{Key: "config", Value: []byte("41")}, Offset: 5}},
 		End:     6, AgeMillis: 120, HeldMillis: 30,
 	})
 }
--- a/jobs/catalog/readers_test.go
+++ b/jobs/catalog/readers_test.go
@@ -10,8 +10,8 @@
 	"github.com/rs/zerolog"
 
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
-	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // TestReadersOfOperatorsRecords: each of 183 entries read the operators' records twice a second, a fourth of all calls to the store, though next to nothing comes
@@ -38,8 +38,8 @@
 				defer func() { cancel(); time.Sleep(10 * time.Second) }()
 				log := jobtest.NewLog(1)
 				put := func(version int) {
-					record := jobstore.Record{Key: "config", Value: fmt.Append(nil, version)}
-					if _, err := log.Client("operator").Append(ctx, []jobstore.Record{record}, jobstore.Condition{}); err != nil {
+					record := topic.Record{Key: "config", Value: fmt.Append(nil, version)}
+					if _, err := log.Client("operator").Append(ctx, []topic.Record{record}, topic.Condition{}); err != nil {
 						t.Fatal(err)
 					}
 				}
--- a/jobs/catalog/relay_test.go
+++ b/jobs/catalog/relay_test.go
@@ -11,8 +11,8 @@
 	"github.com/rs/zerolog"
 
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
-	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
 )
 
@@ -36,7 +36,7 @@
 		r.put(t, 1)
 		r.reads = &jobtest.CountedLog{Log: r.log.Client("told")}
 		format := catalog.Format{ConfigKey: "config", Config: decode}
-		follow := func(log jobstore.Log) *catalog.Follower {
+		follow := func(log topic.Log) *catalog.Follower {
 			fo := catalog.NewFollower(log, format, zerolog.Nop()).WithReaders(func() int { return n }, func() bool { return false })
 			go fo.Run(ctx)
 			return fo
@@ -50,7 +50,7 @@
 		}
 		for i := range n {
 			client := r.network.Client(fmt.Sprintf("http://told-%d", i))
-			r.told = append(r.told, follow(jobstore.NewRelay(r.reads, catalog.NewsPath, client, func() []string { return r.sources }, zerolog.Nop())))
+			r.told = append(r.told, follow(topic.NewRelay(r.reads, catalog.NewsPath, client, func() []string { return r.sources }, zerolog.Nop())))
 		}
 		time.Sleep(3 * time.Second)
 		f(t, r)
@@ -59,8 +59,8 @@
 
 func (r *relays) put(t *testing.T, version int) {
 	t.Helper()
-	record := jobstore.Record{Key: "config", Value: fmt.Append(nil, version)}
-	if _, err := r.log.Client("operator").Append(r.ctx, []jobstore.Record{record}, jobstore.Condition{}); err != nil {
+	record := topic.Record{Key: "config", Value: fmt.Append(nil, version)}
+	if _, err := r.log.Client("operator").Append(r.ctx, []topic.Record{record}, topic.Condition{}); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/jobs/jobstore/announce.go
+++ b/jobs/directory/announce.go
@@ -1,4 +1,4 @@
-package jobstore
+package directory
 
 import (
 	"context"
@@ -7,6 +7,7 @@
 	"time"
 
 	"yarrowgrade.example/yarrowgrade/internal/pause"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // misses reports whether an entry is not listed, though the directory has been read.
@@ -18,7 +19,7 @@
 
 // KeepAnnounced says where an entry is reached and how much processor time it has, as AnnounceEntry does, and again when that is no longer listed: the leader
 // takes entries off that it does not reach, and this one may only have been cut off.
-func (d *Directory) KeepAnnounced(ctx context.Context, log Log, name, address string, cores float64) {
+func (d *Directory) KeepAnnounced(ctx context.Context, log topic.Log, name, address string, cores float64) {
 	for ctx.Err() == nil {
 		AnnounceEntry(ctx, log, name, address, cores)
 		// What was read before the announcement says nothing.
@@ -36,45 +37,48 @@
 const announceAgain = 5 * time.Second
 
 // RemoveEntries takes entries off the directory.
-func RemoveEntries(ctx context.Context, log Log, names []string) error {
-	var records []Record
+func RemoveEntries(ctx context.Context, log topic.Log, names []string) error {
+	var records []topic.Record
 	for _, name := range names {
-		records = append(records, Record{Key: entryPrefix + name}, Record{Key: processorPrefix + name})
+		records = append(records, topic.Record{Key: entryPrefix + name}, topic.Record{Key: processorPrefix + name})
 	}
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	_, err := log.Append(ctx, records, Condition{})
+	_, err := log.Append(ctx, records, topic.Condition{})
 	return err
 }
 
 // AnnounceEntry says where an entry is reached and how much processor time it has, in cores, and tries until that is kept. Zero cores
 // are not told.
-func AnnounceEntry(ctx context.Context, log Log, name, address string, cores float64) {
-	records := []Record{{Key: entryPrefix + name, Value: []byte(address)}}
+func AnnounceEntry(ctx context.Context, log topic.Log, name, address string, cores float64) {
+	records := []topic.Record{{Key: entryPrefix + name, Value: []byte(address)}}
 	if cores > 0 {
-		records = append(records, Record{Key: processorPrefix + name, Value: strconv.AppendFloat(nil, cores, 'g', -1, 64)})
+		records = append(records, topic.Record{Key: processorPrefix + name, Value: strconv.AppendFloat(nil, cores, 'g', -1, 64)})
 	}
-	announce(ctx, log, records, Condition{})
+	announce(ctx, log, records, topic.Condition{})
 }
 
 // AnnounceLeader says who is the leader, and tries until that is kept or a later term has been announced.
-func AnnounceLeader(ctx context.Context, log Log, o Leader) {
+func AnnounceLeader(ctx context.Context, log topic.Log, o Leader) {
 	record, err := LeaderRecord(o)
 	if err == nil {
-		announce(ctx, log, []Record{record}, Condition{Producer: TermOf(o.Term, 0)})
+		announce(ctx, log, []topic.Record{record}, topic.Condition{Producer: TermOf(o.Term, 0)})
 	}
 }
 
-func announce(ctx context.Context, log Log, records []Record, c Condition) {
+func announce(ctx context.Context, log topic.Log, records []topic.Record, c topic.Condition) {
 	for ctx.Err() == nil {
 		attempt, cancel := context.WithTimeout(ctx, announceTimeout)
 		_, err := log.Append(attempt, records, c)
 		cancel()
-		if err == nil || errors.Is(err, ErrFenced) {
+		if err == nil || errors.Is(err, topic.ErrFenced) {
 			return
 		}
 		pause.For(ctx, retryPause)
 	}
 }
 
+// retryPause is the pause after a failed announcement.
+const retryPause = 80 * time.Millisecond
+
 const announceTimeout = time.Second
--- a/jobs/jobstore/directory.go
+++ b/jobs/directory/directory.go
@@ -1,4 +1,11 @@
-package jobstore
+// Package directory follows the small topic that says which entries there are and who is the leader.
+//
+// # Usage
+//
+//	d := directory.NewDirectory(log, logger)
+//	go d.Run(ctx)
+//	address := d.Leader().Address
+package directory
 
 import (
 	"context"
@@ -11,6 +18,8 @@
 	"unicode"
 
 	"github.com/rs/zerolog"
+
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // Prefixes of the keys under which entries say where they are reached, and how much processor time they have, in cores. Readers of an
@@ -40,7 +49,7 @@
 // Directory follows the small topic that says which entries there are and who is the leader. Agents read it instead of
 // the jobs.
 type Directory struct {
-	tail   *Tail
+	tail   *topic.Tail
 	logger zerolog.Logger
 
 	mu      sync.Mutex
@@ -56,8 +65,8 @@
 }
 
 // NewDirectory returns a directory that knows nothing yet.
-func NewDirectory(log Log, logger zerolog.Logger) *Directory {
-	tail := NewTail(log, "directory", directoryWait, logger).WithGap(func() time.Duration { return directoryGap }).
+func NewDirectory(log topic.Log, logger zerolog.Logger) *Directory {
+	tail := topic.NewTail(log, "directory", directoryWait, logger).WithGap(func() time.Duration { return directoryGap }).
 		WithReaders(func() int { return directoryReaders })
 	return &Directory{tail: tail, logger: logger, entries: map[string]string{}, processors: map[string]float64{}, changed: make(chan struct{})}
 }
@@ -65,7 +74,7 @@
 // Run follows the topic until ctx ends.
 func (d *Directory) Run(ctx context.Context) { d.tail.Run(ctx, d.take) }
 
-func (d *Directory) take(n News) {
+func (d *Directory) take(n topic.News) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, r := range n.Records {
@@ -77,7 +86,7 @@
 			d.takeProcessor(name, r.Value)
 			continue
 		}
-		if o, err := decodeLeader(r.Value); r.Key == leaderKey && err == nil && o.Term >= d.leader.Term {
+		if o, err := DecodeLeader(r.Value); r.Key == LeaderKey && err == nil && o.Term >= d.leader.Term {
 			d.leader = o
 		}
 	}
--- /dev/null
+++ b/jobs/directory/golden_test.go
@@ -0,0 +1,110 @@
+package directory_test
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"reflect"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
+	"yarrowgrade.example/yarrowgrade/jobs/directory"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
+)
+
+// lines writes records one a line, as text.
+func lines(records []topic.Record) []byte {
+	var out bytes.Buffer
+	for _, r := range records {
+		value := "dropped"
+		if r.Value != nil {
+			value = strconv.Quote(string(r.Value))
+		}
+		fmt.Fprintf(&out, "%s %s\n", r.Key, value)
+	}
+	return out.Bytes()
+}
+
+// readLines is the reverse of lines.
+func readLines(t *testing.T, name string) []topic.Record {
+	t.Helper()
+	var records []topic.Record
+	for line := range strings.Lines(string(goldentest.Read(t, name))) {
+		key, value, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
+		record := topic.Record{Key: key}
+		if value != "dropped" {
+			text, err := strconv.Unquote(value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			record.Value = []byte(text)
+		}
+		records = append(records, record)
+	}
+	return records
+}
+
+// stored reads all records of a log.
+func stored(t *testing.T, log *jobtest.Log) []topic.Record {
+	t.Helper()
+	batch, err := log.Client("reader").Read(t.Context(), topic.Query{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	var records []topic.Record
+	for _, s := range batch.Records {
+		records = append(records, s.Record)
+	}
+	return records
+}
+
+// TestGoldenDirectoryTopic: the announcements, and what a directory makes of them. Earlier versions announce no processor time.
+func TestGoldenDirectoryTopic(t *testing.T) {
+	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
+		client := log.Client("entry")
+		directory.AnnounceEntry(ctx, client, "entry-1", "10.1.0.19:7000", 0.4)
+		directory.AnnounceEntry(ctx, client, "entry-2", "10.1.0.20:7000", 2)
+		directory.AnnounceEntry(ctx, client, "entry-3", "10.1.0.21:7000", 0)
+		directory.AnnounceEntry(ctx, client, "entry-4", "10.1.0.22:7000", 1)
+		if err := directory.RemoveEntries(ctx, client, []string{"entry-4"}); err != nil {
+			t.Error(err)
+		}
+		directory.AnnounceLeader(ctx, client, directory.Leader{Term: 7, Name: "entry-1", Address: "10.1.0.19:7000"})
+		goldentest.Bytes(t, "directory-topic", lines(stored(t, log)))
+	})
+	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
+		if _, err := log.Client("writer").Append(ctx, readLines(t, "directory-topic"), topic.Condition{}); err != nil {
+			t.Fatal(err)
+		}
+		d := directory.NewDirectory(log.Client("entry"), zerolog.Nop())
+		go d.Run(ctx)
+		time.Sleep(time.Second)
+		want := map[string]string{"entry-1": "10.1.0.19:7000", "entry-2": "10.1.0.20:7000", "entry-3": "10.1.0.21:7000"}
+		if got := d.Listed(); !reflect.DeepEqual(got, want) {
+			t.Errorf("the entries are %v, want %v", got, want)
+		}
+		if got := d.Larger(0.4); !reflect.DeepEqual(got, []string{"10.1.0.20:7000"}) {
+			t.Errorf("larger are %v", got)
+		}
+		if got := d.Leader(); got != (directory.Leader{Term: 7, Name: "entry-1", Address: "10.1.0.19:7000"}) {
+			t.Errorf("the leader is %+v", got)
+		}
+	})
+}
+
+// TestGoldenProducer: the name under which a leader writes fences those of earlier versions too.
+func TestGoldenProducer(t *testing.T) {
+	p := directory.TermOf(7, 3)
+	goldentest.Bytes(t, "producer", fmt.Appendf(nil, "%s %d %d\n", p.Name, p.Epoch, p.Sequence))
+}
+
+// TestGoldenLeader: the record that says who leads.
+func TestGoldenLeader(t *testing.T) {
+	goldentest.JSON(t, "leader", directory.Leader{Term: 7, Name: "entry-1", Address: "10.1.0.19:7000"})
+}
--- a/jobs/jobstore/line.go
+++ b/jobs/directory/line.go
@@ -1,9 +1,8 @@
-package jobstore
+package directory
 
 import (
 	"cmp"
 	"maps"
-	"math/rand/v2"
 	"slices"
 
 	"github.com/cespare/xxhash/v2"
@@ -60,12 +59,3 @@
 	defer d.mu.Unlock()
 	return d.addressesOf(slices.Sorted(maps.Keys(d.line)))
 }
-
-// Draw returns n of the addresses, others each time, or all of them if there are no more. Whoever asks entries for something that any of them can
-// say asks a few: when each of 800 agents that had lost their leader asked each of 183 entries, the middle entry held 808 descriptors and 27 MB, and 19 and 8 MB
-// since each asks three (one day each).
-func Draw(addresses []string, n int) []string {
-	drawn := slices.Clone(addresses)
-	rand.Shuffle(len(drawn), func(i, j int) { drawn[i], drawn[j] = drawn[j], drawn[i] })
-	return drawn[:min(n, len(drawn))]
-}
--- a/jobs/jobstore/line_test.go
+++ b/jobs/directory/line_test.go
@@ -1,4 +1,4 @@
-package jobstore_test
+package directory_test
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"github.com/rs/zerolog"
 
-	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/directory"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
@@ -30,13 +30,13 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
-				d := jobstore.NewDirectory(log.Client("e"), zerolog.Nop())
+				d := directory.NewDirectory(log.Client("e"), zerolog.Nop())
 				name := func(i int) string { return fmt.Sprintf("front-zone-%d-%d", i%4, i) }
 				if d.InLine(name(0)) {
 					t.Error("an entry is in line before anything was read")
 				}
 				for i := range test.entries {
-					jobstore.AnnounceEntry(ctx, log.Client("e"), name(i), fmt.Sprintf("10.0.0.%d:7000", i), test.cores(i))
+					directory.AnnounceEntry(ctx, log.Client("e"), name(i), fmt.Sprintf("10.0.0.%d:7000", i), test.cores(i))
 				}
 				go d.Run(ctx)
 				time.Sleep(time.Second)
--- a/jobs/dispatch/controller.go
+++ b/jobs/dispatch/controller.go
@@ -26,6 +26,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/life"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // Settings of a controller.
@@ -198,8 +199,8 @@
 }
 
 // Changes returns the records of what has changed, and drops jobs that ended long ago.
-func (c *Controller) Changes(now time.Time) ([]jobstore.Record, error) {
-	var records []jobstore.Record
+func (c *Controller) Changes(now time.Time) ([]topic.Record, error) {
+	var records []topic.Record
 	for id, t := range c.active {
 		ended := t.progress.Phase.Final()
 		if ended && t.progress.EndedAt.IsZero() {
@@ -228,8 +229,8 @@
 const forgetEvery = time.Second
 
 // forget drops jobs that ended long ago, and returns the records that drop what is stored of them.
-func (c *Controller) forget(now time.Time) []jobstore.Record {
-	var records []jobstore.Record
+func (c *Controller) forget(now time.Time) []topic.Record {
+	var records []topic.Record
 	for id, t := range c.jobs {
 		if c.active[id] == nil && now.Sub(t.progress.EndedAt) > c.settings.Forget {
 			records = append(records, jobstore.ForgetRecords(id)...)
--- a/jobs/dispatch/controller_test.go
+++ b/jobs/dispatch/controller_test.go
@@ -8,6 +8,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/life"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // reported is a poll of the worker on which the only task of a job is placed.
@@ -101,7 +102,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	view := jobstore.View{ID: held.ID, Submission: submission, Progress: jobstore.Garbled}
+	view := jobstore.View{ID: held.ID, Submission: submission, Progress: topic.Garbled}
 	b.control.Take(view)
 	b.plan(0)
 	if b.control.jobs[held.ID] != nil || len(b.at(other)) != 1 {
--- a/jobs/dispatch/cordon_test.go
+++ b/jobs/dispatch/cordon_test.go
@@ -10,8 +10,8 @@
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
-	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // cordonable gives the fixture operators' records that a test can change; each rack is a zone of its name.
@@ -29,7 +29,7 @@
 	b.control.catalog = follower
 	put := func(key string, value []byte) {
 		changed := follower.Changed()
-		if _, err := log.Client("o").Append(b.t.Context(), []jobstore.Record{{Key: key, Value: value}}, jobstore.Condition{}); err != nil {
+		if _, err := log.Client("o").Append(b.t.Context(), []topic.Record{{Key: key, Value: value}}, topic.Condition{}); err != nil {
 			b.t.Fatal(err)
 		}
 		<-changed
--- a/jobs/dispatch/fixture_test.go
+++ b/jobs/dispatch/fixture_test.go
@@ -13,9 +13,9 @@
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
-	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 	"yarrowgrade.example/yarrowgrade/jobs/life"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 const service = "roster"
@@ -36,7 +36,7 @@
 	}}, zerolog.Nop())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if _, err := log.Client("o").Append(ctx, []jobstore.Record{{Key: "config", Value: []byte("1")}}, jobstore.Condition{}); err != nil {
+	if _, err := log.Client("o").Append(ctx, []topic.Record{{Key: "config", Value: []byte("1")}}, topic.Condition{}); err != nil {
 		t.Fatal(err)
 	}
 	go follower.Run(ctx)
--- a/jobs/jobstore/chase_test.go
+++ b/jobs/jobstore/chase_test.go
@@ -11,6 +11,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // busyLog takes a while to bring records, and none to say that there is nothing.
@@ -19,7 +20,7 @@
 	takes time.Duration
 }
 
-func (l *busyLog) Read(ctx context.Context, q jobstore.Query) (jobstore.Batch, error) {
+func (l *busyLog) Read(ctx context.Context, q topic.Query) (topic.Batch, error) {
 	batch, err := l.CountedLog.Read(ctx, q)
 	if !q.Brief && len(batch.Records) > 0 {
 		time.Sleep(l.takes)
--- a/jobs/jobstore/golden_test.go
+++ b/jobs/jobstore/golden_test.go
@@ -20,11 +20,12 @@
 
 	"yarrowgrade.example/yarrowgrade/internal/goldentest"
 	"yarrowgrade.example/yarrowgrade/internal/hedge"
-	"yarrowgrade.example/yarrowgrade/internal/suspend"
+	"yarrowgrade.example/yarrowgrade/jobs/directory"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 	"yarrowgrade.example/yarrowgrade/jobs/life"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
 )
 
@@ -128,16 +129,8 @@
 	goldentest.JSON(t, "submission.value", *goldenJob())
 }
 
-// TestGoldenJSON: the forms that are plain JSON.
-func TestGoldenJSON(t *testing.T) {
-	stored := jobstore.Stored{Record: jobstore.Record{Key: "c/0000000000000001", Value: []byte("1")}, Offset: 41}
-	goldentest.JSON(t, "leader", jobstore.Leader{Term: 7, Name: "entry-1", Address: "10.1.0.19:7000"})
-	goldentest.JSON(t, "record", stored.Record)
-	goldentest.JSON(t, "relayed", jobstore.Relayed{Records: []jobstore.Stored{stored}, End: 42, AgeMillis: 12, HeldMillis: 3})
-}
-
 // lines writes records one a line, as text.
-func lines(records []jobstore.Record) []byte {
+func lines(records []topic.Record) []byte {
 	var out bytes.Buffer
 	for _, r := range records {
 		value := "dropped"
@@ -150,12 +143,12 @@
 }
 
 // readLines is the reverse of lines.
-func readLines(t *testing.T, name string) []jobstore.Record {
+func readLines(t *testing.T, name string) []topic.Record {
 	t.Helper()
-	var records []jobstore.Record
+	var records []topic.Record
 	for line := range strings.Lines(string(goldentest.Read(t, name))) {
 		key, value, _ := strings.Cut(strings.TrimSuffix(line, "\n"), " ")
-		record := jobstore.Record{Key: key}
+		record := topic.Record{Key: key}
 		if value != "dropped" {
 			text, err := strconv.Unquote(value)
 			if err != nil {
@@ -168,8 +161,8 @@
 	return records
 }
 
-func made(t *testing.T) func(r jobstore.Record, err error) jobstore.Record {
-	return func(r jobstore.Record, err error) jobstore.Record {
+func made(t *testing.T) func(r topic.Record, err error) topic.Record {
+	return func(r topic.Record, err error) topic.Record {
 		t.Helper()
 		if err != nil {
 			t.Fatal(err)
@@ -186,28 +179,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	records := []jobstore.Record{
+	records := []topic.Record{
 		must(jobstore.SubmissionRecord(goldenJob())),
 		must(jobstore.ProgressRecord(one, full)),
 		must(jobstore.SubmissionRecord(&job.Job{ID: two})),
 		must(jobstore.ProgressRecord(two, job.NewProgress())),
 		jobstore.CancelRecord(two),
-		must(jobstore.LeaderRecord(jobstore.Leader{Term: 7, Name: "entry-1", Address: "10.1.0.19:7000"})),
+		must(directory.LeaderRecord(directory.Leader{Term: 7, Name: "entry-1", Address: "10.1.0.19:7000"})),
 		must(jobstore.SubmissionRecord(&job.Job{ID: three})),
 		jobstore.CancelRecord(three),
 	}
 	records = append(records, jobstore.ForgetRecords(three)...)
-	records = append(records, must(jobstore.LeaderRecord(jobstore.Leader{Term: 8})))
+	records = append(records, must(directory.LeaderRecord(directory.Leader{Term: 8})))
 	goldentest.Bytes(t, "jobs-topic", lines(records))
 
 	stored := readLines(t, "jobs-topic")
 	r := jobstore.NewReplica(jobtest.NewLog(1).Client("entry"), alone, zerolog.Nop())
 	r.Note(stored[:6], 0)
-	if leader, _, _ := r.Leader(); leader != (jobstore.Leader{Term: 7, Name: "entry-1", Address: "10.1.0.19:7000"}) {
+	if leader, _, _ := r.Leader(); leader != (directory.Leader{Term: 7, Name: "entry-1", Address: "10.1.0.19:7000"}) {
 		t.Errorf("the leader is %+v", leader)
 	}
 	r.Note(stored[6:], 6)
-	if leader, _, _ := r.Leader(); leader != (jobstore.Leader{Term: 8}) {
+	if leader, _, _ := r.Leader(); leader != (directory.Leader{Term: 8}) {
 		t.Errorf("the leader is %+v, want nobody in term 8", leader)
 	}
 	if got := r.IDs(); !reflect.DeepEqual(got, []job.ID{one, two}) {
@@ -224,92 +217,6 @@
 	}
 }
 
-// topic reads all records of a log.
-func topic(t *testing.T, log *jobtest.Log) []jobstore.Record {
-	t.Helper()
-	batch, err := log.Client("reader").Read(t.Context(), jobstore.Query{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	var records []jobstore.Record
-	for _, s := range batch.Records {
-		records = append(records, s.Record)
-	}
-	return records
-}
-
-// TestGoldenDirectoryTopic: the announcements, and what a directory makes of them. Earlier versions announce no processor time.
-func TestGoldenDirectoryTopic(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
-		client := log.Client("entry")
-		jobstore.AnnounceEntry(ctx, client, "entry-1", "10.1.0.19:7000", 0.4)
-		jobstore.AnnounceEntry(ctx, client, "entry-2", "10.1.0.20:7000", 2)
-		jobstore.AnnounceEntry(ctx, client, "entry-3", "10.1.0.21:7000", 0)
-		jobstore.AnnounceEntry(ctx, client, "entry-4", "10.1.0.22:7000", 1)
-		if err := jobstore.RemoveEntries(ctx, client, []string{"entry-4"}); err != nil {
-			t.Error(err)
-		}
-		jobstore.AnnounceLeader(ctx, client, jobstore.Leader{Term: 7, Name: "entry-1", Address: "10.1.0.19:7000"})
-		goldentest.Bytes(t, "directory-topic", lines(topic(t, log)))
-	})
-	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
-		add(t, log, readLines(t, "directory-topic")...)
-		d := jobstore.NewDirectory(log.Client("entry"), zerolog.Nop())
-		go d.Run(ctx)
-		time.Sleep(time.Second)
-		want := map[string]string{"entry-1": "10.1.0.19:7000", "entry-2": "10.1.0.20:7000", "entry-3": "10.1.0.21:7000"}
-		if got := d.Listed(); !reflect.DeepEqual(got, want) {
-			t.Errorf("the entries are %v, want %v", got, want)
-		}
-		if got := d.Larger(0.4); !reflect.DeepEqual(got, []string{"10.1.0.20:7000"}) {
-			t.Errorf("larger are %v", got)
-		}
-		if got := d.Leader(); got != (jobstore.Leader{Term: 7, Name: "entry-1", Address: "10.1.0.19:7000"}) {
-			t.Errorf("the leader is %+v", got)
-		}
-	})
-}
-
-// TestGoldenProducer: the name under which a leader writes fences those of earlier versions too.
-func TestGoldenProducer(t *testing.T) {
-	p := jobstore.TermOf(7, 3)
-	goldentest.Bytes(t, "producer", fmt.Appendf(nil, "%s %d %d\n", p.Name, p.Epoch, p.Sequence))
-}
-
-// TestGoldenRelay: the question for news, and its answer as it is given and taken.
-func TestGoldenRelay(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
-		source := jobstore.NewSource(nil)
-		records := []jobstore.Stored{
-			{Record: jobstore.Record{Key: "config", Value: []byte("{}")}, Offset: 5},
-			{Record: jobstore.Record{Key: "zone-1"}, Offset: 6},
-		}
-		source.Take(jobstore.News{Records: records, Next: 7, Proof: suspend.Clock(nil).Now()})
-		goldentest.Bytes(t, "relay-answer", answerOf(source, http.MethodGet, "?from=5", ""))
-		goldentest.Bytes(t, "relay-answer-none", answerOf(source, http.MethodGet, "?from=7", ""))
-		goldentest.Bytes(t, "relay-answer-unknown", answerOf(source, http.MethodGet, "?from=4000", ""))
-
-		var asked string
-		network := standin.NewNetwork()
-		network.Attach("http://10.1.0.19:7000", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			asked = r.Method + " " + r.URL.RequestURI() + "\n"
-			w.Header().Set("Content-Type", "application/json")
-			_, body, _ := bytes.Cut(goldentest.Read(t, "relay-answer"), []byte("\n"))
-			_, err := w.Write(body)
-			if err != nil {
-				t.Error(err)
-			}
-		}))
-		addresses := func() []string { return []string{"10.1.0.19:7000"} }
-		relay := jobstore.NewRelay(log.Client("entry"), "/news", network.Client("http://agent"), addresses, zerolog.Nop())
-		batch, err := relay.Read(ctx, jobstore.Query{From: 5, Wait: time.Second})
-		if err != nil || !reflect.DeepEqual(batch.Records, records) || batch.End != 7 {
-			t.Errorf("the answer is taken as %+v, %v", batch, err)
-		}
-		goldentest.Bytes(t, "relay-question", []byte(asked))
-	})
-}
-
 // answerOf returns the status and the body that a handler answers with.
 func answerOf(h http.Handler, method, target, body string) []byte {
 	r := httptest.NewRequest(method, "http://entry/"+target, strings.NewReader(body))
@@ -346,7 +253,7 @@
 			t.Error(err)
 		}
 		goldentest.Bytes(t, "records-question", asked)
-		var record jobstore.Record
+		var record topic.Record
 		if err := json.Unmarshal(goldentest.Read(t, "records-question"), &record); err != nil || !reflect.DeepEqual(record, jobstore.CancelRecord(one)) {
 			t.Errorf("the question is read as %+v, %v", record, err)
 		}
--- a/jobs/jobstore/jobstore_test.go
+++ b/jobs/jobstore/jobstore_test.go
@@ -9,12 +9,14 @@
 
 	"github.com/rs/zerolog"
 
+	"yarrowgrade.example/yarrowgrade/jobs/directory"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-func submission(t *testing.T, id job.ID, spec string) jobstore.Record {
+func submission(t *testing.T, id job.ID, spec string) topic.Record {
 	t.Helper()
 	r, err := jobstore.SubmissionRecord(&job.Job{ID: id, Spec: spec, Queue: "q", Steps: []job.Step{{Tasks: 1}}})
 	if err != nil {
@@ -23,7 +25,7 @@
 	return r
 }
 
-func progress(t *testing.T, id job.ID, phase job.Phase) jobstore.Record {
+func progress(t *testing.T, id job.ID, phase job.Phase) topic.Record {
 	t.Helper()
 	p := job.NewProgress()
 	p.Phase = phase
@@ -44,9 +46,9 @@
 	})
 }
 
-func add(t *testing.T, log *jobtest.Log, records ...jobstore.Record) {
+func add(t *testing.T, log *jobtest.Log, records ...topic.Record) {
 	t.Helper()
-	if _, err := log.Client("writer").Append(t.Context(), records, jobstore.Condition{}); err != nil {
+	if _, err := log.Client("writer").Append(t.Context(), records, topic.Condition{}); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -182,7 +184,7 @@
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		add(t, log, submission(t, one, ""), progress(t, one, job.Running))
 		r := jobstore.NewReplica(log.Client("entry"), alone, zerolog.Nop())
-		r.Note([]jobstore.Record{progress(t, one, job.Completed)}, 2)
+		r.Note([]topic.Record{progress(t, one, job.Completed)}, 2)
 		go r.Run(ctx)
 		time.Sleep(time.Millisecond)
 		add(t, log, progress(t, one, job.Completed))
@@ -264,11 +266,11 @@
 func TestClaims(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		for _, name := range []string{"a", "b"} {
-			record, err := jobstore.LeaderRecord(jobstore.Leader{Term: 1, Name: name, Address: name})
+			record, err := directory.LeaderRecord(directory.Leader{Term: 1, Name: name, Address: name})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, err := log.Client(name).Append(ctx, []jobstore.Record{record}, jobstore.Condition{Exact: true, Producer: jobstore.TermOf(1, 0)}); err != nil {
+			if _, err := log.Client(name).Append(ctx, []topic.Record{record}, topic.Condition{Exact: true, Producer: directory.TermOf(1, 0)}); err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
 		}
@@ -278,36 +280,12 @@
 		if o, _, _ := r.Leader(); o.Name != "a" {
 			t.Errorf("the leader is %q, want a", o.Name)
 		}
-		late, err := jobstore.LeaderRecord(jobstore.Leader{Term: 2, Name: "b", Address: "b"})
+		late, err := directory.LeaderRecord(directory.Leader{Term: 2, Name: "b", Address: "b"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := log.Client("b").Append(ctx, []jobstore.Record{late}, jobstore.Condition{Exact: true, At: 0, Producer: jobstore.TermOf(2, 0)}); !errors.Is(err, jobstore.ErrConflict) {
+		if _, err := log.Client("b").Append(ctx, []topic.Record{late}, topic.Condition{Exact: true, At: 0, Producer: directory.TermOf(2, 0)}); !errors.Is(err, topic.ErrConflict) {
 			t.Errorf("a claim on an old end got %v", err)
 		}
 	})
 }
-
-func TestDirectory(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
-		d := jobstore.NewDirectory(log.Client("agent"), zerolog.Nop())
-		go d.Run(ctx)
-		jobstore.AnnounceEntry(ctx, log.Client("b"), "b", "10.0.0.2:1", 0)
-		jobstore.AnnounceEntry(ctx, log.Client("a"), "a", "10.0.0.1:1", 0.8)
-		jobstore.AnnounceLeader(ctx, log.Client("a"), jobstore.Leader{Term: 2, Name: "a", Address: "10.0.0.1:1"})
-		jobstore.AnnounceLeader(ctx, log.Client("b"), jobstore.Leader{Term: 1, Name: "b", Address: "10.0.0.2:1"})
-		// Records that come close together are read together, some 250 ms after the first read.
-		time.Sleep(300 * time.Millisecond)
-		if got := d.Entries(); len(got) != 2 || got[0] != "10.0.0.1:1" {
-			t.Errorf("entries are %v", got)
-		}
-		if got := d.Leader(); got.Term != 2 {
-			t.Errorf("the leader is %+v; a former leader must not replace it", got)
-		}
-		d.Learn(jobstore.Leader{Term: 1, Address: "old"})
-		d.Learn(jobstore.Leader{Term: 3, Address: "new"})
-		if got := d.Leader(); got.Address != "new" {
-			t.Errorf("the leader is %+v", got)
-		}
-	})
-}
--- a/jobs/jobstore/replica.go
+++ b/jobs/jobstore/replica.go
@@ -11,7 +11,9 @@
 
 	"yarrowgrade.example/yarrowgrade/internal/hedge"
 	"yarrowgrade.example/yarrowgrade/internal/suspend"
+	"yarrowgrade.example/yarrowgrade/jobs/directory"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // replicaWait is how long a read of a replica waits for news: it bounds the age of its proof.
@@ -44,7 +46,7 @@
 
 // Replica holds the newest record of each key. Its methods may be called from any goroutine.
 type Replica struct {
-	tail *Tail
+	tail *topic.Tail
 	// readers is how many entries read the topic. Leading says that this one needs each record as it comes.
 	readers func() int
 	leading atomic.Bool
@@ -53,7 +55,7 @@
 
 	mu     sync.Mutex
 	jobs   map[job.ID]*entry
-	leader Leader
+	leader directory.Leader
 	next   int64
 	proof  suspend.Mark
 	clock  suspend.Clock
@@ -70,9 +72,9 @@
 }
 
 // NewReplica returns a replica that knows nothing yet. Readers returns how many entries there are that read the topic.
-func NewReplica(log Log, readers func() int, logger zerolog.Logger) *Replica {
+func NewReplica(log topic.Log, readers func() int, logger zerolog.Logger) *Replica {
 	r := &Replica{
-		tail: NewTail(log, "jobs", replicaWait, logger), readers: readers, inLine: func() bool { return true },
+		tail: topic.NewTail(log, "jobs", replicaWait, logger), readers: readers, inLine: func() bool { return true },
 		jobs: map[job.ID]*entry{}, fresh: map[job.ID]bool{}, changed: make(chan struct{}), news: make(chan struct{}), taken: make(chan struct{}),
 	}
 	r.tail.WithGap(r.gap).WithReaders(r.probing)
@@ -98,7 +100,7 @@
 		return 0
 	}
 	most := mostGap
-	if !r.inLine() && r.tail.latency.Quick() {
+	if !r.inLine() && r.tail.Latency().Quick() {
 		most = mostGapBehind
 	}
 	return min(time.Duration(r.readers())*readShare, most)
@@ -148,7 +150,7 @@
 // Run follows the topic until ctx ends.
 func (r *Replica) Run(ctx context.Context) { r.tail.Run(ctx, r.take) }
 
-func (r *Replica) take(n News) {
+func (r *Replica) take(n topic.News) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	led := r.leader
@@ -186,18 +188,18 @@
 }
 
 // Note takes records over that this process has appended itself, before they come back by a read.
-func (r *Replica) Note(records []Record, first int64) {
+func (r *Replica) Note(records []topic.Record, first int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	led := r.leader
 	for i, record := range records {
-		r.applyOne(Stored{Record: record, Offset: first + int64(i)})
+		r.applyOne(topic.Stored{Record: record, Offset: first + int64(i)})
 	}
 	r.wake(led)
 }
 
 // wake tells those who wait for a change. Led is who led before it. The lock must be held.
-func (r *Replica) wake(led Leader) {
+func (r *Replica) wake(led directory.Leader) {
 	close(r.changed)
 	r.changed = make(chan struct{})
 	if len(r.fresh) > 0 || r.leader != led {
@@ -206,9 +208,9 @@
 	}
 }
 
-func (r *Replica) applyOne(s Stored) {
-	if s.Key == leaderKey {
-		o, err := decodeLeader(s.Value)
+func (r *Replica) applyOne(s topic.Stored) {
+	if s.Key == directory.LeaderKey {
+		o, err := directory.DecodeLeader(s.Value)
 		if err == nil && o.Term >= r.leader.Term {
 			r.leader, r.sign = o, time.Now()
 		}
@@ -239,7 +241,7 @@
 }
 
 // applySubmission keeps the first submission of a job: a second one is a retry of it.
-func (r *Replica) applySubmission(id job.ID, e *entry, s Stored) {
+func (r *Replica) applySubmission(id job.ID, e *entry, s topic.Stored) {
 	e.submissionOffset = s.Offset
 	r.fresh[id] = true
 	if s.Value == nil {
@@ -256,7 +258,7 @@
 }
 
 // Latency is that of the log's answers, as the replica's reads learn it and those who share it.
-func (r *Replica) Latency() *hedge.Latency { return r.tail.latency }
+func (r *Replica) Latency() *hedge.Latency { return r.tail.Latency() }
 
 // Changed is closed at the next change.
 func (r *Replica) Changed() <-chan struct{} {
@@ -292,7 +294,7 @@
 }
 
 // Leader returns who is the leader, when a sign of it was last seen, and the offset up to which this is known.
-func (r *Replica) Leader() (o Leader, sign time.Time, next int64) {
+func (r *Replica) Leader() (o directory.Leader, sign time.Time, next int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.leader, r.sign, r.next
--- a/jobs/jobstore/writer.go
+++ b/jobs/jobstore/writer.go
@@ -16,6 +16,7 @@
 	"yarrowgrade.example/yarrowgrade/internal/hedge"
 	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
 	"yarrowgrade.example/yarrowgrade/internal/pause"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // RecordsPath is where an entry keeps a record for another one that does not reach the log.
@@ -43,7 +44,7 @@
 // Writer keeps callers' records, submissions and cancels, by this entry's own way to the log or by another entry's. Each
 // such record may be kept twice without harm, so a try without an answer is followed by another one.
 type Writer struct {
-	log     Log
+	log     topic.Log
 	latency *hedge.Latency
 	replica *Replica
 	// peers returns the addresses of all entries; self is this one's.
@@ -61,7 +62,7 @@
 }
 
 // NewWriter returns a writer. The latency is that of the log's appends, as all of this process learn it.
-func NewWriter(log Log, latency *hedge.Latency, replica *Replica, peers func() []string, self string, client *http.Client, logger zerolog.Logger) *Writer {
+func NewWriter(log topic.Log, latency *hedge.Latency, replica *Replica, peers func() []string, self string, client *http.Client, logger zerolog.Logger) *Writer {
 	return &Writer{log: log, latency: latency, replica: replica, peers: peers, self: self, client: client, logger: logger, unreached: map[string]time.Time{}}
 }
 
@@ -75,15 +76,15 @@
 
 // Write keeps a record. An error for which NotDone holds says that it is not kept and never will be; after any other one it
 // may be, or may still come to be.
-func (wr *Writer) Write(ctx context.Context, record Record) error {
+func (wr *Writer) Write(ctx context.Context, record topic.Record) error {
 	doubt := false
 	for {
 		offset, err := wr.round(ctx, wr.tries(record))
 		if err == nil {
-			wr.replica.Note([]Record{record}, offset)
+			wr.replica.Note([]topic.Record{record}, offset)
 			return nil
 		}
-		doubt = doubt || !NotDone(err)
+		doubt = doubt || !topic.NotDone(err)
 		if !doubt {
 			return err
 		}
@@ -95,7 +96,7 @@
 }
 
 // tries lists the ways, this entry's own one first if the log has answered lately.
-func (wr *Writer) tries(record Record) []try {
+func (wr *Writer) tries(record topic.Record) []try {
 	var tries []try
 	if wr.reachesLog() {
 		tries = append(tries, func(ctx context.Context) (int64, error) { return wr.append(ctx, record) })
@@ -160,9 +161,9 @@
 }
 
 // append keeps a record by this entry's own way.
-func (wr *Writer) append(ctx context.Context, record Record) (int64, error) {
+func (wr *Writer) append(ctx context.Context, record topic.Record) (int64, error) {
 	sent := time.Now()
-	offset, err := wr.log.Append(ctx, []Record{record}, Condition{})
+	offset, err := wr.log.Append(ctx, []topic.Record{record}, topic.Condition{})
 	if err == nil {
 		wr.latency.Note(time.Since(sent))
 	} else {
@@ -175,7 +176,7 @@
 // round tries the ways one after the other, the next one as soon as one has failed or takes long, until one succeeds.
 func (wr *Writer) round(ctx context.Context, tries []try) (int64, error) {
 	if len(tries) == 0 {
-		return 0, fmt.Errorf("%w: no way to the log", ErrRefused)
+		return 0, fmt.Errorf("%w: no way to the log", topic.ErrRefused)
 	}
 	calls := hedge.Calls[int64]{
 		Way:   func(ctx context.Context, n int) (int64, error) { return tries[n](ctx) },
@@ -189,14 +190,14 @@
 
 // moreDoubtful is the one of two errors after which more is uncertain.
 func moreDoubtful(earlier, later error) error {
-	if NotDone(earlier) {
+	if topic.NotDone(earlier) {
 		return later
 	}
 	return earlier
 }
 
 // ask has another entry keep the record.
-func (wr *Writer) ask(ctx context.Context, address string, record Record) (int64, error) {
+func (wr *Writer) ask(ctx context.Context, address string, record topic.Record) (int64, error) {
 	var answer kept
 	err := jsonhttp.Call(ctx, wr.client, "jobstore.ask", http.MethodPost, "http://"+address, RecordsPath, record, &answer)
 	if fault.NotReached(err) {
@@ -205,18 +206,18 @@
 			wr.unreached[address] = time.Now()
 			wr.mu.Unlock()
 		}
-		return 0, fmt.Errorf("%w: %w", ErrRefused, err)
+		return 0, fmt.Errorf("%w: %w", topic.ErrRefused, err)
 	}
 	var status *jsonhttp.StatusError
 	if errors.As(err, &status) && status.Status == http.StatusServiceUnavailable {
-		return 0, fmt.Errorf("%w: %w", ErrRefused, err)
+		return 0, fmt.Errorf("%w: %w", topic.ErrRefused, err)
 	}
 	return answer.Offset, err
 }
 
 // ServeWrite keeps a record for another entry. 503 says that it is not kept, 504 that this is uncertain.
 func (wr *Writer) ServeWrite(w http.ResponseWriter, r *http.Request) {
-	var record Record
+	var record topic.Record
 	if err := jsonhttp.Read(w, r, &record); err != nil {
 		jsonhttp.WriteError(w, err)
 		return
@@ -226,7 +227,7 @@
 		return
 	}
 	if !wr.reachesLog() {
-		jsonhttp.WriteError(w, ErrRefused)
+		jsonhttp.WriteError(w, topic.ErrRefused)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), keepLimit)
@@ -234,13 +235,13 @@
 	offset, err := wr.append(ctx, record)
 	if err != nil {
 		code := http.StatusGatewayTimeout
-		if NotDone(err) {
+		if topic.NotDone(err) {
 			code = http.StatusServiceUnavailable
 		}
 		jsonhttp.WriteError(w, &jsonhttp.StatusError{Status: code, Message: err.Error()})
 		return
 	}
-	wr.replica.Note([]Record{record}, offset)
+	wr.replica.Note([]topic.Record{record}, offset)
 	wr.logger.Info().Str("step", "jobstore.write").Str("key", record.Key).Int64("offset", offset).Msg("record is kept for another entry")
 	jsonhttp.Write(w, http.StatusOK, kept{Offset: offset})
 }
--- a/jobs/jobtest/counted.go
+++ b/jobs/jobtest/counted.go
@@ -4,18 +4,18 @@
 	"context"
 	"sync/atomic"
 
-	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // CountedLog counts the reads of a log.
 type CountedLog struct {
-	jobstore.Log
+	topic.Log
 	// Whole counts those that bring all there is, Brief those that find out whether the log answers.
 	Whole, Brief atomic.Int64
 }
 
-// Read implements jobstore.Log.
-func (l *CountedLog) Read(ctx context.Context, q jobstore.Query) (jobstore.Batch, error) {
+// Read implements topic.Log.
+func (l *CountedLog) Read(ctx context.Context, q topic.Query) (topic.Batch, error) {
 	if q.Brief {
 		l.Brief.Add(1)
 	} else {
--- a/jobs/jobtest/log.go
+++ b/jobs/jobtest/log.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"yarrowgrade.example/yarrowgrade/internal/pause"
-	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // Fault is how the log treats a client.
@@ -40,7 +40,7 @@
 // Log is a keyed topic in memory.
 type Log struct {
 	mu        sync.Mutex
-	records   []jobstore.Stored
+	records   []topic.Stored
 	first     int64
 	epochs    map[string]int64
 	sequences map[string]int64
@@ -82,13 +82,13 @@
 // Client returns the log as a process reaches it.
 func (l *Log) Client(name string) *LogClient { return &LogClient{log: l, name: name} }
 
-// LogClient is the log as one process reaches it. It implements jobstore.Log.
+// LogClient is the log as one process reaches it. It implements topic.Log.
 type LogClient struct {
 	log  *Log
 	name string
 }
 
-var _ jobstore.Log = (*LogClient)(nil)
+var _ topic.Log = (*LogClient)(nil)
 
 // callDelay is what each call takes.
 const callDelay = 4 * time.Millisecond
@@ -108,13 +108,13 @@
 		<-ctx.Done()
 		return fault, ctx.Err()
 	case fault.Refuse:
-		return fault, jobstore.ErrRefused
+		return fault, topic.ErrRefused
 	}
 	return fault, sleep(ctx, callDelay+fault.Delay)
 }
 
-// Append implements jobstore.Log.
-func (c *LogClient) Append(ctx context.Context, records []jobstore.Record, condition jobstore.Condition) (int64, error) {
+// Append implements topic.Log.
+func (c *LogClient) Append(ctx context.Context, records []topic.Record, condition topic.Condition) (int64, error) {
 	fault, err := c.meet(ctx)
 	if err != nil {
 		return 0, err
@@ -148,26 +148,26 @@
 
 // append carries an append out. As on the users' platform, a repeated number of a producer gets its first answer before
 // the other conditions are looked at.
-func (l *Log) append(records []jobstore.Record, condition jobstore.Condition) (int64, error) {
+func (l *Log) append(records []topic.Record, condition topic.Condition) (int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	end := int64(len(l.records))
 	if p := condition.Producer; p != nil {
 		epoch, seen := l.epochs[p.Name]
 		if seen && p.Epoch < epoch {
-			return 0, jobstore.ErrFenced
+			return 0, topic.ErrFenced
 		}
 		if seen && p.Epoch == epoch {
 			if first, ok := l.answers[p.Name][p.Sequence]; ok {
 				return first, nil
 			}
 			if p.Sequence != l.sequences[p.Name]+1 {
-				return 0, jobstore.ErrFenced
+				return 0, topic.ErrFenced
 			}
 		}
 	}
 	if condition.Exact && condition.At != end {
-		return 0, jobstore.ErrConflict
+		return 0, topic.ErrConflict
 	}
 	if p := condition.Producer; p != nil {
 		if epoch, seen := l.epochs[p.Name]; !seen || p.Epoch > epoch {
@@ -177,25 +177,25 @@
 		l.answers[p.Name][p.Sequence] = end
 	}
 	for i, r := range records {
-		l.records = append(l.records, jobstore.Stored{Record: r, Offset: end + int64(i)})
+		l.records = append(l.records, topic.Stored{Record: r, Offset: end + int64(i)})
 	}
 	close(l.changed)
 	l.changed = make(chan struct{})
 	return end, nil
 }
 
-// Read implements jobstore.Log.
-func (c *LogClient) Read(ctx context.Context, q jobstore.Query) (jobstore.Batch, error) {
+// Read implements topic.Log.
+func (c *LogClient) Read(ctx context.Context, q topic.Query) (topic.Batch, error) {
 	fault, err := c.meet(ctx)
 	if err != nil {
-		return jobstore.Batch{}, err
+		return topic.Batch{}, err
 	}
 	if fault.Reset {
-		return jobstore.Batch{}, errReset
+		return topic.Batch{}, errReset
 	}
 	if fault.Deaf && q.Wait > 0 {
 		<-ctx.Done()
-		return jobstore.Batch{}, ctx.Err()
+		return topic.Batch{}, ctx.Err()
 	}
 	deadline := time.NewTimer(q.Wait)
 	defer deadline.Stop()
@@ -214,14 +214,14 @@
 	}
 }
 
-func (l *Log) read(q jobstore.Query) (jobstore.Batch, chan struct{}, error) {
+func (l *Log) read(q topic.Query) (topic.Batch, chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	end := int64(len(l.records))
 	if q.From < l.first {
-		return jobstore.Batch{}, nil, jobstore.ErrExpired
+		return topic.Batch{}, nil, topic.ErrExpired
 	}
-	batch := jobstore.Batch{End: end}
+	batch := topic.Batch{End: end}
 	if q.From < end {
 		batch.Records = append(batch.Records, l.records[q.From:]...)
 	}
@@ -231,22 +231,22 @@
 	return batch, l.changed, nil
 }
 
-// Newest implements jobstore.Log.
-func (c *LogClient) Newest(ctx context.Context) (jobstore.Batch, error) {
+// Newest implements topic.Log.
+func (c *LogClient) Newest(ctx context.Context) (topic.Batch, error) {
 	fault, err := c.meet(ctx)
 	if err != nil {
-		return jobstore.Batch{}, err
+		return topic.Batch{}, err
 	}
 	if fault.Reset {
-		return jobstore.Batch{}, errReset
+		return topic.Batch{}, errReset
 	}
 	c.log.mu.Lock()
 	defer c.log.mu.Unlock()
-	newest := map[string]jobstore.Stored{}
+	newest := map[string]topic.Stored{}
 	for _, r := range c.log.records {
 		newest[r.Key] = r
 	}
-	batch := jobstore.Batch{End: int64(len(c.log.records))}
+	batch := topic.Batch{End: int64(len(c.log.records))}
 	for _, r := range newest {
 		if r.Value != nil {
 			batch.Records = append(batch.Records, r)
--- a/jobs/jobtest/system_test.go
+++ b/jobs/jobtest/system_test.go
@@ -21,12 +21,14 @@
 	"yarrowgrade.example/yarrowgrade/jobs/admission"
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/directory"
 	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 	"yarrowgrade.example/yarrowgrade/jobs/leader"
 	"yarrowgrade.example/yarrowgrade/jobs/runner"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
 )
 
@@ -115,8 +117,8 @@
 	s.workers.FailureShare = 0.03
 	s.workers.SameID, s.workers.Unborn = sh.sameID, sh.unborn
 	s.readers = cmp.Or(sh.readers, entryCount)
-	record := []jobstore.Record{{Key: "config", Value: []byte("1")}}
-	if _, err := s.config.Client("operator").Append(ctx, record, jobstore.Condition{}); err != nil {
+	record := []topic.Record{{Key: "config", Value: []byte("1")}}
+	if _, err := s.config.Client("operator").Append(ctx, record, topic.Condition{}); err != nil {
 		t.Fatal(err)
 	}
 	for i := range workerCount {
@@ -167,8 +169,8 @@
 }
 
 func (s *system) putCordon(zone string, value []byte) {
-	record := []jobstore.Record{{Key: cordonPrefix + zone, Value: value}}
-	if _, err := s.config.Client("operator").Append(s.ctx, record, jobstore.Condition{}); err != nil {
+	record := []topic.Record{{Key: cordonPrefix + zone, Value: value}}
+	if _, err := s.config.Client("operator").Append(s.ctx, record, topic.Condition{}); err != nil {
 		s.t.Error(err)
 	}
 }
@@ -199,7 +201,7 @@
 	client := s.network.Client("http://" + p.name)
 	log, announced := s.log.Client(p.name), s.directory.Client(p.name)
 	logger := s.logger.With().Str("entry", p.name).Logger()
-	directory := jobstore.NewDirectory(announced, zerolog.Nop())
+	directory := directory.NewDirectory(announced, zerolog.Nop())
 	inLine := func() bool { return directory.InLine(p.name) }
 	replica := jobstore.NewReplica(log, func() int { return s.readers }, logger).WithLine(inLine)
 	p.replica = replica
@@ -233,7 +235,7 @@
 	ctx, cancel := context.WithCancel(s.ctx)
 	p.cancel, p.life = cancel, p.life+1
 	client := s.network.Client("http://" + p.name)
-	directory := jobstore.NewDirectory(s.directory.Client(p.name), zerolog.Nop())
+	directory := directory.NewDirectory(s.directory.Client(p.name), zerolog.Nop())
 	s.network.Attach("http://"+p.name, http.NotFoundHandler())
 	p.runner = runner.New(
 		runner.Settings{Name: p.name, Agent: fmt.Sprintf("%s/%d", p.name, p.life), Lease: lease, Drift: 0.03, Cordon: jobtest.CordonBound},
--- a/jobs/leader/counts_test.go
+++ b/jobs/leader/counts_test.go
@@ -14,6 +14,7 @@
 	"yarrowgrade.example/yarrowgrade/internal/suspend"
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/directory"
 	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
@@ -195,7 +196,7 @@
 		defer func() { cancel(); time.Sleep(10 * time.Second) }()
 		scope := tally.NewTestScope("", nil)
 		log, config, announced := jobtest.NewLog(1), jobtest.NewLog(2), jobtest.NewLog(3).Client("e")
-		directory := jobstore.NewDirectory(announced, zerolog.Nop())
+		directory := directory.NewDirectory(announced, zerolog.Nop())
 		replica := jobstore.NewReplica(log.Client("e"), func() int { return 1 }, zerolog.Nop())
 		follower := catalog.NewFollower(config.Client("e"), catalog.Format{ConfigKey: "config"}, zerolog.Nop())
 		settings := Settings{Entry: "e", Name: "e/1", Address: "e", Timing: DefaultTiming(6 * time.Second), Dispatch: dispatch.DefaultSettings()}
--- a/jobs/leader/election.go
+++ b/jobs/leader/election.go
@@ -10,20 +10,21 @@
 
 	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
-	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/directory"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // await returns when this entry leads in a term above the one that it has lost. It claims none before the end of the rest.
-func (c *Candidate) await(ctx context.Context, lost int64, rest time.Time) (jobstore.Leader, bool) {
+func (c *Candidate) await(ctx context.Context, lost int64, rest time.Time) (directory.Leader, bool) {
 	drawn := c.settings.Timing.Patience + rand.N(c.settings.Timing.Patience/5)
 	began := time.Now()
 	var claimed, asked time.Time
-	answers := make(chan jobstore.Leader, 1)
-	var gone jobstore.Leader
+	answers := make(chan directory.Leader, 1)
+	var gone directory.Leader
 	var vacated time.Time
 	for {
 		if c.resigned() {
-			return jobstore.Leader{}, false
+			return directory.Leader{}, false
 		}
 		changed := c.parts.Replica.Changed()
 		leader, sign, next := c.parts.Replica.Leader()
@@ -62,7 +63,7 @@
 		}
 		if vacant && known && !deferring && time.Now().After(rest) && time.Since(claimed) > patience/2 {
 			claimed = time.Now()
-			if err := c.claim(ctx, leader.Term+1, next); errors.Is(err, jobstore.ErrConflict) {
+			if err := c.claim(ctx, leader.Term+1, next); errors.Is(err, topic.ErrConflict) {
 				// Something else was written meanwhile, perhaps by the leader. Once that has been read, it is looked at again.
 				claimed = time.Time{}
 			}
@@ -90,7 +91,7 @@
 }
 
 // askLeader asks the leader whether it is still there, and passes it on as one that is gone if it is not.
-func (c *Candidate) askLeader(ctx context.Context, leader jobstore.Leader, gone chan<- jobstore.Leader) {
+func (c *Candidate) askLeader(ctx context.Context, leader directory.Leader, gone chan<- directory.Leader) {
 	if !c.leaderIsGone(ctx, leader) {
 		return
 	}
@@ -103,7 +104,7 @@
 
 // leaderIsGone asks the leader whether it is still there. Only an answer of another life, or none because nothing listens
 // there, says that it is not; the leader's silence says nothing.
-func (c *Candidate) leaderIsGone(ctx context.Context, leader jobstore.Leader) bool {
+func (c *Candidate) leaderIsGone(ctx context.Context, leader directory.Leader) bool {
 	if leader.Address == c.settings.Address {
 		return true
 	}
@@ -126,14 +127,14 @@
 // claim writes the claim of a term. Whether it counts is seen in the topic alone: the log takes the claims of several
 // entries for doubles of one call, because they carry the same term and number, and answers all of them with success.
 func (c *Candidate) claim(ctx context.Context, term, next int64) error {
-	record, err := jobstore.LeaderRecord(jobstore.Leader{Term: term, Name: c.settings.Name, Address: c.settings.Address})
+	record, err := directory.LeaderRecord(directory.Leader{Term: term, Name: c.settings.Name, Address: c.settings.Address})
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	condition := jobstore.Condition{At: next, Exact: true, Producer: jobstore.TermOf(term, 0)}
-	offset, err := c.parts.Log.Append(ctx, []jobstore.Record{record}, condition)
+	condition := topic.Condition{At: next, Exact: true, Producer: directory.TermOf(term, 0)}
+	offset, err := c.parts.Log.Append(ctx, []topic.Record{record}, condition)
 	c.parts.Logger.Info().Str("step", "leader.claim").Int64("term", term).Int64("offset", offset).Err(err).Msg("leadership claimed")
 	return err
 }
--- a/jobs/leader/golden_test.go
+++ b/jobs/leader/golden_test.go
@@ -19,11 +19,13 @@
 	"yarrowgrade.example/yarrowgrade/internal/hedge"
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/directory"
 	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 	"yarrowgrade.example/yarrowgrade/jobs/life"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // Values of the golden messages.
@@ -137,7 +139,7 @@
 			Log:       log.Client("e"),
 			Replica:   replica,
 			Catalog:   catalog.NewFollower(jobtest.NewLog(2).Client("e"), catalog.Format{}, zerolog.Nop()),
-			Directory: jobstore.NewDirectory(jobtest.NewLog(3).Client("e"), zerolog.Nop()),
+			Directory: directory.NewDirectory(jobtest.NewLog(3).Client("e"), zerolog.Nop()),
 			Latency:   hedge.NewLatency(),
 			Logger:    zerolog.New(&out),
 			Metrics:   tally.NoopScope,
@@ -151,11 +153,11 @@
 // recordLeader has another entry lead in a term.
 func recordLeader(t *testing.T, c *Candidate, term int64) {
 	t.Helper()
-	record, err := jobstore.LeaderRecord(jobstore.Leader{Term: term, Name: "entry-2/5", Address: "10.1.0.19:7000"})
+	record, err := directory.LeaderRecord(directory.Leader{Term: term, Name: "entry-2/5", Address: "10.1.0.19:7000"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.parts.Log.Append(t.Context(), []jobstore.Record{record}, jobstore.Condition{Producer: jobstore.TermOf(term, 0)}); err != nil {
+	if _, err := c.parts.Log.Append(t.Context(), []topic.Record{record}, topic.Condition{Producer: directory.TermOf(term, 0)}); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(time.Second)
@@ -281,7 +283,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		tm := &term{leader: jobstore.Leader{Term: 4, Name: "entry-1/4", Address: "10.1.0.18:7000"}, parts: c.parts, leases: c.leases}
+		tm := &term{leader: directory.Leader{Term: 4, Name: "entry-1/4", Address: "10.1.0.18:7000"}, parts: c.parts, leases: c.leases}
 		if err := tm.renew(t.Context()); err != nil {
 			t.Fatal(err)
 		}
@@ -295,7 +297,7 @@
 // stored are the records of the job topic, one a line.
 func stored(t *testing.T, c *Candidate) []byte {
 	t.Helper()
-	batch, err := c.parts.Log.Read(t.Context(), jobstore.Query{})
+	batch, err := c.parts.Log.Read(t.Context(), topic.Query{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/jobs/leader/handover.go
+++ b/jobs/leader/handover.go
@@ -10,8 +10,9 @@
 
 	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
 	"yarrowgrade.example/yarrowgrade/internal/pause"
+	"yarrowgrade.example/yarrowgrade/internal/sample"
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
-	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // Times of a handover.
@@ -54,7 +55,7 @@
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
 	others = slices.DeleteFunc(slices.Clone(others), func(address string) bool { return address == t.leader.Address })
-	others = jobstore.Draw(others, offeredAtOnce)
+	others = sample.Draw(others, offeredAtOnce)
 	answers := make(chan bool)
 	for _, address := range others {
 		go func() {
@@ -90,7 +91,7 @@
 // it.
 func (t *term) yieldToLarger(ctx context.Context, cores float64) {
 	for pause.For(ctx, yieldEvery) {
-		for _, address := range jobstore.Draw(t.parts.Directory.Larger(cores), yieldAsked) {
+		for _, address := range sample.Draw(t.parts.Directory.Larger(cores), yieldAsked) {
 			if t.offerTo(ctx, address, 0) {
 				break
 			}
@@ -142,7 +143,7 @@
 	ctx, cancel := context.WithTimeout(ctx, reachTimeout)
 	defer cancel()
 	_, _, next := c.parts.Replica.Leader()
-	if _, err := c.parts.Log.Read(ctx, jobstore.Query{From: next, Brief: true}); err != nil && !errors.Is(err, jobstore.ErrExpired) {
+	if _, err := c.parts.Log.Read(ctx, topic.Query{From: next, Brief: true}); err != nil && !errors.Is(err, topic.ErrExpired) {
 		return err
 	}
 	c.offered.Store(offer.Term)
--- a/jobs/leader/handover_test.go
+++ b/jobs/leader/handover_test.go
@@ -17,7 +17,7 @@
 	"github.com/rs/zerolog"
 
 	"yarrowgrade.example/yarrowgrade/internal/hedge"
-	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/directory"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
@@ -51,14 +51,14 @@
 		defer func() { cancel(); time.Sleep(30 * time.Second) }()
 		log := jobtest.NewLog(1)
 		for i := range n {
-			jobstore.AnnounceEntry(ctx, log.Client("e"), fmt.Sprintf("entry-%d", i), addressOf(i), 0.2+0.8*float64(i%2))
+			directory.AnnounceEntry(ctx, log.Client("e"), fmt.Sprintf("entry-%d", i), addressOf(i), 0.2+0.8*float64(i%2))
 		}
-		directory := jobstore.NewDirectory(log.Client("e"), zerolog.Nop())
-		go directory.Run(ctx)
+		entries := directory.NewDirectory(log.Client("e"), zerolog.Nop())
+		go entries.Run(ctx)
 		time.Sleep(time.Second)
 		calls := &countingTransport{gone: map[string]bool{}}
-		f(t, ctx, &term{leader: jobstore.Leader{Term: 1, Name: "e", Address: addressOf(1)}, parts: Parts{
-			Client: &http.Client{Transport: calls}, Latency: hedge.NewLatency(), Announced: log.Client("e"), Directory: directory, Logger: zerolog.Nop(),
+		f(t, ctx, &term{leader: directory.Leader{Term: 1, Name: "e", Address: addressOf(1)}, parts: Parts{
+			Client: &http.Client{Transport: calls}, Latency: hedge.NewLatency(), Announced: log.Client("e"), Directory: entries, Logger: zerolog.Nop(),
 		}}, calls)
 	})
 }
@@ -123,7 +123,7 @@
 		d := tm.parts.Directory
 		go d.KeepAnnounced(ctx, tm.parts.Announced, "entry-9", addressOf(9), 1)
 		time.Sleep(10 * time.Second)
-		if err := jobstore.RemoveEntries(ctx, tm.parts.Announced, []string{"entry-9", "entry-2"}); err != nil {
+		if err := directory.RemoveEntries(ctx, tm.parts.Announced, []string{"entry-9", "entry-2"}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
--- a/jobs/leader/leader.go
+++ b/jobs/leader/leader.go
@@ -36,8 +36,10 @@
 	"yarrowgrade.example/yarrowgrade/internal/pause"
 	"yarrowgrade.example/yarrowgrade/internal/suspend"
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/directory"
 	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // Timing is the pace of a leader and the bounds that others count on.
@@ -95,12 +97,12 @@
 
 // Parts are what a candidate works with.
 type Parts struct {
-	Log     jobstore.Log
+	Log     topic.Log
 	Replica *jobstore.Replica
 	Catalog *catalog.Follower
 	// Announced is the topic in which agents look for the leader, and Directory what this process has read of it.
-	Announced jobstore.Log
-	Directory *jobstore.Directory
+	Announced topic.Log
+	Directory *directory.Directory
 	// Adviser may be nil where no queue needs advice.
 	Adviser dispatch.Adviser
 	// Latency is that of the log's appends, as all of this process learn it.
@@ -181,7 +183,7 @@
 var errResigned = errors.New("given up for a planned stop")
 
 // lead leads until leadership is lost.
-func (c *Candidate) lead(ctx context.Context, leader jobstore.Leader) error {
+func (c *Candidate) lead(ctx context.Context, leader directory.Leader) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	t := &term{leader: leader, parts: c.parts, leases: c.leases, written: time.Now()}
@@ -201,7 +203,7 @@
 	if err := t.renew(ctx); err != nil {
 		return err
 	}
-	go jobstore.AnnounceLeader(ctx, c.parts.Announced, leader)
+	go directory.AnnounceLeader(ctx, c.parts.Announced, leader)
 	go t.yieldToLarger(ctx, c.settings.Processor)
 	go t.prune(ctx)
 	for {
--- a/jobs/leader/prune.go
+++ b/jobs/leader/prune.go
@@ -14,8 +14,9 @@
 	"yarrowgrade.example/yarrowgrade/internal/fault"
 	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
 	"yarrowgrade.example/yarrowgrade/internal/pause"
+	"yarrowgrade.example/yarrowgrade/internal/sample"
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
-	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/directory"
 )
 
 // Pace at which the leader looks for entries that are gone. The directory keeps what an entry has announced for good, and ten boxes a day are lost for good at the
@@ -39,7 +40,7 @@
 		if len(gone) == 0 {
 			continue
 		}
-		if err := jobstore.RemoveEntries(ctx, t.parts.Announced, gone); err != nil {
+		if err := directory.RemoveEntries(ctx, t.parts.Announced, gone); err != nil {
 			t.parts.Logger.Warn().Str("step", "leader.prune").Strs("entries", gone).Err(err).Msg("entries that are gone could not be taken off the directory")
 			continue
 		}
@@ -54,7 +55,7 @@
 func (t *term) missing(ctx context.Context, missed map[string]int) []string {
 	listed := t.parts.Directory.Listed()
 	// Whoever was missed is looked at again, so that three looks do not take until it is drawn three times.
-	names := slices.Concat(t.parts.Directory.Line(), slices.Collect(maps.Keys(missed)), jobstore.Draw(slices.Collect(maps.Keys(listed)), prunedAtOnce))
+	names := slices.Concat(t.parts.Directory.Line(), slices.Collect(maps.Keys(missed)), sample.Draw(slices.Collect(maps.Keys(listed)), prunedAtOnce))
 	looks := map[string]string{}
 	for _, name := range names {
 		if address, ok := listed[name]; ok {
--- a/jobs/leader/term.go
+++ b/jobs/leader/term.go
@@ -6,7 +6,8 @@
 	"time"
 
 	"yarrowgrade.example/yarrowgrade/internal/hedge"
-	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/directory"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // Times of an append. A second try with the same number is harmless.
@@ -20,7 +21,7 @@
 
 // term is the writing side of a term in which this entry leads: it numbers the appends and repeats those without an answer.
 type term struct {
-	leader   jobstore.Leader
+	leader   directory.Leader
 	parts    Parts
 	leases   *leases
 	sequence int64
@@ -28,23 +29,23 @@
 }
 
 // write appends records for sure, or returns errSucceeded, or the context's error.
-func (t *term) write(ctx context.Context, records []jobstore.Record) error {
+func (t *term) write(ctx context.Context, records []topic.Record) error {
 	t.sequence++
-	condition := jobstore.Condition{Producer: jobstore.TermOf(t.leader.Term, t.sequence)}
+	condition := topic.Condition{Producer: directory.TermOf(t.leader.Term, t.sequence)}
 	began := t.parts.Suspension.Now()
 	calls := hedge.Calls[int64]{
 		Way:   func(ctx context.Context, try int) (int64, error) { return t.append(ctx, try, records, condition) },
 		After: t.parts.Latency.Patience,
 		Pause: appendPause,
 		Limit: appendLimit,
-		Final: func(err error) bool { return errors.Is(err, jobstore.ErrFenced) || errors.Is(err, errSucceeded) },
+		Final: func(err error) bool { return errors.Is(err, topic.ErrFenced) || errors.Is(err, errSucceeded) },
 	}
 	ctx, end := context.WithCancelCause(ctx)
 	defer end(nil)
 	go t.handOver(ctx, func() { end(errHandedOver) })
 	offset, err := calls.Do(ctx)
 	switch {
-	case errors.Is(err, jobstore.ErrFenced):
+	case errors.Is(err, topic.ErrFenced):
 		return errSucceeded
 	case err != nil:
 		return err
@@ -61,7 +62,7 @@
 }
 
 // append makes one try.
-func (t *term) append(ctx context.Context, try int, records []jobstore.Record, c jobstore.Condition) (int64, error) {
+func (t *term) append(ctx context.Context, try int, records []topic.Record, c topic.Condition) (int64, error) {
 	if leader, _, _ := t.parts.Replica.Leader(); leader.Term > t.leader.Term {
 		return 0, errSucceeded
 	}
@@ -78,9 +79,9 @@
 
 // renew shows that the leader lives.
 func (t *term) renew(ctx context.Context) error {
-	record, err := jobstore.LeaderRecord(t.leader)
+	record, err := directory.LeaderRecord(t.leader)
 	if err != nil {
 		return err
 	}
-	return t.write(ctx, []jobstore.Record{record})
+	return t.write(ctx, []topic.Record{record})
 }
--- a/jobs/runner/golden_test.go
+++ b/jobs/runner/golden_test.go
@@ -21,8 +21,8 @@
 
 	"yarrowgrade.example/yarrowgrade/internal/goldentest"
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/directory"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
-	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 	"yarrowgrade.example/yarrowgrade/jobs/life"
 	"yarrowgrade.example/yarrowgrade/jobs/runner"
@@ -65,8 +65,8 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); time.Sleep(10 * time.Second) }()
 		log := jobtest.NewLog(1)
-		jobstore.AnnounceEntry(ctx, log.Client("e"), "entry-1", "10.0.0.1:7000", 1)
-		directory := jobstore.NewDirectory(log.Client("a"), zerolog.Nop())
+		directory.AnnounceEntry(ctx, log.Client("e"), "entry-1", "10.0.0.1:7000", 1)
+		directory := directory.NewDirectory(log.Client("a"), zerolog.Nop())
 		go directory.Run(ctx)
 		time.Sleep(time.Second)
 		w := &wire{}
--- a/jobs/runner/leader.go
+++ b/jobs/runner/leader.go
@@ -12,8 +12,9 @@
 	"time"
 
 	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/internal/sample"
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
-	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/directory"
 )
 
 // Bounds of the exchange with a leader.
@@ -30,7 +31,7 @@
 // LeaderClient finds the leader and carries polls to it: by the directory in the log, by what entries say, and by
 // their word when the directory can't be read. It implements Leader.
 type LeaderClient struct {
-	directory *jobstore.Directory
+	directory *directory.Directory
 	client    *http.Client
 
 	mu    sync.Mutex
@@ -38,7 +39,7 @@
 }
 
 // NewLeaderClient returns the way to the leader.
-func NewLeaderClient(d *jobstore.Directory, client *http.Client) *LeaderClient {
+func NewLeaderClient(d *directory.Directory, client *http.Client) *LeaderClient {
 	return &LeaderClient{directory: d, client: client}
 }
 
@@ -88,13 +89,13 @@
 	if early {
 		return
 	}
-	for _, address := range jobstore.Draw(l.directory.Entries(), askedAtOnce) {
+	for _, address := range sample.Draw(l.directory.Entries(), askedAtOnce) {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), askTimeout)
 			defer cancel()
 			var r assignment.Redirect
 			if status, err := l.exchange(ctx, http.MethodGet, address, assignment.LeaderPath, nil, &r); err == nil && status == http.StatusOK {
-				l.directory.Learn(jobstore.Leader{Term: r.Term, Address: r.Address})
+				l.directory.Learn(directory.Leader{Term: r.Term, Address: r.Address})
 			}
 		}()
 	}
@@ -125,7 +126,7 @@
 	if response.StatusCode == http.StatusConflict {
 		var r assignment.Redirect
 		if json.Unmarshal(answer, &r) == nil {
-			l.directory.Learn(jobstore.Leader{Term: r.Term, Address: r.Address})
+			l.directory.Learn(directory.Leader{Term: r.Term, Address: r.Address})
 		}
 		return response.StatusCode, nil
 	}
--- a/jobs/runner/leader_test.go
+++ b/jobs/runner/leader_test.go
@@ -13,7 +13,7 @@
 	"github.com/rs/zerolog"
 
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
-	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/directory"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
@@ -37,9 +37,9 @@
 			defer func() { cancel(); time.Sleep(10 * time.Second) }()
 			log := jobtest.NewLog(1)
 			for i := range n {
-				jobstore.AnnounceEntry(ctx, log.Client("e"), fmt.Sprintf("entry-%d", i), fmt.Sprintf("10.0.0.%d:7000", i), 1)
+				directory.AnnounceEntry(ctx, log.Client("e"), fmt.Sprintf("entry-%d", i), fmt.Sprintf("10.0.0.%d:7000", i), 1)
 			}
-			directory := jobstore.NewDirectory(log.Client("a"), zerolog.Nop())
+			directory := directory.NewDirectory(log.Client("a"), zerolog.Nop())
 			go directory.Run(ctx)
 			time.Sleep(time.Second)
 			counted := &countingTransport{}
--- /dev/null
+++ b/jobs/topic/golden_test.go
@@ -0,0 +1,77 @@
+package topic_test
+
+import (
+	"bytes"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"reflect"
+	"regexp"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"yarrowgrade.example/yarrowgrade/internal/goldentest"
+	"yarrowgrade.example/yarrowgrade/internal/suspend"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
+	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
+)
+
+// TestGoldenJSON: the forms that are plain JSON.
+func TestGoldenJSON(t *testing.T) {
+	stored := topic.Stored{Record: topic.Record{Key: "c/0000000000000001", Value: []byte("1")}, Offset: 41}
+	goldentest.JSON(t, "record", stored.Record)
+	goldentest.JSON(t, "relayed", topic.Relayed{Records: []topic.Stored{stored}, End: 42, AgeMillis: 12, HeldMillis: 3})
+}
+
+// TestGoldenRelay: the question for news, and its answer as it is given and taken.
+func TestGoldenRelay(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		log := jobtest.NewLog(1)
+		source := topic.NewSource(nil)
+		records := []topic.Stored{
+			{Record: topic.Record{Key: "config", Value: []byte("{}")}, Offset: 5},
+			{Record: topic.Record{Key: "zone-1"}, Offset: 6},
+		}
+		source.Take(topic.News{Records: records, Next: 7, Proof: suspend.Clock(nil).Now()})
+		goldentest.Bytes(t, "relay-answer", answerOf(source, http.MethodGet, "?from=5", ""))
+		goldentest.Bytes(t, "relay-answer-none", answerOf(source, http.MethodGet, "?from=7", ""))
+		goldentest.Bytes(t, "relay-answer-unknown", answerOf(source, http.MethodGet, "?from=4000", ""))
+
+		var asked string
+		network := standin.NewNetwork()
+		network.Attach("http://10.1.0.19:7000", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			asked = r.Method + " " + r.URL.RequestURI() + "\n"
+			w.Header().Set("Content-Type", "application/json")
+			_, body, _ := bytes.Cut(goldentest.Read(t, "relay-answer"), []byte("\n"))
+			_, err := w.Write(body)
+			if err != nil {
+				t.Error(err)
+			}
+		}))
+		addresses := func() []string { return []string{"10.1.0.19:7000"} }
+		relay := topic.NewRelay(log.Client("entry"), "/news", network.Client("http://agent"), addresses, zerolog.Nop())
+		batch, err := relay.Read(t.Context(), topic.Query{From: 5, Wait: time.Second})
+		if err != nil || !reflect.DeepEqual(batch.Records, records) || batch.End != 7 {
+			t.Errorf("the answer is taken as %+v, %v", batch, err)
+		}
+		goldentest.Bytes(t, "relay-question", []byte(asked))
+	})
+}
+
+// answerOf returns the status and the body that a handler answers with.
+func answerOf(h http.Handler, method, target, body string) []byte {
+	r := httptest.NewRequest(method, "http://entry/"+target, strings.NewReader(body))
+	w := httptest.NewRecorder()
+	h.ServeHTTP(w, r)
+	return fmt.Appendf(nil, "%d\n%s", w.Code, maskText(w.Body.Bytes()))
+}
+
+var textForPeople = regexp.MustCompile(`"(error|message)":"[^"]*"`)
+
+// maskText takes out the text of errors and log lines: it is for people, and nothing reads it.
+func maskText(data []byte) []byte { return textForPeople.ReplaceAll(data, []byte(`"$1":"..."`)) }
--- a/jobs/jobstore/log.go
+++ b/jobs/topic/log.go
@@ -1,18 +1,13 @@
-// Package jobstore keeps what must last about jobs in one keyed topic of a log that others run: submissions, cancels, the
-// progress of each job, and who is the leader.
+// Package topic is a keyed topic of a log that others run, as its readers and writers meet it.
 //
-// The newest record of each key counts. A Replica follows the topic and holds the newest record of each key; it says how
-// old its proof is that nothing newer exists. All writers are told apart by their keys: any entry writes submissions and
-// cancels, only the leader writes progress. The log shuts out the writes of a leader that has been
-// succeeded, because they carry its term.
+// The newest record of each key counts. A Tail follows the topic and says how old its proof is that nothing newer exists; a Relay takes
+// news from other processes that read the same topic, from their Source.
 //
 // # Usage
 //
-//	r := jobstore.NewReplica(log, logger)
-//	go r.Run(ctx)
-//	<-r.Changed()
-//	submitted := r.Submission(id)
-package jobstore
+//	tail := topic.NewTail(log, "jobs", wait, logger)
+//	tail.Run(ctx, func(n topic.News) { ... })
+package topic
 
 import (
 	"context"
--- a/jobs/jobstore/metered.go
+++ b/jobs/topic/metered.go
@@ -1,4 +1,4 @@
-package jobstore
+package topic
 
 import (
 	"context"
--- a/jobs/jobstore/relay.go
+++ b/jobs/topic/relay.go
@@ -1,4 +1,4 @@
-package jobstore
+package topic
 
 import (
 	"context"
@@ -14,6 +14,7 @@
 
 	"yarrowgrade.example/yarrowgrade/internal/fault"
 	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/internal/sample"
 	"yarrowgrade.example/yarrowgrade/internal/suspend"
 )
 
@@ -147,7 +148,7 @@
 	if q.Wait == 0 || q.Brief {
 		return r.Log.Read(ctx, q)
 	}
-	sources := Draw(slices.DeleteFunc(slices.Clone(r.sources()), r.rests), 1)
+	sources := sample.Draw(slices.DeleteFunc(slices.Clone(r.sources()), r.rests), 1)
 	if len(sources) == 0 {
 		return r.Log.Read(ctx, q)
 	}
--- a/jobs/jobstore/tail.go
+++ b/jobs/topic/tail.go
@@ -1,4 +1,4 @@
-package jobstore
+package topic
 
 import (
 	"context"
@@ -14,8 +14,6 @@
 
 // Pace of a tail. Each answered read renews the proof that nothing newer exists.
 const (
-	// retryPause is the pause after a failed announcement.
-	retryPause = 80 * time.Millisecond
 	// probeEvery is how often a read without an answer, or with an error, is followed by another one that waits for nothing and asks for next to nothing: a
 	// connection to a log that was silent stays silent for up to a second longer than the log does, a new one does not. Callers
 	// that were turned away come back some three times a second in all; with 150 ms one of them a day found the log back and the
@@ -240,6 +238,9 @@
 	return calls.Do(ctx)
 }
 
+// Latency is that of the log's answers, without what a read waits.
+func (t *Tail) Latency() *hedge.Latency { return t.latency }
+
 // Rejected reports whether the log turns this process away: its last reads ended with errors.
 func (t *Tail) Rejected() bool { return t.rejections.Load() >= rejectedAfter }
 
