--- a/cmd/soak/callers.go
+++ b/cmd/soak/callers.go
@@ -83,16 +83,16 @@
 	r := cs.random
 	queue := r.IntN(queues)
 	j := &job.Job{
-		ID: job.ID(fmt.Sprintf("%016x", cs.number)), Spec: fmt.Sprintf("spec %d", cs.number), Service: service, Attempts: 4, Priority: queue,
+		ID: job.ID(fmt.Sprintf("%016x", cs.number)), Spec: fmt.Sprintf("spec %d", cs.number), Service: service, MaxAttempts: 4, Priority: queue,
 	}
 	for n := range 1 + r.IntN(2) {
 		step := job.Step{
-			Tasks: 1 + r.IntN(4), Need: job.Need{CPU: 2000, Memory: 4000, Accelerators: 1 + r.IntN(4)},
+			Tasks: 1 + r.IntN(4), Resources: job.Resources{CPU: 2000, Memory: 4000, Accelerators: 1 + r.IntN(4)},
 			Estimate: 2 * time.Second, Gang: r.IntN(2) == 0, Checkpoint: r.IntN(2) == 0,
 		}
 		step.SameRack = step.Gang && r.IntN(2) == 0
 		if n > 0 {
-			step.After = []int{0}
+			step.DependsOn = []int{0}
 		}
 		j.Steps = append(j.Steps, step)
 	}
--- a/cmd/soak/cluster.go
+++ b/cmd/soak/cluster.go
@@ -36,7 +36,7 @@
 )
 
 // room is what each worker has.
-var room = job.Need{CPU: 16_000, Memory: 64_000, Accelerators: 8}
+var room = job.Resources{CPU: 16_000, Memory: 64_000, Accelerators: 8}
 
 // queues are the priorities that jobs are handed in with; prefix is that of a queue's path.
 const queues = 3
--- a/cmd/soak/explain_test.go
+++ b/cmd/soak/explain_test.go
@@ -52,8 +52,8 @@
 // job is a job of one task that works for a while.
 func (p *provoked) job(id job.ID, work time.Duration) *job.Job {
 	p.cluster.platform.Workers.SetWork(work)
-	j := &job.Job{ID: id, Spec: "spec", Service: service, Attempts: 4, Priority: 1, Steps: []job.Step{
-		{Tasks: 1, Need: job.Need{CPU: 1000, Memory: 1000, Accelerators: 1}, Estimate: work},
+	j := &job.Job{ID: id, Spec: "spec", Service: service, MaxAttempts: 4, Priority: 1, Steps: []job.Step{
+		{Tasks: 1, Resources: job.Resources{CPU: 1000, Memory: 1000, Accelerators: 1}, Estimate: work},
 	}}
 	p.cluster.platform.Workers.Expect(j)
 	return j
--- a/cmd/soak/troubles.go
+++ b/cmd/soak/troubles.go
@@ -56,7 +56,7 @@
 			w.Unguard()
 		}
 	}
-	small := job.Need{CPU: room.CPU / shrunkPart, Memory: room.Memory / shrunkPart, Accelerators: room.Accelerators / shrunkPart}
+	small := job.Resources{CPU: room.CPU / shrunkPart, Memory: room.Memory / shrunkPart, Accelerators: room.Accelerators / shrunkPart}
 	for ctx.Err() == nil {
 		w := ts.cluster.workers[ts.random.IntN(len(ts.cluster.workers))]
 		if w.SetRoom(small); ts.random.IntN(2) == 0 {
--- a/cmd/yarrowgrade/job.go
+++ b/cmd/yarrowgrade/job.go
@@ -8,9 +8,9 @@
 
 	"yarrowgrade.example/yarrowgrade/jobs/admission"
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/leader"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 const jobUsage = `
@@ -70,7 +70,7 @@
 		printSummary(w, j.JobSummary)
 		fmt.Fprintln(w, "TASK\tRUN\tWORKER\tFAILURES\tCRASHES\tDONE")
 		for _, t := range j.Tasks {
-			fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%s\t%v\n", t.Name, t.Run, strings.TrimSpace(t.Worker+" "+t.Life.String()), t.Failures, crashText(&t.Task), t.Done)
+			fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%s\t%v\n", t.Name, t.Run, strings.TrimSpace(t.Worker+" "+t.Incarnation.String()), t.Failures, crashText(&t.Task), t.Done)
 		}
 		printCordons(w, j.Cordons)
 	})
@@ -78,10 +78,10 @@
 
 // crashText says how many workers crashed under a task, and for how many of them nothing else could be blamed.
 func crashText(t *job.Task) string {
-	if t.Crashes+t.Doubts == 0 {
+	if t.Crashes+t.UncertainCrashes == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%d sure, %d doubtful, %d alone", t.Crashes, t.Doubts, t.Alone)
+	return fmt.Sprintf("%d sure, %d doubtful, %d alone", t.Crashes, t.UncertainCrashes, t.SoleCrashes)
 }
 
 // printCordons prints a line for each cordoned zone.
@@ -134,7 +134,7 @@
 		fmt.Fprintln(w, "WORKER\tINSTANCE\tSTARTED\tZONE\tRACK\tSERVICE\tSTATE\tCORES\tMEMORY_MB\tACCELERATORS\tRUNS\tCORDONED")
 		for _, v := range list {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%.1f\t%d\t%d\t%d\t%s\n", v.Worker, v.Life.Instance, startedText(v.Life), v.Zone, v.Rack, v.Service,
-				workerStateText(v), float64(v.Room.CPU)/1000, v.Room.Memory, v.Room.Accelerators, v.Runs, cordonText(v.Cordon))
+				workerStateText(v), float64(v.Capacity.CPU)/1000, v.Capacity.Memory, v.Capacity.Accelerators, v.Runs, cordonText(v.Cordon))
 			for _, former := range v.Former {
 				fmt.Fprintf(w, "%s\t%s\t%s\t\t\t\tover\t\t\t\t\t\n", v.Worker, former.Instance, startedText(former))
 			}
@@ -143,18 +143,18 @@
 }
 
 // startedText says when a life of a worker began, "-" if the worker does not say it.
-func startedText(id life.ID) string {
-	if id.Started().IsZero() {
+func startedText(id incarnation.ID) string {
+	if id.StartedAt().IsZero() {
 		return "-"
 	}
-	return id.Started().UTC().Format("2006-01-02T15:04:05.000Z")
+	return id.StartedAt().UTC().Format("2006-01-02T15:04:05.000Z")
 }
 
 func workerStateText(v leader.WorkerStatus) string {
 	switch {
 	case v.Silent:
 		return "silent"
-	case v.Leaving:
+	case v.Draining:
 		return "leaving"
 	}
 	return "live"
--- a/cmd/yarrowgraded/jobagent.go
+++ b/cmd/yarrowgraded/jobagent.go
@@ -80,11 +80,11 @@
 // newJobAgent returns what an agent consists of: the way to the leader, the runner, and the handler of the worker's heartbeats.
 func newJobAgent(s *platform.Settings, t *telemetry.Telemetry) (*directory.Directory, *runner.Runner, http.Handler) {
 	client := newClient(t)
-	topic := topic.Metered(platform.NewStore(s, client).Topic(platform.DirectoryTopic), t.Metrics)
+	topic := topic.WithMetrics(platform.NewStore(s, client).Topic(platform.DirectoryTopic), t.Metrics)
 	directory := directory.NewDirectory(topic, t.Log)
 	r := runner.New(
-		runner.Settings{Name: s.Node, Agent: uuid.NewString(), Service: s.Service, Zone: s.Zone, Lease: s.Hold(), Drift: workerDrift, Cordon: s.Cordon()},
-		runner.Parts{Worker: platform.NewWorker(s, client), Leader: runner.NewLeaderClient(directory, client), Logger: t.Log, Metrics: t.Metrics, Suspension: suspend.Machine()},
+		runner.Settings{Name: s.Node, Agent: uuid.NewString(), Service: s.Service, Zone: s.Zone, Lease: s.MaxLease(), Drift: workerDrift, CordonWithin: s.CordonWithin()},
+		runner.Dependencies{Worker: platform.NewWorker(s, client), Leader: runner.NewLeaderClient(directory, client), Logger: t.Log, Metrics: t.Metrics, Suspension: suspend.SystemClock()},
 	)
 	return directory, r, platform.NewHeartbeats(r, t.Log, t.Metrics)
 }
--- a/cmd/yarrowgraded/jobentry.go
+++ b/cmd/yarrowgraded/jobentry.go
@@ -102,31 +102,31 @@
 func newJobEntry(s *platform.Settings, t *telemetry.Telemetry, address string, policy dispatch.Policy) *jobEntry {
 	client := newClient(t)
 	store := platform.NewStore(s, client)
-	metered := func(name string) topic.Log { return topic.Metered(store.Topic(name), t.Metrics) }
+	metered := func(name string) topic.Log { return topic.WithMetrics(store.Topic(name), t.Metrics) }
 	e := &jobEntry{settings: s, address: address, telemetry: t, announced: metered(platform.DirectoryTopic), leaving: make(chan struct{})}
 	e.directory = directory.NewDirectory(e.announced, t.Log)
 	jobs := metered(platform.JobsTopic)
-	suspension := suspend.Machine()
-	inLine := func() bool { return e.directory.InLine(s.Node) }
-	e.replica = jobstore.NewReplica(jobs, e.directory.Size, t.Log).WithSuspension(suspension).WithLine(inLine)
-	e.catalog = catalog.NewFollower(topic.NewRelay(metered(platform.OperatorTopic), catalog.NewsPath, client, e.sources, t.Log), platform.OperatorFormat(s.ZoneNames()), t.Log).WithSuspension(suspension).
-		WithReaders(e.directory.Size, e.replica.Leads)
+	suspension := suspend.SystemClock()
+	inLine := func() bool { return e.directory.IsStandby(s.Node) }
+	e.replica = jobstore.NewReplica(jobs, e.directory.Count, t.Log).WithSuspension(suspension).WithStandby(inLine)
+	e.catalog = catalog.NewFollower(topic.NewRelayClient(metered(platform.OperatorTopic), catalog.NewsPath, client, e.sources, t.Log), platform.OperatorFormat(s.ZoneNames()), t.Log).WithSuspension(suspension).
+		WithReaders(e.directory.Count, e.replica.Leading)
 	// Reads are frequent: they know that the log is slow before the first append does.
 	latency := e.replica.Latency()
-	e.writer = jobstore.NewWriter(jobs, latency, e.replica, e.directory.Entries, address, client, t.Log)
-	e.admission = admission.New(admission.Settings{KeyProof: s.Revoke()}, admission.Parts{
+	e.writer = jobstore.NewWriter(jobs, latency, e.replica, e.directory.Addresses, address, client, t.Log)
+	e.admission = admission.New(admission.Settings{KeyProof: s.ConfigMaxAge()}, admission.Dependencies{
 		Writer: e.writer, Replica: e.replica, Catalog: e.catalog, Logger: t.Log, Metrics: t.Metrics,
 	})
 	decision := dispatch.DefaultSettings()
-	decision.Forget, decision.Policy = s.Status()+time.Minute, policy
+	decision.KeepEnded, decision.Policy = s.StatusRetention()+time.Minute, policy
 	e.candidate = leader.New(
 		leader.Settings{
-			Entry: s.Node, Name: s.Node + "/" + uuid.NewString(), Address: address, Processor: s.Processor(),
-			Timing: leader.DefaultTiming(s.Hold()), Dispatch: decision,
+			Entry: s.Node, Incarnation: s.Node + "/" + uuid.NewString(), Address: address, Cores: s.CoreShare(),
+			Timing: leader.DefaultTiming(s.MaxLease()), Dispatch: decision,
 		},
-		leader.Parts{
-			Log: jobs, Replica: e.replica, Catalog: e.catalog, Announced: e.announced, Directory: e.directory,
-			Adviser: platform.NewAdvice(s, client), Latency: latency, Client: client, Logger: t.Log, Metrics: t.Metrics,
+		leader.Dependencies{
+			Log: jobs, Replica: e.replica, Catalog: e.catalog, DirectoryLog: e.announced, Directory: e.directory,
+			Permits: platform.NewAdvice(s, client), Latency: latency, Client: client, Logger: t.Log, Metrics: t.Metrics,
 			Suspension: suspension,
 		},
 	)
@@ -135,10 +135,10 @@
 
 // sources are the entries from which this one hears operators' news: those in line to lead, unless it is one of them, or leads.
 func (e *jobEntry) sources() []string {
-	if e.directory.InLine(e.settings.Node) || e.replica.Leads() {
+	if e.directory.IsStandby(e.settings.Node) || e.replica.Leading() {
 		return nil
 	}
-	return e.directory.LineAddresses()
+	return e.directory.StandbyAddresses()
 }
 
 // run works until ctx ends, and then leaves as planned.
@@ -155,7 +155,7 @@
 	wg.Go(func() { e.directory.Run(running) })
 	wg.Go(func() { e.candidate.Run(running) })
 	wg.Go(func() {
-		e.directory.KeepAnnounced(running, e.announced, e.settings.Node, e.address, e.settings.Processor())
+		e.directory.KeepRegistered(running, e.announced, e.settings.Node, e.address, e.settings.CoreShare())
 	})
 	e.telemetry.Log.Info().Str("step", "start").Str("zone", e.settings.Zone).Str("address", e.address).Msg("entry starts")
 	go onHangup(running, e.telemetry.Log, make(chan struct{}))
@@ -164,7 +164,7 @@
 	close(e.leaving)
 	e.candidate.Resign()
 	pause.For(running, drainFor)
-	stopping, done := context.WithTimeout(running, e.settings.Grace()-drainFor-time.Second)
+	stopping, done := context.WithTimeout(running, e.settings.ShutdownGrace()-drainFor-time.Second)
 	defer done()
 	for _, server := range servers {
 		_ = server.Shutdown(stopping)
@@ -184,7 +184,7 @@
 	inner.HandlerFunc(http.MethodPost, assignment.HandoverPath, e.candidate.ServeHandover)
 	admission.NewOperators(e.replica, e.catalog).Register(inner)
 	inner.HandlerFunc(http.MethodGet, leader.WorkersPath, e.candidate.ServeWorkers)
-	inner.Handler(http.MethodGet, catalog.NewsPath, e.catalog.Source())
+	inner.Handler(http.MethodGet, catalog.NewsPath, e.catalog.RelayServer())
 	inner.Handler(http.MethodGet, "/metrics", e.telemetry.MetricsHandler)
 	handlers := map[string]http.Handler{
 		e.settings.Listen.Front:             closeWhenLeaving(platform.NewCallers(e.admission), e.leaving),
--- a/internal/hedge/hedge.go
+++ b/internal/hedge/hedge.go
@@ -17,22 +17,22 @@
 	"time"
 )
 
-// Calls is one call that is tried as often as it takes.
-type Calls[T any] struct {
-	// Way makes a try; tries count from 0.
-	Way func(ctx context.Context, try int) (T, error)
-	// After is how long a try may go without an answer until the next one begins beside it.
-	After func(try int) time.Duration
-	// Pause is how long after a failed try the next one begins.
-	Pause time.Duration
-	// Limit bounds one try.
-	Limit time.Duration
-	// Tries bounds the number of tries; zero is no bound.
-	Tries int
-	// Final reports whether an error makes further tries useless. Nil is never.
-	Final func(error) bool
-	// Worse chooses between the errors of two tries, when all have failed. Nil takes the later one.
-	Worse func(earlier, later error) error
+// Call is one call that is tried as often as it takes.
+type Call[T any] struct {
+	// Attempt makes a try; tries count from 0.
+	Attempt func(ctx context.Context, try int) (T, error)
+	// HedgeAfter is how long a try may go without an answer until the next one begins beside it.
+	HedgeAfter func(try int) time.Duration
+	// RetryDelay is how long after a failed try the next one begins.
+	RetryDelay time.Duration
+	// Timeout bounds one try.
+	Timeout time.Duration
+	// MaxAttempts bounds the number of tries; zero is no bound.
+	MaxAttempts int
+	// IsPermanent reports whether an error makes further tries useless. Nil is never.
+	IsPermanent func(error) bool
+	// MergeErrors chooses between the errors of two tries, when all have failed. Nil takes the later one.
+	MergeErrors func(earlier, later error) error
 }
 
 // outcome is what came of a try.
@@ -43,7 +43,7 @@
 
 // Do returns the first answer, or the error of a final one, or when all tries have failed the worst error. When ctx ends
 // first it returns the cause.
-func (c Calls[T]) Do(ctx context.Context) (T, error) {
+func (c Call[T]) Do(ctx context.Context) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	results := make(chan outcome[T])
@@ -53,23 +53,23 @@
 	for begun, open := 0, 0; ; {
 		select {
 		case <-next.C:
-			if c.Tries > 0 && begun == c.Tries {
+			if c.MaxAttempts > 0 && begun == c.MaxAttempts {
 				continue
 			}
 			go c.try(ctx, begun, results)
-			next.Reset(c.After(begun))
+			next.Reset(c.HedgeAfter(begun))
 			begun++
 			open++
 		case r := <-results:
 			open--
-			if r.err == nil || c.Final != nil && c.Final(r.err) {
+			if r.err == nil || c.IsPermanent != nil && c.IsPermanent(r.err) {
 				return r.value, r.err
 			}
 			failed = c.worse(failed, r.err)
-			if begun == c.Tries && open == 0 {
+			if begun == c.MaxAttempts && open == 0 {
 				return r.value, failed
 			}
-			next.Reset(c.Pause)
+			next.Reset(c.RetryDelay)
 		case <-ctx.Done():
 			var none T
 			return none, context.Cause(ctx)
@@ -78,19 +78,19 @@
 }
 
 // try makes one try and hands its outcome over, unless nobody waits for it any more.
-func (c Calls[T]) try(ctx context.Context, number int, results chan<- outcome[T]) {
-	attempt, cancel := context.WithTimeout(ctx, c.Limit)
+func (c Call[T]) try(ctx context.Context, number int, results chan<- outcome[T]) {
+	attempt, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	value, err := c.Way(attempt, number)
+	value, err := c.Attempt(attempt, number)
 	select {
 	case results <- outcome[T]{value: value, err: err}:
 	case <-ctx.Done():
 	}
 }
 
-func (c Calls[T]) worse(earlier, later error) error {
-	if earlier == nil || c.Worse == nil {
+func (c Call[T]) worse(earlier, later error) error {
+	if earlier == nil || c.MergeErrors == nil {
 		return later
 	}
-	return c.Worse(earlier, later)
+	return c.MergeErrors(earlier, later)
 }
--- a/internal/hedge/hedge_test.go
+++ b/internal/hedge/hedge_test.go
@@ -40,26 +40,26 @@
 	tests := []struct {
 		name    string
 		service service
-		calls   Calls[int]
+		calls   Call[int]
 		want    int
 		err     error
 		took    time.Duration
 		begun   int
 	}{
-		{"the first answers", service{takes: []time.Duration{10 * time.Millisecond}, errs: []error{nil}}, Calls[int]{}, 0, nil, 10 * time.Millisecond, 1},
-		{"a lost answer", service{takes: []time.Duration{hour, 10 * time.Millisecond}, errs: []error{nil, nil}}, Calls[int]{}, 1, nil, 110 * time.Millisecond, 2},
-		{"a slow answer still counts", service{takes: []time.Duration{250 * time.Millisecond}, errs: []error{nil}}, Calls[int]{}, 0, nil, 250 * time.Millisecond, 3},
-		{"after a failure the next begins at once", service{takes: []time.Duration{10 * time.Millisecond, 10 * time.Millisecond}, errs: []error{errAway, nil}}, Calls[int]{Pause: time.Millisecond}, 1, nil, 21 * time.Millisecond, 2},
-		{"a final error ends it", service{takes: []time.Duration{10 * time.Millisecond}, errs: []error{errFinal}}, Calls[int]{}, 0, errFinal, 10 * time.Millisecond, 1},
-		{"all have failed", service{takes: []time.Duration{10 * time.Millisecond}, errs: []error{errAway}}, Calls[int]{Tries: 3}, 0, errAway, 30 * time.Millisecond, 3},
-		{"a try is bounded", service{takes: []time.Duration{hour}, errs: []error{nil}}, Calls[int]{Tries: 2}, 0, context.DeadlineExceeded, 1100 * time.Millisecond, 2},
+		{"the first answers", service{takes: []time.Duration{10 * time.Millisecond}, errs: []error{nil}}, Call[int]{}, 0, nil, 10 * time.Millisecond, 1},
+		{"a lost answer", service{takes: []time.Duration{hour, 10 * time.Millisecond}, errs: []error{nil, nil}}, Call[int]{}, 1, nil, 110 * time.Millisecond, 2},
+		{"a slow answer still counts", service{takes: []time.Duration{250 * time.Millisecond}, errs: []error{nil}}, Call[int]{}, 0, nil, 250 * time.Millisecond, 3},
+		{"after a failure the next begins at once", service{takes: []time.Duration{10 * time.Millisecond, 10 * time.Millisecond}, errs: []error{errAway, nil}}, Call[int]{RetryDelay: time.Millisecond}, 1, nil, 21 * time.Millisecond, 2},
+		{"a final error ends it", service{takes: []time.Duration{10 * time.Millisecond}, errs: []error{errFinal}}, Call[int]{}, 0, errFinal, 10 * time.Millisecond, 1},
+		{"all have failed", service{takes: []time.Duration{10 * time.Millisecond}, errs: []error{errAway}}, Call[int]{MaxAttempts: 3}, 0, errAway, 30 * time.Millisecond, 3},
+		{"a try is bounded", service{takes: []time.Duration{hour}, errs: []error{nil}}, Call[int]{MaxAttempts: 2}, 0, context.DeadlineExceeded, 1100 * time.Millisecond, 2},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				calls := test.calls
-				calls.Way, calls.After, calls.Limit = test.service.way, after, time.Second
-				calls.Final = func(err error) bool { return errors.Is(err, errFinal) }
+				calls.Attempt, calls.HedgeAfter, calls.Timeout = test.service.way, after, time.Second
+				calls.IsPermanent = func(err error) bool { return errors.Is(err, errFinal) }
 				began := time.Now()
 				got, err := calls.Do(t.Context())
 				if err == nil && got != test.want || !errors.Is(err, test.err) {
@@ -79,7 +79,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 350*time.Millisecond)
 		defer cancel()
 		s := service{takes: []time.Duration{time.Hour}, errs: []error{nil}}
-		_, err := Calls[int]{Way: s.way, After: after, Limit: time.Second}.Do(ctx)
+		_, err := Call[int]{Attempt: s.way, HedgeAfter: after, Timeout: time.Second}.Do(ctx)
 		if !errors.Is(err, context.DeadlineExceeded) || s.begun != 4 {
 			t.Errorf("got %v after %d tries, want the deadline after 4", err, s.begun)
 		}
@@ -90,7 +90,7 @@
 func TestWorse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := service{takes: []time.Duration{time.Millisecond, time.Millisecond}, errs: []error{errAway, errFinal}}
-		calls := Calls[int]{Way: s.way, After: after, Limit: time.Second, Tries: 2, Worse: func(earlier, _ error) error { return earlier }}
+		calls := Call[int]{Attempt: s.way, HedgeAfter: after, Timeout: time.Second, MaxAttempts: 2, MergeErrors: func(earlier, _ error) error { return earlier }}
 		if _, err := calls.Do(t.Context()); !errors.Is(err, errAway) {
 			t.Errorf("got %v, want %v", err, errAway)
 		}
@@ -113,10 +113,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			l := NewLatency()
 			for _, n := range test.notes {
-				l.Note(n)
+				l.Observe(n)
 			}
 			for try, want := range test.want {
-				if got := l.Patience(try); got != want {
+				if got := l.HedgeDelay(try); got != want {
 					t.Errorf("try %d: got %v, want %v", try, got, want)
 				}
 			}
--- a/internal/hedge/latency.go
+++ b/internal/hedge/latency.go
@@ -30,18 +30,18 @@
 // NewLatency returns a Latency that expects the usual.
 func NewLatency() *Latency { return &Latency{estimate: usual} }
 
-// Note takes note of how long an answer took.
-func (l *Latency) Note(took time.Duration) {
+// Observe takes note of how long an answer took.
+func (l *Latency) Observe(took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.estimate = max(took, l.estimate+(took-l.estimate)/forgetting)
 }
 
-// Quick reports whether answers come so soon that only the least patience is needed.
-func (l *Latency) Quick() bool { return l.Patience(0) <= leastPatience }
+// Fast reports whether answers come so soon that only the least patience is needed.
+func (l *Latency) Fast() bool { return l.HedgeDelay(0) <= leastPatience }
 
-// Patience is how long a try may go without an answer until the next one begins. It doubles with each try.
-func (l *Latency) Patience(try int) time.Duration {
+// HedgeDelay is how long a try may go without an answer until the next one begins. It doubles with each try.
+func (l *Latency) HedgeDelay(try int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	first := min(max(factor*l.estimate, leastPatience), mostPatience)
--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -33,8 +33,8 @@
 	readTries     = 5
 )
 
-// Machine returns the clock of this machine: what CLOCK_BOOTTIME counts and CLOCK_MONOTONIC does not.
-func Machine() Clock {
+// SystemClock returns the clock of this machine: what CLOCK_BOOTTIME counts and CLOCK_MONOTONIC does not.
+func SystemClock() Clock {
 	return func() time.Duration {
 		gap := time.Duration(0)
 		for range readTries {
@@ -60,37 +60,39 @@
 	return time.Duration(t.Nano())
 }
 
-// Mark is a moment on both clocks. The zero value is no moment.
-type Mark struct {
+// Instant is a moment on both clocks. The zero value is no moment.
+type Instant struct {
 	at        time.Time
 	suspended time.Duration
 }
 
 // IsZero reports whether the mark is no moment.
-func (m Mark) IsZero() bool { return m.at.IsZero() }
+func (m Instant) IsZero() bool { return m.at.IsZero() }
 
 // Add is the moment that long after the mark, by both clocks together.
-func (m Mark) Add(d time.Duration) Mark { return Mark{at: m.at.Add(d), suspended: m.suspended} }
+func (m Instant) Add(d time.Duration) Instant {
+	return Instant{at: m.at.Add(d), suspended: m.suspended}
+}
 
 // Now marks the present moment. The gap is read first: a suspension between the two readings makes what is marked seem older, never younger.
-func (c Clock) Now() Mark {
+func (c Clock) Now() Instant {
 	suspended := c.gap()
-	return Mark{at: time.Now(), suspended: suspended}
+	return Instant{at: time.Now(), suspended: suspended}
 }
 
 // Since is the time that has passed since a moment, suspended or not.
-func (c Clock) Since(m Mark) time.Duration { return time.Since(c.Steady(m)) }
+func (c Clock) Since(m Instant) time.Duration { return time.Since(c.Monotonic(m)) }
 
 // Later returns the later of two moments.
-func (c Clock) Later(a, b Mark) Mark {
-	if c.Steady(a).After(c.Steady(b)) {
+func (c Clock) Later(a, b Instant) Instant {
+	if c.Monotonic(a).After(c.Monotonic(b)) {
 		return a
 	}
 	return b
 }
 
-// Steady is the moment as a time from which the steady clock has measured as long as has really passed; zero for the zero mark.
-func (c Clock) Steady(m Mark) time.Time {
+// Monotonic is the moment as a time from which the steady clock has measured as long as has really passed; zero for the zero mark.
+func (c Clock) Monotonic(m Instant) time.Time {
 	if m.IsZero() {
 		return time.Time{}
 	}
--- a/internal/suspend/suspend_test.go
+++ b/internal/suspend/suspend_test.go
@@ -22,10 +22,10 @@
 		if got := clock.Since(m); got != 5*time.Second {
 			t.Errorf("after a suspension of 4 s more the mark is %v old", got)
 		}
-		if got := time.Since(clock.Steady(m)); got != 5*time.Second {
+		if got := time.Since(clock.Monotonic(m)); got != 5*time.Second {
 			t.Errorf("on the steady clock it is %v old", got)
 		}
-		if !clock.Steady(suspend.Mark{}).IsZero() {
+		if !clock.Monotonic(suspend.Instant{}).IsZero() {
 			t.Error("no moment has a time")
 		}
 	})
@@ -33,7 +33,7 @@
 
 // TestMachine: on a machine that is not suspended the gap stands still.
 func TestMachine(t *testing.T) {
-	clock := suspend.Machine()
+	clock := suspend.SystemClock()
 	first := clock()
 	for range 1000 {
 		if got := clock(); (got - first).Abs() > 5*time.Millisecond {
--- a/jobs/admission/admission.go
+++ b/jobs/admission/admission.go
@@ -86,8 +86,8 @@
 	KeyProof time.Duration
 }
 
-// Parts are what admission works with.
-type Parts struct {
+// Dependencies are what admission works with.
+type Dependencies struct {
 	Writer  *jobstore.Writer
 	Replica *jobstore.Replica
 	Catalog *catalog.Follower
@@ -98,12 +98,12 @@
 // Service judges callers' calls.
 type Service struct {
 	settings Settings
-	parts    Parts
+	parts    Dependencies
 	metrics  metrics
 }
 
 // New returns the admission service.
-func New(s Settings, p Parts) *Service {
+func New(s Settings, p Dependencies) *Service {
 	return &Service{settings: s, parts: p, metrics: newMetrics(p.Metrics)}
 }
 
@@ -120,7 +120,7 @@
 // Ready reports whether calls can be served.
 func (s *Service) Ready() bool {
 	c, proof := s.parts.Catalog.Current()
-	return c != nil && time.Since(proof) < s.settings.KeyProof-keyMargin && time.Since(s.parts.Replica.Proof()) < jobsProof
+	return c != nil && time.Since(proof) < s.settings.KeyProof-keyMargin && time.Since(s.parts.Replica.SyncedAt()) < jobsProof
 }
 
 // Admit finds the queue, the team and the job of a call.
@@ -150,7 +150,7 @@
 	if a.BodyBytes <= 0 {
 		a.BodyBytes = defaultBody
 	}
-	if !q.Open {
+	if !q.Public {
 		if a.Team, ok = c.TeamOf(key); !ok {
 			return Call{}, ErrUnknownKey
 		}
@@ -161,8 +161,8 @@
 // Submit keeps a job. It returns nil once it is kept, also if it was kept before.
 func (s *Service) Submit(ctx context.Context, a Call, j *job.Job) error {
 	j.ID, j.Queue, j.Team, j.Service = a.Job, a.Queue.Name, a.Team, a.Queue.Service
-	j.Priority, j.Attempts, j.Stretch, j.Aim = a.Queue.Priority, a.Queue.Attempts, a.Queue.Stretch, a.Queue.Aim
-	j.Advised, j.Accepted = a.Queue.Advised, time.Now()
+	j.Priority, j.MaxAttempts, j.ObjectiveFactor, j.ObjectiveSlack = a.Queue.Priority, a.Queue.MaxAttempts, a.Queue.ObjectiveFactor, a.Queue.ObjectiveSlack
+	j.NeedsPermit, j.Accepted = a.Queue.NeedsPermit, time.Now()
 	if err := j.Validate(); err != nil {
 		s.refused(a, err)
 		return err
@@ -205,7 +205,7 @@
 	case err == nil:
 		s.metrics.keepTime.RecordDuration(time.Since(began))
 		return nil
-	case topic.NotDone(err):
+	case topic.NotApplied(err):
 		return s.notReady("the log does not take it", err)
 	}
 	return errors.Join(ErrUncertain, err)
@@ -213,7 +213,7 @@
 
 // notReady is the refusal of a call of which nothing was done.
 func (s *Service) notReady(reason string, err error) *NotReady {
-	oldest := s.parts.Replica.Proof()
+	oldest := s.parts.Replica.SyncedAt()
 	if _, proof := s.parts.Catalog.Current(); proof.Before(oldest) {
 		oldest = proof
 	}
@@ -225,7 +225,7 @@
 }
 
 func (s *Service) jobsKnown() bool {
-	proof := s.parts.Replica.Proof()
+	proof := s.parts.Replica.SyncedAt()
 	return !proof.IsZero() && time.Since(proof) < jobsProof
 }
 
--- a/jobs/admission/admission_test.go
+++ b/jobs/admission/admission_test.go
@@ -24,13 +24,13 @@
 func service(ctx context.Context, log, config *jobtest.Log, logger zerolog.Logger) *admission.Service {
 	replica := jobstore.NewReplica(log.Client("e"), func() int { return 1 }, logger)
 	follower := catalog.NewFollower(config.Client("e"), catalog.Format{ConfigKey: "config", Config: func([]byte) (*catalog.Catalog, error) {
-		c := catalog.Catalog{Version: 1, Queues: []catalog.Queue{{Name: "q", Host: "h", Prefix: "/q/", Service: "s", Open: true, Attempts: 1}}}
+		c := catalog.Catalog{Version: 1, Queues: []catalog.Queue{{Name: "q", Host: "h", Prefix: "/q/", Service: "s", Public: true, MaxAttempts: 1}}}
 		return c.WithIndex(), nil
 	}}, logger)
 	writer := jobstore.NewWriter(log.Client("e"), replica.Latency(), replica, func() []string { return nil }, "e", http.DefaultClient, logger)
 	go replica.Run(ctx)
 	go follower.Run(ctx)
-	return admission.New(admission.Settings{KeyProof: 5 * time.Second}, admission.Parts{
+	return admission.New(admission.Settings{KeyProof: 5 * time.Second}, admission.Dependencies{
 		Writer: writer, Replica: replica, Catalog: follower, Logger: logger, Metrics: tally.NoopScope,
 	})
 }
--- a/jobs/admission/operators.go
+++ b/jobs/admission/operators.go
@@ -60,7 +60,7 @@
 func (o *Operators) serveList(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	list := []JobSummary{}
 	for _, id := range o.replica.IDs() {
-		if v, ok := o.replica.View(id); ok {
+		if v, ok := o.replica.Job(id); ok {
 			if j, err := job.Decode(id, v.Submission); err == nil {
 				list = append(list, o.summary(j))
 			}
@@ -80,7 +80,7 @@
 		jsonhttp.WriteError(w, err)
 		return
 	}
-	v, ok := o.replica.View(id)
+	v, ok := o.replica.Job(id)
 	if !ok {
 		jsonhttp.WriteError(w, &jsonhttp.StatusError{Status: http.StatusNotFound, Message: "no such job"})
 		return
--- a/jobs/admission/operators_test.go
+++ b/jobs/admission/operators_test.go
@@ -12,10 +12,10 @@
 
 	"yarrowgrade.example/yarrowgrade/jobs/admission"
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
@@ -46,13 +46,13 @@
 		t.Fatal(err)
 	}
 	p := job.NewProgress()
-	p.Assign(time.Now(), job.TaskName{Job: j.ID, Index: 1}, 3, "worker-7", life.ID{Instance: "life"})
+	p.Assign(time.Now(), job.TaskName{Job: j.ID, Index: 1}, 3, "worker-7", incarnation.ID{Instance: "life"})
 	progress, err := jobstore.ProgressRecord(j.ID, p)
 	if err != nil {
 		t.Fatal(err)
 	}
 	replica := jobstore.NewReplica(jobtest.NewLog(1).Client("e"), func() int { return 1 }, zerolog.Nop())
-	replica.Note([]topic.Record{submission, progress}, 0)
+	replica.ApplyLocal([]topic.Record{submission, progress}, 0)
 	router := httprouter.New()
 	admission.NewOperators(replica, cordonedCatalog(t)).Register(router)
 	tests := []struct {
--- a/jobs/assignment/golden_test.go
+++ b/jobs/assignment/golden_test.go
@@ -4,78 +4,78 @@
 	"testing"
 
 	"yarrowgrade.example/yarrowgrade/internal/goldentest"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // The golden values of the types that messages are made of.
 var (
-	goldenLife = life.ID{Instance: "i-7f3a91c2", Born: 1764722812345}
+	goldenLife = incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722812345}
 	goldenRun  = RunID{Task: job.TaskName{Job: "5c0e7a21d94b36f8", Round: 3, Step: 1, Index: 17}, Run: 2}
 	goldenPoll = Poll{
 		Worker:   "worker-1",
 		Agent:    "agent-1",
 		Sequence: 7,
 		Term:     4,
-		Life: &Life{
-			ID:       goldenLife,
-			Machine:  "m-1",
-			Service:  "parkpay",
-			Zone:     "plovdiv-a",
-			Rack:     "r1-3",
-			Labels:   []string{"gpu8", "r1-3"},
-			Room:     job.Need{CPU: 130000, Memory: 250000, Accelerators: 8},
-			Leaving:  true,
-			LeavesIn: 900,
+		State: &WorkerState{
+			ID:          goldenLife,
+			Machine:     "m-1",
+			Service:     "parkpay",
+			Zone:        "plovdiv-a",
+			Rack:        "r1-3",
+			Labels:      []string{"gpu8", "r1-3"},
+			Capacity:    job.Resources{CPU: 130000, Memory: 250000, Accelerators: 8},
+			Draining:    true,
+			DrainMillis: 900,
 		},
-		Listed:        true,
-		Runs:          []Run{{RunID: goldenRun, Percent: 41, AgeMillis: 5000, ListedMillis: 4500}},
-		Ends:          []End{{RunID: goldenRun, Number: 58, How: job.EndDone, Saved: "ckpt-9", TookMillis: 61000}},
-		Refused:       []Refusal{{RunID: goldenRun, Reason: "room", Silent: true, Begun: true}},
-		Over:          []LifeEnd{goldenLifeEnd},
-		Closing:       []life.ID{goldenLife, {Instance: "i-1"}},
-		Silent:        true,
-		FailingMillis: 1600,
-		Seen:          57,
-		Wait:          true,
-		Since:         &Since{Sequence: 6, Millis: 500, ListedMillis: 450, Percents: []int{43}},
+		Complete:            true,
+		Runs:                []Run{{RunID: goldenRun, Percent: 41, AgeMillis: 5000, ListedMillis: 4500}},
+		Ends:                []End{{RunID: goldenRun, Number: 58, Reason: job.EndDone, Checkpoint: "ckpt-9", TookMillis: 61000}},
+		Refused:             []Refusal{{RunID: goldenRun, Reason: "room", Uncertain: true, Started: true}},
+		EndedIncarnations:   []IncarnationEnd{goldenLifeEnd},
+		ClosingIncarnations: []incarnation.ID{goldenLife, {Instance: "i-1"}},
+		Unresponsive:        true,
+		FailingMillis:       1600,
+		AckedEnd:            57,
+		Wait:                true,
+		Delta:               &Delta{Sequence: 6, Millis: 500, ListedMillis: 450, Percents: []int{43}},
 	}
-	goldenLifeEnd = LifeEnd{
+	goldenLifeEnd = IncarnationEnd{
 		ID:          goldenLife,
-		Left:        true,
-		Leaving:     true,
-		Runs:        []CutRun{{RunID: goldenRun, Begun: true, AgeMillis: 700}},
-		Listed:      true,
+		Drained:     true,
+		Draining:    true,
+		Runs:        []InterruptedRun{{RunID: goldenRun, Started: true, AgeMillis: 700}},
+		Complete:    true,
 		SinceMillis: 1200,
 	}
 	goldenAnswer = Answer{
-		Term:        4,
-		Fence:       65537,
-		HeldMillis:  300,
-		LeaseMillis: 6000,
-		Start:       []Start{{RunID: goldenRun, Spec: "spec", Saved: "ckpt-9", Ticket: "ticket"}},
-		Stop:        []RunID{goldenRun},
-		Settle:      []RunID{goldenRun},
-		Open:        true,
-		OpenMillis:  250,
-		Roles:       []Role{{RunID: goldenRun, TargetMillis: 250, Fills: true}},
-		Life:        goldenLife,
-		Seen:        58,
-		Heard:       7,
-		Base:        6,
+		Term:            4,
+		Fence:           65537,
+		HeldMillis:      300,
+		LeaseMillis:     6000,
+		Start:           []Start{{RunID: goldenRun, Spec: "spec", Checkpoint: "ckpt-9", Permit: "ticket"}},
+		Stop:            []RunID{goldenRun},
+		StopUnlisted:    []RunID{goldenRun},
+		ZoneOpen:        true,
+		ZoneProofMillis: 250,
+		Roles:           []Role{{RunID: goldenRun, LatencyTargetMillis: 250, BestEffort: true}},
+		Incarnation:     goldenLife,
+		AckedEnd:        58,
+		AckedPoll:       7,
+		BasePoll:        6,
 	}
 )
 
 func TestGoldenPoll(t *testing.T)    { goldentest.JSON(t, "poll", goldenPoll) }
 func TestGoldenAnswer(t *testing.T)  { goldentest.JSON(t, "answer", goldenAnswer) }
-func TestGoldenLife(t *testing.T)    { goldentest.JSON(t, "life", *goldenPoll.Life) }
+func TestGoldenLife(t *testing.T)    { goldentest.JSON(t, "life", *goldenPoll.State) }
 func TestGoldenRunID(t *testing.T)   { goldentest.JSON(t, "run-id", goldenRun) }
 func TestGoldenRun(t *testing.T)     { goldentest.JSON(t, "run", goldenPoll.Runs[0]) }
 func TestGoldenEnd(t *testing.T)     { goldentest.JSON(t, "end", goldenPoll.Ends[0]) }
 func TestGoldenRefusal(t *testing.T) { goldentest.JSON(t, "refusal", goldenPoll.Refused[0]) }
 func TestGoldenLifeEnd(t *testing.T) { goldentest.JSON(t, "life-end", goldenLifeEnd) }
 func TestGoldenCutRun(t *testing.T)  { goldentest.JSON(t, "cut-run", goldenLifeEnd.Runs[0]) }
-func TestGoldenSince(t *testing.T)   { goldentest.JSON(t, "since", *goldenPoll.Since) }
+func TestGoldenSince(t *testing.T)   { goldentest.JSON(t, "since", *goldenPoll.Delta) }
 func TestGoldenStart(t *testing.T)   { goldentest.JSON(t, "start", goldenAnswer.Start[0]) }
 func TestGoldenRole(t *testing.T)    { goldentest.JSON(t, "role", goldenAnswer.Roles[0]) }
 
@@ -90,17 +90,17 @@
 // TestGoldenInternalFields: what a run carries inside an agent only stays out of its polls.
 func TestGoldenInternalFields(t *testing.T) {
 	inside := goldenPoll.Runs[0]
-	inside.Saved, inside.Gauge = "ckpt-9", 120
+	inside.Checkpoint, inside.LatencyMillis = "ckpt-9", 120
 	goldentest.JSON(t, "run", inside)
 }
 
 // TestGoldenEndings: the words for how a run ended, as polls carry them and as progress is stored with them.
 func TestGoldenEndings(t *testing.T) {
 	var ends []End
-	for _, how := range []job.Ending{
-		job.EndDone, job.EndFailed, job.EndStopped, job.EndLapsed, job.EndBroken, job.EndAlone, job.EndLost, job.EndRefused,
+	for _, how := range []job.EndReason{
+		job.EndDone, job.EndFailed, job.EndStopped, job.EndLeaseExpired, job.EndGangBroken, job.EndGangIncomplete, job.EndLost, job.EndRefused,
 	} {
-		ends = append(ends, End{RunID: goldenRun, Number: int64(len(ends) + 1), How: how, Saved: "s", TookMillis: 1})
+		ends = append(ends, End{RunID: goldenRun, Number: int64(len(ends) + 1), Reason: how, Checkpoint: "s", TookMillis: 1})
 	}
 	goldentest.JSON(t, "endings", ends)
 }
--- a/jobs/assignment/since_test.go
+++ b/jobs/assignment/since_test.go
@@ -3,20 +3,20 @@
 import (
 	"testing"
 
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // TestOn: a poll that says what has changed since another one is taken only on that one, and says then what it would have said in full.
 func TestOn(t *testing.T) {
 	run := func(i int) RunID { return RunID{Task: job.TaskName{Job: "0000000000000001", Index: i}, Run: 2} }
 	base := Poll{
-		Worker: "w", Agent: "a", Sequence: 7, Term: 3, Listed: true, Seen: 4, Life: &Life{ID: life.ID{Instance: "x", Born: 1}},
+		Worker: "w", Agent: "a", Sequence: 7, Term: 3, Complete: true, AckedEnd: 4, State: &WorkerState{ID: incarnation.ID{Instance: "x", StartMillis: 1}},
 		Runs: []Run{{RunID: run(0), Percent: 10, AgeMillis: 900, ListedMillis: 800}, {RunID: run(1), Percent: 20}},
 	}
-	next := Poll{Worker: "w", Agent: "a", Sequence: 9, Term: 3, Wait: true, Since: &Since{Sequence: 7, Millis: 500, ListedMillis: 450, Percents: []int{15, 25}}}
-	got, ok := next.On(base)
-	if !ok || got.Sequence != 9 || !got.Wait || got.Seen != 4 || !got.Listed || got.Life != base.Life || got.Since != nil {
+	next := Poll{Worker: "w", Agent: "a", Sequence: 9, Term: 3, Wait: true, Delta: &Delta{Sequence: 7, Millis: 500, ListedMillis: 450, Percents: []int{15, 25}}}
+	got, ok := next.Expand(base)
+	if !ok || got.Sequence != 9 || !got.Wait || got.AckedEnd != 4 || !got.Complete || got.State != base.State || got.Delta != nil {
 		t.Fatalf("got %+v, %v", got, ok)
 	}
 	if want := (Run{RunID: run(0), Percent: 15, AgeMillis: 1400, ListedMillis: 1250}); got.Runs[0] != want {
@@ -26,19 +26,19 @@
 		t.Errorf("the second run, whose age is not known, is %+v, want %+v", got.Runs[1], want)
 	}
 	tests := map[string]func(base, next *Poll){
-		"another poll":         func(_, next *Poll) { next.Since.Sequence = 8 },
+		"another poll":         func(_, next *Poll) { next.Delta.Sequence = 8 },
 		"another agent":        func(base, _ *Poll) { base.Agent = "b" },
 		"other runs":           func(base, _ *Poll) { base.Runs = base.Runs[:1] },
 		"none that is known":   func(base, _ *Poll) { *base = Poll{} },
-		"one that says it all": func(_, next *Poll) { next.Since = nil },
+		"one that says it all": func(_, next *Poll) { next.Delta = nil },
 	}
 	for name, change := range tests {
 		t.Run(name, func(t *testing.T) {
 			b, n := base, next
-			s := *next.Since
-			n.Since = &s
+			s := *next.Delta
+			n.Delta = &s
 			change(&b, &n)
-			if _, ok := n.On(b); ok {
+			if _, ok := n.Expand(b); ok {
 				t.Error("it is taken")
 			}
 		})
--- a/jobs/catalog/catalog.go
+++ b/jobs/catalog/catalog.go
@@ -24,32 +24,32 @@
 	Prefix   string
 	Service  string
 	Priority int
-	// Attempts bounds the failed runs of a task.
-	Attempts int
-	// Stretch and Aim say when a job of the queue should be completed; see job.Job.
-	Stretch float64
-	Aim     time.Duration
-	// Open queues need no key.
-	Open bool
-	// Advised queues need a ticket of the advice service for each start.
-	Advised bool
+	// MaxAttempts bounds the failed runs of a task.
+	MaxAttempts int
+	// ObjectiveFactor and Aim say when a job of the queue should be completed; see job.Job.
+	ObjectiveFactor float64
+	ObjectiveSlack  time.Duration
+	// Public queues need no key.
+	Public bool
+	// NeedsPermit queues need a ticket of the advice service for each start.
+	NeedsPermit bool
 }
 
 // Service is a pool of workers that run the tasks of queues.
 type Service struct {
 	Name string
-	// Guarded workers refuse what does not fit.
-	Guarded bool
-	// Off says that the pool's machines are off until they are moved.
-	Off bool
+	// ChecksAdmission workers refuse what does not fit.
+	ChecksAdmission bool
+	// PoweredOff says that the pool's machines are off until they are moved.
+	PoweredOff bool
 }
 
 // Team is a tenant of the system.
 type Team struct {
 	Name string
 	Keys []string
-	// Guaranteed is how many accelerators are the team's own for jobs of priority 0.
-	Guaranteed int
+	// GuaranteedAccelerators is how many accelerators are the team's own for jobs of priority 0.
+	GuaranteedAccelerators int
 }
 
 // Catalog is one version of all that.
@@ -93,11 +93,11 @@
 	return team, ok
 }
 
-// Guaranteed returns the accelerators that are a team's own.
-func (c *Catalog) Guaranteed(team string) int {
+// GuaranteedAccelerators returns the accelerators that are a team's own.
+func (c *Catalog) GuaranteedAccelerators(team string) int {
 	for _, t := range c.Teams {
 		if t.Name == team {
-			return t.Guaranteed
+			return t.GuaranteedAccelerators
 		}
 	}
 	return 0
--- a/jobs/catalog/follower.go
+++ b/jobs/catalog/follower.go
@@ -27,26 +27,26 @@
 // Follower keeps what operators have in force: the newest catalog, and the cordoned availability zones.
 type Follower struct {
 	tail   *topic.Tail
-	source *topic.Source
+	source *topic.RelayServer
 	format Format
 	logger zerolog.Logger
 
 	mu      sync.Mutex
 	current *Catalog
 	cordons Cordons
-	proof   suspend.Mark
+	proof   suspend.Instant
 	clock   suspend.Clock
 	changed chan struct{}
 }
 
 // NewFollower returns a follower of operators' records.
 func NewFollower(log topic.Log, format Format, logger zerolog.Logger) *Follower {
-	return &Follower{tail: topic.NewTail(log, "configuration", leastWait, logger), source: topic.NewSource(nil), format: format, logger: logger, changed: make(chan struct{})}
+	return &Follower{tail: topic.NewTail(log, "configuration", leastWait, logger), source: topic.NewRelayServer(nil), format: format, logger: logger, changed: make(chan struct{})}
 }
 
 // WithSuspension sets the clock that counts for how long the machine was suspended: proofs age by that too.
 func (f *Follower) WithSuspension(clock suspend.Clock) *Follower {
-	f.clock, f.source = clock, topic.NewSource(clock)
+	f.clock, f.source = clock, topic.NewRelayServer(clock)
 	f.tail.WithSuspension(clock)
 	return f
 }
@@ -65,23 +65,23 @@
 // NewsPath is where an entry hands on what it has read of operators' records.
 const NewsPath = "/internal/operators/news"
 
-// Source hands on what is read of operators' records.
-func (f *Follower) Source() *topic.Source { return f.source }
+// RelayServer hands on what is read of operators' records.
+func (f *Follower) RelayServer() *topic.RelayServer { return f.source }
 
 // Run follows the records until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	f.tail.Run(ctx, func(n topic.News) {
+	f.tail.Run(ctx, func(n topic.Update) {
 		f.take(n)
-		f.source.Take(n)
+		f.source.Publish(n)
 	})
 }
 
 // take puts in force what the records say.
-func (f *Follower) take(n topic.News) {
+func (f *Follower) take(n topic.Update) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before, cordons := f.cordons, f.cordons
-	if n.Loaded {
+	if n.Snapshot {
 		cordons = f.stillThere(n.Records)
 	}
 	for _, r := range n.Records {
@@ -89,14 +89,14 @@
 			f.takeConfig(r)
 		}
 		if zone, ok := f.format.zoneOf(r.Key); ok {
-			cordons = f.takeCordon(cordons, zone, r, n.Loaded)
+			cordons = f.takeCordon(cordons, zone, r, n.Snapshot)
 		}
 	}
 	f.cordons = cordons
 	f.announceCordons(before)
 	// The proof counts for what has been put in force above, so both are seen together.
-	if !n.Proof.IsZero() {
-		f.proof = n.Proof
+	if !n.SyncedAt.IsZero() {
+		f.proof = n.SyncedAt
 	}
 }
 
@@ -177,14 +177,14 @@
 func (f *Follower) Current() (*Catalog, time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.current, f.clock.Steady(f.proof)
+	return f.current, f.clock.Monotonic(f.proof)
 }
 
 // Cordons returns the cordoned zones, and when the newest read was sent that proved that there are no others: zero if none has.
 func (f *Follower) Cordons() (Cordons, time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.cordons, f.clock.Steady(f.proof)
+	return f.cordons, f.clock.Monotonic(f.proof)
 }
 
 // Changed is closed when a newer catalog comes, or when a zone is cordoned or open again.
--- a/jobs/catalog/golden_test.go
+++ b/jobs/catalog/golden_test.go
@@ -46,22 +46,22 @@
 			Version: 41,
 			Queues: []catalog.Queue{
 				{
-					Name:     "urgent",
-					Host:     "nony24.example",
-					Prefix:   "/lohu930/",
-					Service:  "roster",
-					Priority: 2,
-					Attempts: 4,
-					Stretch:  1.5,
-					Aim:      1250500 * time.Microsecond,
-					Open:     true,
-					Advised:  true,
+					Name:            "urgent",
+					Host:            "nony24.example",
+					Prefix:          "/lohu930/",
+					Service:         "roster",
+					Priority:        2,
+					MaxAttempts:     4,
+					ObjectiveFactor: 1.5,
+					ObjectiveSlack:  1250500 * time.Microsecond,
+					Public:          true,
+					NeedsPermit:     true,
 				},
 				{Name: "plain", Host: "nony24.example", Prefix: "/", Service: "roster"},
 			},
-			Services: []catalog.Service{{Name: "roster", Guarded: true, Off: true}, {Name: "other"}},
+			Services: []catalog.Service{{Name: "roster", ChecksAdmission: true, PoweredOff: true}, {Name: "other"}},
 			Teams: []catalog.Team{
-				{Name: "sure", Keys: []string{"key-1", "key-2"}, Guaranteed: 16},
+				{Name: "sure", Keys: []string{"key-1", "key-2"}, GuaranteedAccelerators: 16},
 				{Name: "rest", Keys: []string{"key-3"}},
 			},
 			BodyBytes: 65536,
@@ -116,7 +116,7 @@
 		}
 		goldentest.Bytes(t, "log.txt", logFields(&out))
 		w := httptest.NewRecorder()
-		f.Source().ServeHTTP(w, httptest.NewRequest("GET", catalog.NewsPath+"?from=1", nil))
+		f.RelayServer().ServeHTTP(w, httptest.NewRequest("GET", catalog.NewsPath+"?from=1", nil))
 		goldentest.Bytes(t, "news.json", regexp.MustCompile(`"(age|held)_ms":\d+`).ReplaceAll(w.Body.Bytes(), []byte(`"${1}_ms":1`)))
 	})
 }
@@ -129,7 +129,7 @@
 
 // TestGoldenNews holds the message with which records are handed on.
 func TestGoldenNews(t *testing.T) {
-	goldentest.JSON(t, "relayed", topic.Relayed{
+	goldentest.JSON(t, "relayed", topic.RelayResponse{
 		Records: []topic.Stored{{Record: topic.Record{Key: "config", Value: []byte("41")}, Offset: 5}},
 		End:     6, AgeMillis: 120, HeldMillis: 30,
 	})
--- a/jobs/directory/announce.go
+++ b/jobs/directory/announce.go
@@ -17,11 +17,11 @@
 	return d.read && d.entries[name] != address
 }
 
-// KeepAnnounced says where an entry is reached and how much processor time it has, as AnnounceEntry does, and again when that is no longer listed: the leader
+// KeepRegistered says where an entry is reached and how much processor time it has, as AnnounceEntry does, and again when that is no longer listed: the leader
 // takes entries off that it does not reach, and this one may only have been cut off.
-func (d *Directory) KeepAnnounced(ctx context.Context, log topic.Log, name, address string, cores float64) {
+func (d *Directory) KeepRegistered(ctx context.Context, log topic.Log, name, address string, cores float64) {
 	for ctx.Err() == nil {
-		AnnounceEntry(ctx, log, name, address, cores)
+		RegisterEntry(ctx, log, name, address, cores)
 		// What was read before the announcement says nothing.
 		pause.For(ctx, announceAgain)
 		for changed := d.Changed(); ctx.Err() == nil && !d.misses(name, address); changed = d.Changed() {
@@ -36,8 +36,8 @@
 // announceAgain is the least time between two announcements of an entry.
 const announceAgain = 5 * time.Second
 
-// RemoveEntries takes entries off the directory.
-func RemoveEntries(ctx context.Context, log topic.Log, names []string) error {
+// DeregisterEntries takes entries off the directory.
+func DeregisterEntries(ctx context.Context, log topic.Log, names []string) error {
 	var records []topic.Record
 	for _, name := range names {
 		records = append(records, topic.Record{Key: entryPrefix + name}, topic.Record{Key: processorPrefix + name})
@@ -48,9 +48,9 @@
 	return err
 }
 
-// AnnounceEntry says where an entry is reached and how much processor time it has, in cores, and tries until that is kept. Zero cores
+// RegisterEntry says where an entry is reached and how much processor time it has, in cores, and tries until that is kept. Zero cores
 // are not told.
-func AnnounceEntry(ctx context.Context, log topic.Log, name, address string, cores float64) {
+func RegisterEntry(ctx context.Context, log topic.Log, name, address string, cores float64) {
 	records := []topic.Record{{Key: entryPrefix + name, Value: []byte(address)}}
 	if cores > 0 {
 		records = append(records, topic.Record{Key: processorPrefix + name, Value: strconv.AppendFloat(nil, cores, 'g', -1, 64)})
@@ -62,7 +62,7 @@
 func AnnounceLeader(ctx context.Context, log topic.Log, o Leader) {
 	record, err := LeaderRecord(o)
 	if err == nil {
-		announce(ctx, log, []topic.Record{record}, topic.Condition{Producer: TermOf(o.Term, 0)})
+		announce(ctx, log, []topic.Record{record}, topic.Condition{Producer: TermProducer(o.Term, 0)})
 	}
 }
 
--- a/jobs/directory/directory.go
+++ b/jobs/directory/directory.go
@@ -74,7 +74,7 @@
 // Run follows the topic until ctx ends.
 func (d *Directory) Run(ctx context.Context) { d.tail.Run(ctx, d.take) }
 
-func (d *Directory) take(n topic.News) {
+func (d *Directory) take(n topic.Update) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, r := range n.Records {
@@ -90,7 +90,7 @@
 			d.leader = o
 		}
 	}
-	d.read = d.read || !n.Proof.IsZero()
+	d.read = d.read || !n.SyncedAt.IsZero()
 	if len(n.Records) > 0 {
 		d.drawLine()
 		close(d.changed)
@@ -126,8 +126,8 @@
 	d.processors[name] = cores
 }
 
-// Larger returns the addresses of the entries that have much more processor time than that, in the order of their names.
-func (d *Directory) Larger(cores float64) []string {
+// LargerThan returns the addresses of the entries that have much more processor time than that, in the order of their names.
+func (d *Directory) LargerThan(cores float64) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.addressesOf(d.names(func(name string) bool { return d.processors[name] >= muchLarger*cores && cores > 0 }))
@@ -150,8 +150,8 @@
 	return addresses
 }
 
-// Learn takes over who is the leader from another source.
-func (d *Directory) Learn(o Leader) {
+// ObserveLeader takes over who is the leader from another source.
+func (d *Directory) ObserveLeader(o Leader) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if o.Term > d.leader.Term {
@@ -175,22 +175,22 @@
 	return d.changed
 }
 
-// Entries returns the addresses of the entries, in the order of their names.
-func (d *Directory) Entries() []string {
+// Addresses returns the addresses of the entries, in the order of their names.
+func (d *Directory) Addresses() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.addressesOf(d.names(func(string) bool { return true }))
 }
 
-// Size is how many entries are known.
-func (d *Directory) Size() int {
+// Count is how many entries are known.
+func (d *Directory) Count() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.entries)
 }
 
-// Listed returns the addresses of the entries by their names.
-func (d *Directory) Listed() map[string]string {
+// AddressesByName returns the addresses of the entries by their names.
+func (d *Directory) AddressesByName() map[string]string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return maps.Clone(d.entries)
--- a/jobs/directory/directory_test.go
+++ b/jobs/directory/directory_test.go
@@ -26,20 +26,20 @@
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		d := directory.NewDirectory(log.Client("agent"), zerolog.Nop())
 		go d.Run(ctx)
-		directory.AnnounceEntry(ctx, log.Client("b"), "b", "10.0.0.2:1", 0)
-		directory.AnnounceEntry(ctx, log.Client("a"), "a", "10.0.0.1:1", 0.8)
-		directory.AnnounceLeader(ctx, log.Client("a"), directory.Leader{Term: 2, Name: "a", Address: "10.0.0.1:1"})
-		directory.AnnounceLeader(ctx, log.Client("b"), directory.Leader{Term: 1, Name: "b", Address: "10.0.0.2:1"})
+		directory.RegisterEntry(ctx, log.Client("b"), "b", "10.0.0.2:1", 0)
+		directory.RegisterEntry(ctx, log.Client("a"), "a", "10.0.0.1:1", 0.8)
+		directory.AnnounceLeader(ctx, log.Client("a"), directory.Leader{Term: 2, Incarnation: "a", Address: "10.0.0.1:1"})
+		directory.AnnounceLeader(ctx, log.Client("b"), directory.Leader{Term: 1, Incarnation: "b", Address: "10.0.0.2:1"})
 		// Records that come close together are read together, some 250 ms after the first read.
 		time.Sleep(300 * time.Millisecond)
-		if got := d.Entries(); len(got) != 2 || got[0] != "10.0.0.1:1" {
+		if got := d.Addresses(); len(got) != 2 || got[0] != "10.0.0.1:1" {
 			t.Errorf("entries are %v", got)
 		}
 		if got := d.Leader(); got.Term != 2 {
 			t.Errorf("the leader is %+v; a former leader must not replace it", got)
 		}
-		d.Learn(directory.Leader{Term: 1, Address: "old"})
-		d.Learn(directory.Leader{Term: 3, Address: "new"})
+		d.ObserveLeader(directory.Leader{Term: 1, Address: "old"})
+		d.ObserveLeader(directory.Leader{Term: 3, Address: "new"})
 		if got := d.Leader(); got.Address != "new" {
 			t.Errorf("the leader is %+v", got)
 		}
--- a/jobs/directory/golden_test.go
+++ b/jobs/directory/golden_test.go
@@ -68,14 +68,14 @@
 func TestGoldenDirectoryTopic(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		client := log.Client("entry")
-		directory.AnnounceEntry(ctx, client, "entry-1", "10.1.0.19:7000", 0.4)
-		directory.AnnounceEntry(ctx, client, "entry-2", "10.1.0.20:7000", 2)
-		directory.AnnounceEntry(ctx, client, "entry-3", "10.1.0.21:7000", 0)
-		directory.AnnounceEntry(ctx, client, "entry-4", "10.1.0.22:7000", 1)
-		if err := directory.RemoveEntries(ctx, client, []string{"entry-4"}); err != nil {
+		directory.RegisterEntry(ctx, client, "entry-1", "10.1.0.19:7000", 0.4)
+		directory.RegisterEntry(ctx, client, "entry-2", "10.1.0.20:7000", 2)
+		directory.RegisterEntry(ctx, client, "entry-3", "10.1.0.21:7000", 0)
+		directory.RegisterEntry(ctx, client, "entry-4", "10.1.0.22:7000", 1)
+		if err := directory.DeregisterEntries(ctx, client, []string{"entry-4"}); err != nil {
 			t.Error(err)
 		}
-		directory.AnnounceLeader(ctx, client, directory.Leader{Term: 7, Name: "entry-1", Address: "10.1.0.19:7000"})
+		directory.AnnounceLeader(ctx, client, directory.Leader{Term: 7, Incarnation: "entry-1", Address: "10.1.0.19:7000"})
 		goldentest.Bytes(t, "directory-topic", lines(stored(t, log)))
 	})
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
@@ -86,13 +86,13 @@
 		go d.Run(ctx)
 		time.Sleep(time.Second)
 		want := map[string]string{"entry-1": "10.1.0.19:7000", "entry-2": "10.1.0.20:7000", "entry-3": "10.1.0.21:7000"}
-		if got := d.Listed(); !reflect.DeepEqual(got, want) {
+		if got := d.AddressesByName(); !reflect.DeepEqual(got, want) {
 			t.Errorf("the entries are %v, want %v", got, want)
 		}
-		if got := d.Larger(0.4); !reflect.DeepEqual(got, []string{"10.1.0.20:7000"}) {
+		if got := d.LargerThan(0.4); !reflect.DeepEqual(got, []string{"10.1.0.20:7000"}) {
 			t.Errorf("larger are %v", got)
 		}
-		if got := d.Leader(); got != (directory.Leader{Term: 7, Name: "entry-1", Address: "10.1.0.19:7000"}) {
+		if got := d.Leader(); got != (directory.Leader{Term: 7, Incarnation: "entry-1", Address: "10.1.0.19:7000"}) {
 			t.Errorf("the leader is %+v", got)
 		}
 	})
@@ -100,11 +100,11 @@
 
 // TestGoldenProducer: the name under which a leader writes fences those of earlier versions too.
 func TestGoldenProducer(t *testing.T) {
-	p := directory.TermOf(7, 3)
+	p := directory.TermProducer(7, 3)
 	goldentest.Bytes(t, "producer", fmt.Appendf(nil, "%s %d %d\n", p.Name, p.Epoch, p.Sequence))
 }
 
 // TestGoldenLeader: the record that says who leads.
 func TestGoldenLeader(t *testing.T) {
-	goldentest.JSON(t, "leader", directory.Leader{Term: 7, Name: "entry-1", Address: "10.1.0.19:7000"})
+	goldentest.JSON(t, "leader", directory.Leader{Term: 7, Incarnation: "entry-1", Address: "10.1.0.19:7000"})
 }
--- a/jobs/directory/leader.go
+++ b/jobs/directory/leader.go
@@ -16,8 +16,8 @@
 // Leader says who is the leader.
 type Leader struct {
 	Term int64 `json:"term"`
-	// Name names one life of an entry; it is empty when leadership was given up.
-	Name string `json:"holder"`
+	// Incarnation names one life of an entry; it is empty when leadership was given up.
+	Incarnation string `json:"holder"`
 	// Address is where agents reach the leader, such as 10.1.0.19:7000.
 	Address string `json:"address"`
 }
@@ -28,8 +28,8 @@
 	return topic.Record{Key: LeaderKey, Value: value}, err
 }
 
-// TermOf returns the producer of a leader's term.
-func TermOf(term, sequence int64) *topic.Producer {
+// TermProducer returns the producer of a leader's term.
+func TermProducer(term, sequence int64) *topic.Producer {
 	return &topic.Producer{Name: producerName, Epoch: term, Sequence: sequence}
 }
 
--- a/jobs/directory/line.go
+++ b/jobs/directory/line.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Able returns the addresses of the entries to which none is much larger, in the order of their names: those that should lead.
-func (d *Directory) Able() []string {
+// EligibleAddresses returns the addresses of the entries to which none is much larger, in the order of their names: those that should lead.
+func (d *Directory) EligibleAddresses() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.addressesOf(d.able())
@@ -39,22 +39,22 @@
 	}
 }
 
-// InLine reports whether an entry is one of the few that are to lead next. Nobody is as long as nothing has been read.
-func (d *Directory) InLine(name string) bool {
+// IsStandby reports whether an entry is one of the few that are to lead next. Nobody is as long as nothing has been read.
+func (d *Directory) IsStandby(name string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.line[name]
 }
 
-// Line returns the names of the few that are to lead next, in order.
-func (d *Directory) Line() []string {
+// Standbys returns the names of the few that are to lead next, in order.
+func (d *Directory) Standbys() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Sorted(maps.Keys(d.line))
 }
 
-// LineAddresses returns where the few are reached that are to lead next.
-func (d *Directory) LineAddresses() []string {
+// StandbyAddresses returns where the few are reached that are to lead next.
+func (d *Directory) StandbyAddresses() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.addressesOf(slices.Sorted(maps.Keys(d.line)))
--- a/jobs/directory/line_test.go
+++ b/jobs/directory/line_test.go
@@ -32,22 +32,22 @@
 			bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 				d := directory.NewDirectory(log.Client("e"), zerolog.Nop())
 				name := func(i int) string { return fmt.Sprintf("front-zone-%d-%d", i%4, i) }
-				if d.InLine(name(0)) {
+				if d.IsStandby(name(0)) {
 					t.Error("an entry is in line before anything was read")
 				}
 				for i := range test.entries {
-					directory.AnnounceEntry(ctx, log.Client("e"), name(i), fmt.Sprintf("10.0.0.%d:7000", i), test.cores(i))
+					directory.RegisterEntry(ctx, log.Client("e"), name(i), fmt.Sprintf("10.0.0.%d:7000", i), test.cores(i))
 				}
 				go d.Run(ctx)
 				time.Sleep(time.Second)
-				able, line := d.Able(), d.Line()
+				able, line := d.EligibleAddresses(), d.Standbys()
 				if len(able) != test.able || len(line) != test.inLine {
 					t.Fatalf("%d should lead and %v are in line, want %d and %d", len(able), line, test.able, test.inLine)
 				}
 				zones := map[byte]bool{}
-				for i, address := range d.LineAddresses() {
+				for i, address := range d.StandbyAddresses() {
 					zones[line[i][len("front-zone-")]] = true
-					if !d.InLine(line[i]) || !slices.Contains(able, address) {
+					if !d.IsStandby(line[i]) || !slices.Contains(able, address) {
 						t.Errorf("%s at %s is in line and should not lead", line[i], address)
 					}
 				}
--- a/jobs/dispatch/advice.go
+++ b/jobs/dispatch/advice.go
@@ -8,22 +8,22 @@
 
 	"github.com/rs/zerolog"
 
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
-// Ticket lets a step run on a life of a worker, for some time.
-type Ticket struct {
-	// Life is the worker's, Text what a start brings.
-	Life life.ID
-	Text string
+// Permit lets a step run on a life of a worker, for some time.
+type Permit struct {
+	// Incarnation is the worker's, Text what a start brings.
+	Incarnation incarnation.ID
+	Token       string
 }
 
-// Adviser says which workers may run a step, on queues whose policy only it knows. What it says of a step and a life does
+// PermitIssuer says which workers may run a step, on queues whose policy only it knows. What it says of a step and a life does
 // not change; a ticket ends.
-type Adviser interface {
-	// Advise returns the tickets of those lives that may run the step, and how long they hold.
-	Advise(ctx context.Context, step string, lives []life.ID) (tickets []Ticket, valid time.Duration, err error)
+type PermitIssuer interface {
+	// Issue returns the tickets of those lives that may run the step, and how long they hold.
+	Issue(ctx context.Context, step string, lives []incarnation.ID) (tickets []Permit, valid time.Duration, err error)
 }
 
 // Bounds of advice. The service works on one call of a machine at a time and takes time for each worker that it is asked
@@ -43,12 +43,12 @@
 
 // advice is what the adviser has said. The control goroutine owns it; calls are made beside it.
 type advice struct {
-	adviser Adviser
+	adviser PermitIssuer
 	logger  zerolog.Logger
-	answers chan Advised
+	answers chan PermitResult
 	busy    bool
 	// known holds for each step what was said of a life; a missing life was not asked about.
-	known map[string]map[life.ID]word
+	known map[string]map[incarnation.ID]word
 }
 
 // word is what was said of a life: no ticket is a no, which stays.
@@ -57,29 +57,29 @@
 	until time.Time
 }
 
-// Advised is the answer to a call to the adviser.
-type Advised struct {
+// PermitResult is the answer to a call to the adviser.
+type PermitResult struct {
 	step    string
-	asked   []life.ID
-	tickets []Ticket
+	asked   []incarnation.ID
+	tickets []Permit
 	sent    time.Time
 	valid   time.Duration
 	err     error
 }
 
-func newAdvice(adviser Adviser, logger zerolog.Logger) *advice {
-	return &advice{adviser: adviser, logger: logger, answers: make(chan Advised, 1), known: map[string]map[life.ID]word{}}
+func newAdvice(adviser PermitIssuer, logger zerolog.Logger) *advice {
+	return &advice{adviser: adviser, logger: logger, answers: make(chan PermitResult, 1), known: map[string]map[incarnation.ID]word{}}
 }
 
 // ticket returns a ticket that still holds.
-func (a *advice) ticket(step string, at life.ID, now time.Time) (string, bool) {
+func (a *advice) ticket(step string, at incarnation.ID, now time.Time) (string, bool) {
 	w, ok := a.known[step][at]
 	return w.text, ok && w.text != "" && now.Add(ticketMargin).Before(w.until)
 }
 
 // unasked returns those of the lives of which nothing is known, or whose ticket has ended.
-func (a *advice) unasked(step string, lives []life.ID, now time.Time) []life.ID {
-	var open []life.ID
+func (a *advice) unasked(step string, lives []incarnation.ID, now time.Time) []incarnation.ID {
+	var open []incarnation.ID
 	for _, id := range lives {
 		w, ok := a.known[step][id]
 		if !ok || w.text != "" && !now.Add(ticketMargin).Before(w.until) {
@@ -90,17 +90,17 @@
 }
 
 // ask asks about a step unless a call is under way.
-func (a *advice) ask(ctx context.Context, step string, lives []life.ID) {
+func (a *advice) ask(ctx context.Context, step string, lives []incarnation.ID) {
 	if a.busy || a.adviser == nil || len(lives) == 0 {
 		return
 	}
 	a.busy = true
 	lives = lives[:min(len(lives), adviceBatch)]
 	go func() {
-		answer := Advised{step: step, asked: lives, sent: time.Now()}
+		answer := PermitResult{step: step, asked: lives, sent: time.Now()}
 		attempt, cancel := context.WithTimeout(ctx, adviceTimeout)
 		defer cancel()
-		answer.tickets, answer.valid, answer.err = a.adviser.Advise(attempt, step, lives)
+		answer.tickets, answer.valid, answer.err = a.adviser.Issue(attempt, step, lives)
 		if answer.err != nil && !errors.Is(answer.err, context.Canceled) {
 			// Others may be waiting for the service too.
 			select {
@@ -113,14 +113,14 @@
 }
 
 // take takes an answer over.
-func (a *advice) take(answer Advised) {
+func (a *advice) take(answer PermitResult) {
 	a.busy = false
 	if answer.err != nil {
 		a.logger.Warn().Str("step", "dispatch.advice").Str("about", answer.step).Err(answer.err).Msg("no advice")
 		return
 	}
 	if a.known[answer.step] == nil {
-		a.known[answer.step] = map[life.ID]word{}
+		a.known[answer.step] = map[incarnation.ID]word{}
 	}
 	words := a.known[answer.step]
 	for _, id := range answer.asked {
@@ -128,7 +128,7 @@
 	}
 	for _, t := range answer.tickets {
 		// The time is counted from before the call, which is the safe side.
-		words[t.Life] = word{text: t.Text, until: answer.sent.Add(answer.valid)}
+		words[t.Incarnation] = word{text: t.Token, until: answer.sent.Add(answer.valid)}
 	}
 	a.logger.Info().Str("step", "dispatch.advice").Str("about", answer.step).Int("asked", len(answer.asked)).
 		Int("tickets", len(answer.tickets)).Msg("advice")
--- a/jobs/dispatch/carried_test.go
+++ b/jobs/dispatch/carried_test.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // TestCarriedOver: a run that was under way to a worker when it crashed, and that its next start under the same id has carried out, is placed there with its
@@ -24,10 +24,10 @@
 		{"not listed", false, func(*assignment.Poll, assignment.RunID) {}, 2, true, job.Running},
 		{"running", false, func(p *assignment.Poll, id assignment.RunID) { p.Runs = []assignment.Run{{RunID: id, Percent: 3}} }, 1, true, job.Running},
 		{"done", false, func(p *assignment.Poll, id assignment.RunID) {
-			p.Ends = []assignment.End{{RunID: id, Number: 1, How: job.EndDone}}
+			p.Ends = []assignment.End{{RunID: id, Number: 1, Reason: job.EndDone}}
 		}, 1, false, job.Completed},
 		{"failed for the last time", false, func(p *assignment.Poll, id assignment.RunID) {
-			p.Ends = []assignment.End{{RunID: id, Number: 1, How: job.EndFailed}}
+			p.Ends = []assignment.End{{RunID: id, Number: 1, Reason: job.EndFailed}}
 		}, 1, false, job.Failed},
 		{"an older run, which takes the room until it has stopped", false, func(p *assignment.Poll, id assignment.RunID) {
 			p.Runs = []assignment.Run{{RunID: assignment.RunID{Task: id.Task}, Percent: 3}}
@@ -38,24 +38,24 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := newFixture(t, 1, 1)
 			j := b.job(1, "other", job.Step{Tasks: 1, Gang: test.gang})
-			j.job.Attempts = 1
+			j.job.MaxAttempts = 1
 			b.plan(0)
 			w, id, poll := b.reported(j)
 			former := w.life.ID
 			next := *w.life
-			next.ID.Born++
-			poll.Life, poll.Over = &next, []assignment.LifeEnd{{ID: former, Listed: true}}
+			next.ID.StartMillis++
+			poll.State, poll.EndedIncarnations = &next, []assignment.IncarnationEnd{{ID: former, Complete: true}}
 			test.list(&poll, id)
-			b.control.Report(b.now, poll)
+			b.control.ApplyPoll(b.now, poll)
 			b.plan(10 * time.Millisecond)
 			task := j.progress.Task(id.Task)
 			if j.progress.Phase != test.phase || task.Run != test.run || task.Placed() != test.there {
 				t.Errorf("the job is %v, its task in run %d, placed %v; want %v, %d, %v", j.progress.Phase, task.Run, task.Placed(), test.phase, test.run, test.there)
 			}
-			if test.there && task.Life != next.ID {
-				t.Errorf("it is placed on %v, want %v", task.Life, next.ID)
+			if test.there && task.Incarnation != next.ID {
+				t.Errorf("it is placed on %v, want %v", task.Incarnation, next.ID)
 			}
-			if stops := b.control.Wants(b.now)[w.name].Runs[id.Task].Stopping; stops != test.gang {
+			if stops := b.control.TakeDesired(b.now)[w.name].Runs[id.Task].Stopping; stops != test.gang {
 				t.Errorf("it is to stop: %v, want %v", stops, test.gang)
 			}
 		})
@@ -68,22 +68,22 @@
 	first := b.job(1, "other", job.Step{Tasks: 1})
 	b.plan(0)
 	w, id, poll := b.reported(first)
-	poll.Ends = []assignment.End{{RunID: id, Number: 9, How: job.EndDone}}
-	b.control.Report(b.now, poll)
-	if seen := b.control.Wants(b.now)[w.name].Seen; seen != 9 {
+	poll.Ends = []assignment.End{{RunID: id, Number: 9, Reason: job.EndDone}}
+	b.control.ApplyPoll(b.now, poll)
+	if seen := b.control.TakeDesired(b.now)[w.name].AckedEnd; seen != 9 {
 		t.Fatalf("ends are kept up to %d, want 9", seen)
 	}
 	next := *w.life
-	next.ID.Born++
-	b.control.Report(b.now, assignment.Poll{Worker: w.name, Life: &next, Listed: true})
-	if want := b.control.Wants(b.now)[w.name]; want.Seen != 0 || want.Life != next.ID {
-		t.Errorf("of %v ends are kept up to %d, want none of %v", want.Life, want.Seen, next.ID)
+	next.ID.StartMillis++
+	b.control.ApplyPoll(b.now, assignment.Poll{Worker: w.name, State: &next, Complete: true})
+	if want := b.control.TakeDesired(b.now)[w.name]; want.AckedEnd != 0 || want.Incarnation != next.ID {
+		t.Errorf("of %v ends are kept up to %d, want none of %v", want.Incarnation, want.AckedEnd, next.ID)
 	}
 	second := b.job(1, "other", job.Step{Tasks: 1})
 	b.plan(0)
 	_, id, poll = b.reported(second)
-	poll.Ends = []assignment.End{{RunID: id, Number: 1, How: job.EndDone}}
-	b.control.Report(b.now, poll)
+	poll.Ends = []assignment.End{{RunID: id, Number: 1, Reason: job.EndDone}}
+	b.control.ApplyPoll(b.now, poll)
 	if second.progress.Phase != job.Completed {
 		t.Errorf("the job is %v, want completed: its end has number 1", second.progress.Phase)
 	}
@@ -98,16 +98,16 @@
 	b := newFixture(t, 1, 1)
 	j := b.job(1, "other", job.Step{Tasks: 1})
 	w := b.control.workers["w0-0"]
-	poll := assignment.Poll{Worker: w.name, Closing: []life.ID{w.life.ID}}
-	b.control.Report(b.now, poll)
+	poll := assignment.Poll{Worker: w.name, ClosingIncarnations: []incarnation.ID{w.life.ID}}
+	b.control.ApplyPoll(b.now, poll)
 	b.plan(0)
 	if got := b.at(j); len(got) != 0 {
 		t.Errorf("it is placed on %v, whose life is over", got)
 	}
 	next := *w.life
-	next.ID.Born++
-	poll.Closing, poll.Life, poll.Listed, poll.Over = nil, &next, true, []assignment.LifeEnd{{ID: w.life.ID}}
-	b.control.Report(b.now, poll)
+	next.ID.StartMillis++
+	poll.ClosingIncarnations, poll.State, poll.Complete, poll.EndedIncarnations = nil, &next, true, []assignment.IncarnationEnd{{ID: w.life.ID}}
+	b.control.ApplyPoll(b.now, poll)
 	b.plan(10 * time.Millisecond)
 	if got := b.at(j); len(got) != 1 {
 		t.Errorf("it is placed on %v, want the next life of the worker", got)
@@ -118,7 +118,7 @@
 // it holds: an order that came late at a new start under the same id ran there, unknown to the decision (soak of same ids, seed 9214).
 func TestStrayTakesRoom(t *testing.T) {
 	b := newFixture(t, 1, 1)
-	whole := job.Step{Tasks: 1, Need: job.Need{CPU: 1000, Memory: 1000, Accelerators: 8}}
+	whole := job.Step{Tasks: 1, Resources: job.Resources{CPU: 1000, Memory: 1000, Accelerators: 8}}
 	former := b.job(1, "other", whole)
 	b.plan(0)
 	w, stray, _ := b.reported(former)
@@ -129,14 +129,14 @@
 	}
 	b.finish(former, job.EndDone)
 	next := b.job(1, "other", whole)
-	poll := assignment.Poll{Worker: w.name, Life: w.life, Listed: true, Runs: []assignment.Run{{RunID: stray, Percent: 3}}}
-	b.control.Report(b.now, poll)
+	poll := assignment.Poll{Worker: w.name, State: w.life, Complete: true, Runs: []assignment.Run{{RunID: stray, Percent: 3}}}
+	b.control.ApplyPoll(b.now, poll)
 	b.plan(0)
 	if got := b.at(next); len(got) != 0 {
 		t.Errorf("it is placed on %v, where a stray run takes all accelerators", got)
 	}
 	poll.Runs = nil
-	b.control.Report(b.now, poll)
+	b.control.ApplyPoll(b.now, poll)
 	b.plan(10 * time.Millisecond)
 	if got := b.at(next); len(got) != 1 {
 		t.Errorf("once the stray run is gone it is placed on %v, want the worker", got)
@@ -149,7 +149,7 @@
 func TestLateEnd(t *testing.T) {
 	tests := []struct {
 		name     string
-		how      job.Ending
+		how      job.EndReason
 		phase    job.Phase
 		failures int
 		stops    bool
@@ -165,23 +165,23 @@
 			b.plan(0)
 			w, id, poll := b.reported(j)
 			poll.Runs = []assignment.Run{{RunID: id, Percent: 3}}
-			b.control.Report(b.now, poll)
-			b.control.LeaseOver(map[string]bool{w.name: true})
+			b.control.ApplyPoll(b.now, poll)
+			b.control.ExpireLeases(map[string]bool{w.name: true})
 			b.plan(0)
 			task := j.progress.Task(id.Task)
 			if task.Run != 2 {
 				t.Fatalf("the task is in run %d, want 2", task.Run)
 			}
-			poll.Runs, poll.Ends = nil, []assignment.End{{RunID: id, Number: 1, How: test.how}}
+			poll.Runs, poll.Ends = nil, []assignment.End{{RunID: id, Number: 1, Reason: test.how}}
 			for range 2 {
 				// A new leader reads an end again that is kept and not forgotten.
-				b.control.Report(b.now, poll)
+				b.control.ApplyPoll(b.now, poll)
 				w.ends = 0
 			}
 			if j.progress.Phase != test.phase || task.Failures != test.failures {
 				t.Errorf("the job is %v with %d failures, want %v with %d", j.progress.Phase, task.Failures, test.phase, test.failures)
 			}
-			if stops := b.control.Wants(b.now)[task.Worker].Runs[id.Task].Stopping; stops != test.stops {
+			if stops := b.control.TakeDesired(b.now)[task.Worker].Runs[id.Task].Stopping; stops != test.stops {
 				t.Errorf("run 2 is to stop: %v, want %v", stops, test.stops)
 			}
 		})
--- a/jobs/dispatch/chance.go
+++ b/jobs/dispatch/chance.go
@@ -22,11 +22,11 @@
 func (p *plan) chance(w waiting, start time.Time, slowness float64) float64 {
 	j := w.tracked.job
 	from := j.Accepted
-	if j.Times > 0 {
+	if j.RoundCount > 0 {
 		from = j.DueAt(w.unit.Round)
 	}
-	missing := start.Sub(from) + pathTime - j.Aim
-	spare := j.Stretch - math.Exp(slowness)
+	missing := start.Sub(from) + pathTime - j.ObjectiveSlack
+	spare := j.ObjectiveFactor - math.Exp(slowness)
 	switch {
 	case missing <= 0 && spare >= 0:
 		return 1
--- a/jobs/dispatch/chance_test.go
+++ b/jobs/dispatch/chance_test.go
@@ -31,7 +31,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := newFixture(t, 1, 1)
 			tracked := b.job(0, "sure", job.Step{Tasks: 1})
-			tracked.job.Stretch, tracked.job.Aim, tracked.job.Accepted = 1.5, 250*time.Millisecond, b.now
+			tracked.job.ObjectiveFactor, tracked.job.ObjectiveSlack, tracked.job.Accepted = 1.5, 250*time.Millisecond, b.now
 			p := &plan{c: b.control, now: b.now}
 			got := p.chance(waiting{tracked: tracked, length: test.length}, b.now.Add(test.delay), test.slowness)
 			if got < test.from || got > test.to {
@@ -59,7 +59,7 @@
 			b.control.workers[b.at(first)[0]].speed = speed{sum: 4 * 0.25, samples: 3}
 		}
 		urgent := b.job(0, "other", job.Step{Tasks: 1, Estimate: 2 * time.Second})
-		urgent.job.Stretch, urgent.job.Aim, urgent.job.Accepted = 1.5, 250*time.Millisecond, b.now
+		urgent.job.ObjectiveFactor, urgent.job.ObjectiveSlack, urgent.job.Accepted = 1.5, 250*time.Millisecond, b.now
 		b.plan(50 * time.Millisecond)
 		stopped := first
 		if allSlow {
@@ -89,10 +89,10 @@
 		}
 		name := job.TaskName{Job: tracked.job.ID}
 		poll := assignment.Poll{
-			Worker: other.name, Life: other.life, Listed: true,
-			Ends: []assignment.End{{RunID: assignment.RunID{Task: name, Run: 1}, Number: 1, How: job.EndDone, TookMillis: took.Milliseconds()}},
+			Worker: other.name, State: other.life, Complete: true,
+			Ends: []assignment.End{{RunID: assignment.RunID{Task: name, Run: 1}, Number: 1, Reason: job.EndDone, TookMillis: took.Milliseconds()}},
 		}
-		b.control.Report(b.now, poll)
+		b.control.ApplyPoll(b.now, poll)
 		if got := tracked.took[0]; (got - want).Abs() > 10*time.Millisecond {
 			t.Errorf("gang %v: %s took %v on %s, which counts as %v, want %v", gang, name, took, strings.Join(at, ", "), got, want)
 		}
--- a/jobs/dispatch/controller.go
+++ b/jobs/dispatch/controller.go
@@ -23,34 +23,34 @@
 	"github.com/rs/zerolog"
 
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // Settings of a controller.
 type Settings struct {
 	Policy Policy
-	// Silent is how long a worker may be silent and still get new work.
-	Silent time.Duration
-	// Forget is how long an ended job is kept.
-	Forget time.Duration
-	// Every is the longest time between two decisions: how late what only comes with time is noticed, such as that an urgent job can't wait for
+	// SilentAfter is how long a worker may be silent and still get new work.
+	SilentAfter time.Duration
+	// KeepEnded is how long an ended job is kept.
+	KeepEnded time.Duration
+	// MaxInterval is the longest time between two decisions: how late what only comes with time is noticed, such as that an urgent job can't wait for
 	// room any longer, or that a worker has fallen silent.
-	Every time.Duration
+	MaxInterval time.Duration
 }
 
 // DefaultSettings decides with all mechanisms on.
 func DefaultSettings() Settings {
-	return Settings{Silent: 1500 * time.Millisecond, Forget: 3 * time.Minute, Every: 100 * time.Millisecond}
+	return Settings{SilentAfter: 1500 * time.Millisecond, KeepEnded: 3 * time.Minute, MaxInterval: 100 * time.Millisecond}
 }
 
-// Parts are what a controller works with.
-type Parts struct {
+// Dependencies are what a controller works with.
+type Dependencies struct {
 	Catalog *catalog.Follower
-	// Adviser may be nil where no queue needs advice.
-	Adviser Adviser
+	// Permits may be nil where no queue needs advice.
+	Permits PermitIssuer
 	Logger  zerolog.Logger
 	Metrics *Metrics
 }
@@ -69,7 +69,7 @@
 	workers  map[string]*worker
 	advice   *advice
 	// openLives are lives of which it is open how they ended under a task, with their workers.
-	openLives map[life.ID]string
+	openLives map[incarnation.ID]string
 	// unreadable are jobs of which something is stored that can't be read. Nothing of them starts, and what runs goes on.
 	unreadable map[job.ID]bool
 	// wants is what workers should run, as it was told last.
@@ -88,15 +88,15 @@
 }
 
 // New returns a controller that knows of no job and no worker.
-func New(s Settings, p Parts) *Controller {
+func New(s Settings, p Dependencies) *Controller {
 	return &Controller{
-		settings: s, logger: p.Logger, catalog: p.Catalog, advice: newAdvice(p.Adviser, p.Logger), forecast: newForecast(),
-		metrics: p.Metrics, jobs: map[job.ID]*tracked{}, active: map[job.ID]*tracked{}, workers: map[string]*worker{}, wants: newWants(), openLives: map[life.ID]string{}, unreadable: map[job.ID]bool{},
+		settings: s, logger: p.Logger, catalog: p.Catalog, advice: newAdvice(p.Permits, p.Logger), forecast: newForecast(),
+		metrics: p.Metrics, jobs: map[job.ID]*tracked{}, active: map[job.ID]*tracked{}, workers: map[string]*worker{}, wants: newWants(), openLives: map[incarnation.ID]string{}, unreadable: map[job.ID]bool{},
 	}
 }
 
-// Take takes a job, or news of one, over from the topic.
-func (c *Controller) Take(v jobstore.View) {
+// ApplyJob takes a job, or news of one, over from the topic.
+func (c *Controller) ApplyJob(v jobstore.StoredJob) {
 	t := c.jobs[v.ID]
 	if t == nil {
 		t = c.open(v)
@@ -111,7 +111,7 @@
 	}
 }
 
-func (c *Controller) open(v jobstore.View) *tracked {
+func (c *Controller) open(v jobstore.StoredJob) *tracked {
 	if v.Submission == nil {
 		return nil
 	}
@@ -132,7 +132,7 @@
 		c.wants.all = true
 	}
 	c.add(t)
-	t.progress.OpenLives(func(worker string, open life.ID) { c.openLives[open] = worker })
+	t.progress.OpenLives(func(worker string, open incarnation.ID) { c.openLives[open] = worker })
 	return t
 }
 
@@ -171,17 +171,17 @@
 // Next is when the next decision is due by itself.
 func (c *Controller) Next() time.Time { return c.next }
 
-// Advice brings answers of the adviser, which are for TakeAdvice.
-func (c *Controller) Advice() <-chan Advised { return c.advice.answers }
+// Permits brings answers of the adviser, which are for TakeAdvice.
+func (c *Controller) Permits() <-chan PermitResult { return c.advice.answers }
 
-// TakeAdvice takes an answer of the adviser over.
-func (c *Controller) TakeAdvice(a Advised) { c.advice.take(a) }
+// ApplyPermits takes an answer of the adviser over.
+func (c *Controller) ApplyPermits(a PermitResult) { c.advice.take(a) }
 
 // observeEvery is the time between two looks at the room for the metrics.
 const observeEvery = time.Second
 
-// Observe notes the room in the metrics, now and then.
-func (c *Controller) Observe(now time.Time) {
+// UpdateMetrics notes the room in the metrics, now and then.
+func (c *Controller) UpdateMetrics(now time.Time) {
 	if now.Sub(c.observed) >= observeEvery {
 		c.observed = now
 		c.metrics.observe(c)
@@ -198,8 +198,8 @@
 	return false
 }
 
-// Changes returns the records of what has changed, and drops jobs that ended long ago.
-func (c *Controller) Changes(now time.Time) ([]topic.Record, error) {
+// TakeRecords returns the records of what has changed, and drops jobs that ended long ago.
+func (c *Controller) TakeRecords(now time.Time) ([]topic.Record, error) {
 	var records []topic.Record
 	for id, t := range c.active {
 		ended := t.progress.Phase.Final()
@@ -232,8 +232,8 @@
 func (c *Controller) forget(now time.Time) []topic.Record {
 	var records []topic.Record
 	for id, t := range c.jobs {
-		if c.active[id] == nil && now.Sub(t.progress.EndedAt) > c.settings.Forget {
-			records = append(records, jobstore.ForgetRecords(id)...)
+		if c.active[id] == nil && now.Sub(t.progress.EndedAt) > c.settings.KeepEnded {
+			records = append(records, jobstore.DeleteRecords(id)...)
 			delete(c.jobs, id)
 			c.advice.forget(id)
 		}
--- a/jobs/dispatch/controller_test.go
+++ b/jobs/dispatch/controller_test.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
@@ -16,7 +16,7 @@
 	name := job.TaskName{Job: t.job.ID}
 	task := t.progress.Task(name)
 	w = b.control.workers[task.Worker]
-	return w, assignment.RunID{Task: name, Run: task.Run}, assignment.Poll{Worker: w.name, Life: w.life, Listed: true}
+	return w, assignment.RunID{Task: name, Run: task.Run}, assignment.Poll{Worker: w.name, State: w.life, Complete: true}
 }
 
 // TestEndsBeforeOver: what has ended done is done, also if the same poll says that its life is over.
@@ -25,9 +25,9 @@
 	j := b.job(1, "other", job.Step{Tasks: 1})
 	b.plan(0)
 	w, id, poll := b.reported(j)
-	poll.Ends = []assignment.End{{RunID: id, Number: 1, How: job.EndDone}}
-	poll.Over = []assignment.LifeEnd{{ID: w.life.ID}}
-	b.control.Report(b.now, poll)
+	poll.Ends = []assignment.End{{RunID: id, Number: 1, Reason: job.EndDone}}
+	poll.EndedIncarnations = []assignment.IncarnationEnd{{ID: w.life.ID}}
+	b.control.ApplyPoll(b.now, poll)
 	if j.progress.Phase != job.Completed {
 		t.Errorf("the job is %v, want completed", j.progress.Phase)
 	}
@@ -39,16 +39,16 @@
 	j := b.job(1, "other", job.Step{Tasks: 1})
 	b.plan(0)
 	w, id, poll := b.reported(j)
-	poll.Ends = []assignment.End{{RunID: id, Number: 1, How: job.EndDone}}
+	poll.Ends = []assignment.End{{RunID: id, Number: 1, Reason: job.EndDone}}
 	poll.Refused = []assignment.Refusal{{RunID: id, Reason: "over"}}
-	b.control.Report(b.now, poll)
+	b.control.ApplyPoll(b.now, poll)
 	if j.progress.Phase != job.Completed || w.health.quarantined(b.now) {
 		t.Errorf("the job is %v, the worker rests: %v", j.progress.Phase, w.health.quarantined(b.now))
 	}
 }
 
 // nextLife is another life than any of a fixture.
-var nextLife = life.ID{Instance: "next", Born: 2}
+var nextLife = incarnation.ID{Instance: "next", StartMillis: 2}
 
 // TestNewLifeLosesRuns: what ran in an earlier life of a worker is placed again.
 func TestNewLifeLosesRuns(t *testing.T) {
@@ -58,14 +58,14 @@
 	w, _, poll := b.reported(j)
 	next := *w.life
 	next.ID = nextLife
-	poll.Life = &next
-	b.control.Report(b.now, poll)
+	poll.State = &next
+	b.control.ApplyPoll(b.now, poll)
 	if got := b.at(j); len(got) != 0 {
 		t.Fatalf("it is still placed on %v", got)
 	}
 	b.plan(0)
-	if task := j.progress.Task(job.TaskName{Job: j.job.ID}); task.Run != 2 || task.Life != nextLife {
-		t.Errorf("run %d on %s, want run 2 on the next life", task.Run, task.Life)
+	if task := j.progress.Task(job.TaskName{Job: j.job.ID}); task.Run != 2 || task.Incarnation != nextLife {
+		t.Errorf("run %d on %s, want run 2 on the next life", task.Run, task.Incarnation)
 	}
 }
 
@@ -76,19 +76,19 @@
 	b.plan(0)
 	w, _, poll := b.reported(j)
 	over := w.life.ID
-	poll.Life, poll.Listed, poll.Over = nil, false, []assignment.LifeEnd{{ID: over}}
+	poll.State, poll.Complete, poll.EndedIncarnations = nil, false, []assignment.IncarnationEnd{{ID: over}}
 	for range 3 {
-		b.control.Report(b.now, poll)
+		b.control.ApplyPoll(b.now, poll)
 		b.plan(10 * time.Millisecond)
 	}
 	if got := b.at(j); len(got) != 0 {
 		t.Errorf("it is placed on %v, whose life is over", got)
 	}
-	next := &assignment.Life{ID: nextLife, Service: service, Rack: "r0", Room: job.Need{CPU: 64_000, Memory: 128_000, Accelerators: 8}}
-	b.control.Report(b.now, assignment.Poll{Worker: w.name, Life: next, Listed: true, Over: []assignment.LifeEnd{{ID: over}}})
+	next := &assignment.WorkerState{ID: nextLife, Service: service, Rack: "r0", Capacity: job.Resources{CPU: 64_000, Memory: 128_000, Accelerators: 8}}
+	b.control.ApplyPoll(b.now, assignment.Poll{Worker: w.name, State: next, Complete: true, EndedIncarnations: []assignment.IncarnationEnd{{ID: over}}})
 	b.plan(0)
-	if task := j.progress.Task(job.TaskName{Job: j.job.ID}); task.Life != nextLife || task.Run != 2 {
-		t.Errorf("run %d is on life %v, want run 2 on the next one", task.Run, task.Life)
+	if task := j.progress.Task(job.TaskName{Job: j.job.ID}); task.Incarnation != nextLife || task.Run != 2 {
+		t.Errorf("run %d is on life %v, want run 2 on the next one", task.Run, task.Incarnation)
 	}
 }
 
@@ -97,18 +97,18 @@
 func TestUnreadableProgress(t *testing.T) {
 	b := newFixture(t, 1, 1)
 	other := b.job(1, "other", job.Step{Tasks: 1})
-	held := &job.Job{ID: "00000000000000ff", Service: service, Team: "other", Priority: 1, Attempts: 3, Accepted: b.now, Steps: []job.Step{{Tasks: 2, Estimate: time.Second}}}
+	held := &job.Job{ID: "00000000000000ff", Service: service, Team: "other", Priority: 1, MaxAttempts: 3, Accepted: b.now, Steps: []job.Step{{Tasks: 2, Estimate: time.Second}}}
 	submission, err := held.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	view := jobstore.View{ID: held.ID, Submission: submission, Progress: topic.Garbled}
-	b.control.Take(view)
+	view := jobstore.StoredJob{ID: held.ID, Submission: submission, Progress: topic.CorruptValue}
+	b.control.ApplyJob(view)
 	b.plan(0)
 	if b.control.jobs[held.ID] != nil || len(b.at(other)) != 1 {
 		t.Errorf("the held job is %v, the other one is placed on %v", b.control.jobs[held.ID], b.at(other))
 	}
-	if want := b.control.Wants(b.now)["w0-0"]; !want.Held[held.ID] || want.Held[other.job.ID] {
+	if want := b.control.TakeDesired(b.now)["w0-0"]; !want.Held[held.ID] || want.Held[other.job.ID] {
 		t.Errorf("held are %v", want.Held)
 	}
 	progress := job.NewProgress()
@@ -117,9 +117,9 @@
 	if view.Progress, err = progress.Encode(); err != nil {
 		t.Fatal(err)
 	}
-	b.control.Take(view)
+	b.control.ApplyJob(view)
 	b.plan(0)
-	if task := b.control.jobs[held.ID].progress.Task(name); task.Run != 1 || b.control.Wants(b.now)["w0-0"].Held[held.ID] {
+	if task := b.control.jobs[held.ID].progress.Task(name); task.Run != 1 || b.control.TakeDesired(b.now)["w0-0"].Held[held.ID] {
 		t.Errorf("once it can be read its task is in run %d, want 1", task.Run)
 	}
 }
--- a/jobs/dispatch/cordon.go
+++ b/jobs/dispatch/cordon.go
@@ -31,14 +31,14 @@
 // agent holds it back. What has begun goes on: the worker bears it, and a stop would throw its work away.
 func (p *plan) withdrawUnfit() {
 	for _, n := range p.nodes {
-		if (job.Need{}).Fits(n.later) {
+		if (job.Resources{}).FitsIn(n.later) {
 			continue
 		}
 		slices.SortFunc(n.runs, func(a, b *running) int {
 			return cmp.Or(cmp.Compare(b.tracked.job.Priority, a.tracked.job.Priority), cmp.Compare(b.name.String(), a.name.String()))
 		})
 		for _, r := range n.runs {
-			if r.begun() || (job.Need{}).Fits(n.later) {
+			if r.begun() || (job.Resources{}).FitsIn(n.later) {
 				continue
 			}
 			for _, member := range p.withGang(r) {
--- a/jobs/dispatch/cordon_test.go
+++ b/jobs/dispatch/cordon_test.go
@@ -20,7 +20,7 @@
 	follower := catalog.NewFollower(log.Client("c"), catalog.Format{
 		ConfigKey: "config",
 		Config: func([]byte) (*catalog.Catalog, error) {
-			return catalog.Catalog{Version: 1, Teams: []catalog.Team{{Name: "sure", Guaranteed: 16}}}.WithIndex(), nil
+			return catalog.Catalog{Version: 1, Teams: []catalog.Team{{Name: "sure", GuaranteedAccelerators: 16}}}.WithIndex(), nil
 		},
 		CordonedZone: func(key string) (string, bool) { return strings.CutPrefix(key, "cordon/") },
 		CheckCordon:  func([]byte) error { return nil },
@@ -53,9 +53,9 @@
 		{"urgent gang", 0, job.Step{Tasks: 3, Gang: true, SameRack: true}},
 		{"its data are there", 1, job.Step{Tasks: 1, DataRack: "r0"}},
 		{"gang whose data are there", 1, job.Step{Tasks: 2, Gang: true, DataRack: "r0"}},
-		{"bounded for each worker", 1, job.Step{Tasks: 3, PerWorker: 1}},
-		{"filling", 2, job.Step{Tasks: 2, Fills: true}},
-		{"lasting", 1, job.Step{Tasks: 2, Lasts: true}},
+		{"bounded for each worker", 1, job.Step{Tasks: 3, MaxPerWorker: 1}},
+		{"filling", 2, job.Step{Tasks: 2, BestEffort: true}},
+		{"lasting", 1, job.Step{Tasks: 2, LongRunning: true}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -119,7 +119,7 @@
 		}
 		for name, run := range tracked.stopping {
 			task := tracked.progress.Task(name)
-			b.control.endTask(tracked, task.Life, assignment.End{RunID: assignment.RunID{Task: name, Run: run}, How: job.EndRefused})
+			b.control.endTask(tracked, task.Incarnation, assignment.End{RunID: assignment.RunID{Task: name, Run: run}, Reason: job.EndRefused})
 		}
 		b.plan(10 * time.Millisecond)
 		for i, name := range b.at(tracked) {
--- a/jobs/dispatch/crashes.go
+++ b/jobs/dispatch/crashes.go
@@ -5,12 +5,12 @@
 	"time"
 
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // endLife ends all that is placed on a life of a worker, and counts the crash, if it is one, for the tasks that were there.
-func (c *Controller) endLife(now time.Time, w *worker, end assignment.LifeEnd) {
+func (c *Controller) endLife(now time.Time, w *worker, end assignment.IncarnationEnd) {
 	excused := c.noteLifeEnd(now, w, end)
 	judged := func(t *tracked, id assignment.RunID, begun bool) job.Loss {
 		loss := lossOf(end, t.job, id, begun)
@@ -19,7 +19,7 @@
 	}
 	for _, t := range c.active {
 		t.progress.Placed(t.job.ID, func(name job.TaskName, placed *job.Task) {
-			if placed.Worker == w.name && placed.Life == end.ID {
+			if placed.Worker == w.name && placed.Incarnation == end.ID {
 				id := assignment.RunID{Task: name, Run: placed.Run}
 				c.loseRun(t, name, placed, whyLifeOver, judged(t, id, begunOn(w, placed, name)))
 			}
@@ -30,13 +30,13 @@
 
 // noteLifeEnd takes note of when a worker crashed. It returns true if something else than what ran there may be to blame: that the worker was about to
 // leave, that it had crashed a short while before, or what struck others with it.
-func (c *Controller) noteLifeEnd(now time.Time, w *worker, end assignment.LifeEnd) (excused bool) {
-	if end.Left {
+func (c *Controller) noteLifeEnd(now time.Time, w *worker, end assignment.IncarnationEnd) (excused bool) {
+	if end.Drained {
 		return true
 	}
 	before := w.crashed
 	w.crashed = now.Add(-end.Since())
-	return end.Leaving || w.crashed.Sub(before) < unsteadyFor || c.crashedTogether(w)
+	return end.Draining || w.crashed.Sub(before) < unsteadyFor || c.crashedTogether(w)
 }
 
 // A rack, a zone or a power supply takes several workers away at once, and no task is to blame for that. That other tasks crash two more workers
@@ -63,14 +63,14 @@
 type verdict func(t *tracked, id assignment.RunID, begun bool) job.Loss
 
 // judge counts a life that was open for the tasks whose runs there were given up before it was known how it ended.
-func (c *Controller) judge(w *worker, over life.ID, v verdict) {
+func (c *Controller) judge(w *worker, over incarnation.ID, v verdict) {
 	if _, open := c.openLives[over]; !open {
 		return
 	}
 	delete(c.openLives, over)
 	for _, t := range c.jobs {
 		open := false
-		t.progress.OpenLives(func(_ string, l life.ID) { open = open || l == over })
+		t.progress.OpenLives(func(_ string, l incarnation.ID) { open = open || l == over })
 		if !open {
 			continue
 		}
@@ -87,7 +87,7 @@
 }
 
 // judgeFormer counts the open lives of a worker that are over since it reports another one. Nobody is left who knows what was there.
-func (c *Controller) judgeFormer(w *worker, present life.ID) {
+func (c *Controller) judgeFormer(w *worker, present incarnation.ID) {
 	for former, worker := range c.openLives {
 		if worker == w.name && former != present {
 			c.judge(w, former, func(*tracked, assignment.RunID, bool) job.Loss { return job.Loss{Fate: job.Doubtful} })
@@ -97,26 +97,26 @@
 
 // answersAgain takes note that a worker has not crashed, if it was open whether it had.
 func (c *Controller) answersAgain(w *worker, poll assignment.Poll) {
-	if !poll.Silent {
-		c.judge(w, poll.Life.ID, func(*tracked, assignment.RunID, bool) job.Loss { return job.Loss{Fate: job.Spared} })
+	if !poll.Unresponsive {
+		c.judge(w, poll.State.ID, func(*tracked, assignment.RunID, bool) job.Loss { return job.Loss{Fate: job.Spared} })
 	}
 }
 
 // lossOf is what the end of a life means for a run that was placed there. Where the agent can't say what was there, since it began after the
 // life did, it decides whether the worker had listed the run before.
-func lossOf(end assignment.LifeEnd, j *job.Job, id assignment.RunID, begun bool) job.Loss {
-	if end.Left {
+func lossOf(end assignment.IncarnationEnd, j *job.Job, id assignment.RunID, begun bool) job.Loss {
+	if end.Drained {
 		return job.Loss{Fate: job.Spared}
 	}
-	at := slices.IndexFunc(end.Runs, func(cut assignment.CutRun) bool { return cut.RunID == id })
-	if at < 0 && end.Listed {
+	at := slices.IndexFunc(end.Runs, func(cut assignment.InterruptedRun) bool { return cut.RunID == id })
+	if at < 0 && end.Complete {
 		return job.Loss{Fate: job.Unbegun}
 	}
 	if at >= 0 {
-		begun = end.Runs[at].Begun
+		begun = end.Runs[at].Started
 	}
 	loss := job.Loss{Fate: job.Doubtful, Alone: aloneIn(end, j, id.Task)}
-	if begun && !end.Leaving {
+	if begun && !end.Draining {
 		loss.Fate = job.Crashed
 	}
 	return loss
@@ -124,12 +124,12 @@
 
 // begunOn reports whether the worker has listed the run of a task in its present life.
 func begunOn(w *worker, placed *job.Task, name job.TaskName) bool {
-	return w != nil && w.life != nil && w.life.ID == placed.Life && w.runs[assignment.RunID{Task: name, Run: placed.Run}].begun()
+	return w != nil && w.life != nil && w.life.ID == placed.Incarnation && w.runs[assignment.RunID{Task: name, Run: placed.Run}].begun()
 }
 
 // aloneIn reports whether it is known that nothing but the task, or its gang, was there when a life ended.
-func aloneIn(end assignment.LifeEnd, j *job.Job, name job.TaskName) bool {
-	return end.Listed && !slices.ContainsFunc(end.Runs, func(cut assignment.CutRun) bool { return !sameUnit(j, cut.Task, name) })
+func aloneIn(end assignment.IncarnationEnd, j *job.Job, name job.TaskName) bool {
+	return end.Complete && !slices.ContainsFunc(end.Runs, func(cut assignment.InterruptedRun) bool { return !sameUnit(j, cut.Task, name) })
 }
 
 // sameUnit reports whether two tasks are the same, or members of one gang of the job.
@@ -147,19 +147,19 @@
 
 // refuse takes note of a start that the agent says was not carried out. It returns false if that run is not there.
 func (c *Controller) refuse(w *worker, r assignment.Refusal) bool {
-	if !r.Silent {
-		return c.end(w, assignment.End{RunID: r.RunID, How: job.EndRefused})
+	if !r.Uncertain {
+		return c.end(w, assignment.End{RunID: r.RunID, Reason: job.EndRefused})
 	}
 	t := c.jobs[r.Task.Job]
 	if t == nil {
 		return false
 	}
 	placed := t.progress.Task(r.Task)
-	if placed == nil || placed.Run != r.Run || placed.Life != w.life.ID {
+	if placed == nil || placed.Run != r.Run || placed.Incarnation != w.life.ID {
 		return false
 	}
 	loss := job.Loss{Fate: job.OpenDoubtful, Silent: true, At: time.Now()}
-	if r.Begun {
+	if r.Started {
 		loss.Fate = job.Open
 	}
 	return c.loseRun(t, r.Task, placed, whyLeaseOver, loss)
@@ -167,8 +167,8 @@
 
 // loseRun takes note that a run has ended with its worker, or with its lease. It returns false if that run is not there.
 func (c *Controller) loseRun(t *tracked, name job.TaskName, placed *job.Task, why string, loss job.Loss) bool {
-	e := assignment.End{RunID: assignment.RunID{Task: name, Run: placed.Run}, How: job.EndLost}
-	worker, at := placed.Worker, placed.Life
+	e := assignment.End{RunID: assignment.RunID{Task: name, Run: placed.Run}, Reason: job.EndLost}
+	worker, at := placed.Worker, placed.Incarnation
 	if w := c.workers[worker]; w != nil {
 		if o, known := w.runs[e.RunID]; known {
 			e.TookMillis = time.Since(o.since).Milliseconds()
@@ -197,7 +197,7 @@
 	c.metrics.crashes.Inc(crashLabel(fate))
 	task := t.progress.Task(name)
 	c.logger.Info().Str("step", "dispatch.crash").Stringer("task", name).Str("worker", worker).Int("crashes", task.Crashes).
-		Int("doubtful", task.Doubts).Int("alone", task.Alone).Stringer("phase", t.progress.Phase).Msg("worker crashed under a task")
+		Int("doubtful", task.UncertainCrashes).Int("alone", task.SoleCrashes).Stringer("phase", t.progress.Phase).Msg("worker crashed under a task")
 }
 
 // noteGivenUp says why a job that has just ended was given up, if it was.
@@ -209,8 +209,8 @@
 	t.progress.Each(t.job.ID, func(name job.TaskName, task *job.Task) {
 		if task.GivenUpForCrashes() {
 			why = gaveUpCrashes
-			c.logger.Info().Str("step", "dispatch.giveUp").Stringer("task", name).Int("crashes", task.Crashes).Int("doubtful", task.Doubts).
-				Int("alone", task.Alone).Int("starts_since", task.Extra).Msg("task is given up: workers crash under it")
+			c.logger.Info().Str("step", "dispatch.giveUp").Stringer("task", name).Int("crashes", task.Crashes).Int("doubtful", task.UncertainCrashes).
+				Int("alone", task.SoleCrashes).Int("starts_since", task.ExtraStarts).Msg("task is given up: workers crash under it")
 		}
 	})
 	c.metrics.givenUp.Inc(why)
--- a/jobs/dispatch/earliest.go
+++ b/jobs/dispatch/earliest.go
@@ -15,7 +15,7 @@
 	when   time.Time
 	domain []*node
 	// room is what is free by then on each node of the domain.
-	room map[*node]job.Need
+	room map[*node]job.Resources
 }
 
 // earliest forecasts where and when the unit fits first, if nothing else starts and nothing more is told to stop; false if it never
@@ -32,7 +32,7 @@
 // earliestIn is earliest within one domain.
 func (p *plan) earliestIn(w waiting, domain []*node) (fit, bool) {
 	need, left := w.step.Reserved(), len(w.unit.Tasks)
-	room, fits := map[*node]job.Need{}, map[*node]int{}
+	room, fits := map[*node]job.Resources{}, map[*node]int{}
 	var runs []*running
 	for _, n := range domain {
 		if !allowed(w, n) || !n.usable {
--- a/jobs/dispatch/fixture_test.go
+++ b/jobs/dispatch/fixture_test.go
@@ -12,9 +12,9 @@
 
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
@@ -31,7 +31,7 @@
 func newFixture(t testing.TB, racks, perRack int) *fixture {
 	log := jobtest.NewLog(1)
 	follower := catalog.NewFollower(log.Client("c"), catalog.Format{ConfigKey: "config", Config: func([]byte) (*catalog.Catalog, error) {
-		c := catalog.Catalog{Version: 1, Teams: []catalog.Team{{Name: "sure", Guaranteed: 16}, {Name: "other"}}}
+		c := catalog.Catalog{Version: 1, Teams: []catalog.Team{{Name: "sure", GuaranteedAccelerators: 16}, {Name: "other"}}}
 		return c.WithIndex(), nil
 	}}, zerolog.Nop())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -44,16 +44,16 @@
 		time.Sleep(time.Millisecond)
 	}
 	b := &fixture{t: t, now: time.Now()}
-	b.control = New(DefaultSettings(), Parts{Catalog: follower, Logger: zerolog.Nop(), Metrics: NewMetrics(tally.NoopScope)})
+	b.control = New(DefaultSettings(), Dependencies{Catalog: follower, Logger: zerolog.Nop(), Metrics: NewMetrics(tally.NoopScope)})
 	b.control.wants.all = true
 	for r := range racks {
 		for w := range perRack {
 			name := fmt.Sprintf("w%d-%d", r, w)
 			b.control.workers[name] = &worker{
 				name: name, heard: b.now, runs: map[assignment.RunID]observed{},
-				life: &assignment.Life{
-					ID: life.ID{Instance: name, Born: 1}, Service: service, Rack: fmt.Sprintf("r%d", r), Labels: []string{"a", fmt.Sprintf("r%d", r)},
-					Room: job.Need{CPU: 64_000, Memory: 128_000, Accelerators: 8},
+				life: &assignment.WorkerState{
+					ID: incarnation.ID{Instance: name, StartMillis: 1}, Service: service, Rack: fmt.Sprintf("r%d", r), Labels: []string{"a", fmt.Sprintf("r%d", r)},
+					Capacity: job.Resources{CPU: 64_000, Memory: 128_000, Accelerators: 8},
 				},
 			}
 		}
@@ -64,15 +64,15 @@
 // job adds a job of one step.
 func (b *fixture) job(priority int, team string, s job.Step) *tracked {
 	b.number++
-	if s.Need == (job.Need{}) {
-		s.Need = job.Need{CPU: 8000, Memory: 16_000, Accelerators: 8}
+	if s.Resources == (job.Resources{}) {
+		s.Resources = job.Resources{CPU: 8000, Memory: 16_000, Accelerators: 8}
 	}
 	if s.Estimate == 0 {
 		s.Estimate = 5 * time.Second
 	}
 	id := job.ID(fmt.Sprintf("%016x", b.number))
 	t := newTracked(&job.Job{
-		ID: id, Service: service, Priority: priority, Team: team, Attempts: 3, Stretch: 3, Aim: time.Second,
+		ID: id, Service: service, Priority: priority, Team: team, MaxAttempts: 3, ObjectiveFactor: 3, ObjectiveSlack: time.Second,
 		Accepted: b.now.Add(time.Duration(b.number) * time.Millisecond), Steps: []job.Step{s},
 	})
 	b.control.add(t)
@@ -116,16 +116,16 @@
 }
 
 // finishAll ends all that is placed.
-func (b *fixture) finishAll(how job.Ending) {
+func (b *fixture) finishAll(how job.EndReason) {
 	for _, t := range b.control.jobs {
 		b.finish(t, how)
 	}
 }
 
 // finish ends all that is placed of a job.
-func (b *fixture) finish(t *tracked, how job.Ending) {
+func (b *fixture) finish(t *tracked, how job.EndReason) {
 	t.progress.Placed(t.job.ID, func(name job.TaskName, task *job.Task) {
-		b.control.endTask(t, task.Life, assignment.End{RunID: assignment.RunID{Task: name, Run: task.Run}, How: how})
+		b.control.endTask(t, task.Incarnation, assignment.End{RunID: assignment.RunID{Task: name, Run: task.Run}, Reason: how})
 	})
 }
 
--- a/jobs/dispatch/golden_test.go
+++ b/jobs/dispatch/golden_test.go
@@ -18,9 +18,9 @@
 
 	"yarrowgrade.example/yarrowgrade/internal/goldentest"
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // golden runs a scene on a controller whose clock and log are the test's, and compares what it
@@ -46,8 +46,8 @@
 		j := b.job(0, "sure", job.Step{Tasks: 1})
 		b.plan(0)
 		_, id, poll := b.reported(j)
-		poll.Ends = []assignment.End{{RunID: id, Number: 1, How: job.EndDone, TookMillis: 4200}}
-		b.control.Report(b.now, poll)
+		poll.Ends = []assignment.End{{RunID: id, Number: 1, Reason: job.EndDone, TookMillis: 4200}}
+		b.control.ApplyPoll(b.now, poll)
 	})
 }
 
@@ -58,11 +58,11 @@
 		b.plan(0)
 		_, id, poll := b.reported(j)
 		poll.Runs = []assignment.Run{{RunID: id, Percent: 1}}
-		b.control.Report(b.now, poll)
+		b.control.ApplyPoll(b.now, poll)
 		b.job(0, "sure", job.Step{Tasks: 1, Estimate: time.Second})
 		b.plan(2 * time.Second)
-		poll.Runs, poll.Ends = nil, []assignment.End{{RunID: id, Number: 1, How: job.EndStopped, TookMillis: 2500}}
-		b.control.Report(b.now, poll)
+		poll.Runs, poll.Ends = nil, []assignment.End{{RunID: id, Number: 1, Reason: job.EndStopped, TookMillis: 2500}}
+		b.control.ApplyPoll(b.now, poll)
 		b.plan(time.Second)
 	})
 }
@@ -73,10 +73,10 @@
 		b.job(0, "sure", job.Step{Tasks: 1, Estimate: time.Minute})
 		b.plan(0)
 		b.job(1, "other", job.Step{Tasks: 1})
-		b.job(1, "other", job.Step{Tasks: 2, Gang: true, Need: job.Need{Accelerators: 4}})
+		b.job(1, "other", job.Step{Tasks: 2, Gang: true, Resources: job.Resources{Accelerators: 4}})
 		b.job(0, "other", job.Step{Tasks: 1})
 		advised := b.job(1, "other", job.Step{Tasks: 1})
-		advised.job.Advised = true
+		advised.job.NeedsPermit = true
 		b.plan(time.Second)
 	})
 }
@@ -102,8 +102,8 @@
 					tracked: j, name: id.Task, run: id.Run, lostWork: 12.5,
 					node: &node{worker: b.control.workers["w0-0"]},
 				}, why)
-				poll.Ends = []assignment.End{{RunID: id, Number: 1, How: job.EndStopped, TookMillis: 1500}}
-				b.control.Report(b.now, poll)
+				poll.Ends = []assignment.End{{RunID: id, Number: 1, Reason: job.EndStopped, TookMillis: 1500}}
+				b.control.ApplyPoll(b.now, poll)
 			})
 		})
 	}
@@ -111,17 +111,17 @@
 
 // TestGoldenEndings: each ending of a run, with the cause under which its work counts as lost.
 func TestGoldenEndings(t *testing.T) {
-	for _, how := range []job.Ending{
-		job.EndDone, job.EndFailed, job.EndStopped, job.EndLapsed, job.EndBroken, job.EndAlone, job.EndRefused,
+	for _, how := range []job.EndReason{
+		job.EndDone, job.EndFailed, job.EndStopped, job.EndLeaseExpired, job.EndGangBroken, job.EndGangIncomplete, job.EndRefused,
 	} {
 		t.Run(string(how), func(t *testing.T) {
 			golden(t, "end-"+string(how), 1, 1, func(b *fixture) {
 				j := b.job(1, "other", job.Step{Tasks: 1})
-				j.job.Attempts = 1
+				j.job.MaxAttempts = 1
 				b.plan(0)
 				_, id, poll := b.reported(j)
-				poll.Ends = []assignment.End{{RunID: id, Number: 1, How: how, TookMillis: 1500}}
-				b.control.Report(b.now, poll)
+				poll.Ends = []assignment.End{{RunID: id, Number: 1, Reason: how, TookMillis: 1500}}
+				b.control.ApplyPoll(b.now, poll)
 			})
 		})
 	}
@@ -135,13 +135,13 @@
 		for !j.progress.Phase.Final() {
 			w, id, poll := b.reported(j)
 			poll.Runs = []assignment.Run{{RunID: id, Percent: 3}}
-			b.control.Report(b.now, poll)
+			b.control.ApplyPoll(b.now, poll)
 			time.Sleep(20 * time.Second)
-			over := assignment.LifeEnd{ID: w.life.ID, Listed: true, Runs: []assignment.CutRun{{RunID: id, Begun: true}}}
+			over := assignment.IncarnationEnd{ID: w.life.ID, Complete: true, Runs: []assignment.InterruptedRun{{RunID: id, Started: true}}}
 			next := *w.life
-			next.ID.Born++
+			next.ID.StartMillis++
 			b.now = time.Now().UTC()
-			b.control.Report(b.now, assignment.Poll{Worker: w.name, Life: &next, Listed: true, Over: []assignment.LifeEnd{over}})
+			b.control.ApplyPoll(b.now, assignment.Poll{Worker: w.name, State: &next, Complete: true, EndedIncarnations: []assignment.IncarnationEnd{over}})
 			b.plan(2 * trialPatience)
 		}
 	})
@@ -150,11 +150,11 @@
 		b.plan(0)
 		w, id, poll := b.reported(j)
 		poll.Runs = []assignment.Run{{RunID: id, Percent: 3}}
-		b.control.Report(b.now, poll)
-		b.control.LeaseOver(map[string]bool{w.name: true})
+		b.control.ApplyPoll(b.now, poll)
+		b.control.ExpireLeases(map[string]bool{w.name: true})
 		b.plan(0)
-		poll.Runs, poll.Ends = nil, []assignment.End{{RunID: id, Number: 1, How: job.EndDone}}
-		b.control.Report(b.now, poll)
+		poll.Runs, poll.Ends = nil, []assignment.End{{RunID: id, Number: 1, Reason: job.EndDone}}
+		b.control.ApplyPoll(b.now, poll)
 	})
 }
 
@@ -166,18 +166,18 @@
 		b.plan(0)
 		_, id, refused := b.reported(j)
 		refused.Refused = []assignment.Refusal{{RunID: id, Reason: "no room"}}
-		b.control.Report(b.now, refused)
+		b.control.ApplyPoll(b.now, refused)
 		b.plan(0)
 		w, id, poll := b.reported(j)
 		next := *w.life
-		next.ID.Born++
-		poll.Life, poll.Over = &next, []assignment.LifeEnd{{ID: w.life.ID, Listed: true}}
+		next.ID.StartMillis++
+		poll.State, poll.EndedIncarnations = &next, []assignment.IncarnationEnd{{ID: w.life.ID, Complete: true}}
 		poll.Runs = []assignment.Run{{RunID: id, Percent: 3}}
-		b.control.Report(b.now, poll)
+		b.control.ApplyPoll(b.now, poll)
 		leaving := next
-		leaving.Leaving, leaving.LeavesIn = true, 2500
-		poll.Life, poll.Over = &leaving, nil
-		b.control.Report(b.now, poll)
+		leaving.Draining, leaving.DrainMillis = true, 2500
+		poll.State, poll.EndedIncarnations = &leaving, nil
+		b.control.ApplyPoll(b.now, poll)
 	})
 }
 
@@ -185,27 +185,27 @@
 func TestGoldenJobs(t *testing.T) {
 	golden(t, "jobs", 1, 1, func(b *fixture) {
 		j := b.job(1, "other", job.Step{Tasks: 1})
-		b.control.Take(jobstore.View{ID: j.job.ID, Cancelled: true})
-		b.control.Take(jobstore.View{ID: "00000000000000fe", Submission: []byte("{")})
+		b.control.ApplyJob(jobstore.StoredJob{ID: j.job.ID, Cancelled: true})
+		b.control.ApplyJob(jobstore.StoredJob{ID: "00000000000000fe", Submission: []byte("{")})
 		submission, err := (&job.Job{Service: service, Steps: []job.Step{{Tasks: 1}}}).Encode()
 		if err != nil {
 			b.t.Fatal(err)
 		}
-		b.control.Take(jobstore.View{ID: "00000000000000ff", Submission: submission, Progress: []byte("r{")})
+		b.control.ApplyJob(jobstore.StoredJob{ID: "00000000000000ff", Submission: submission, Progress: []byte("r{")})
 	})
 }
 
 // TestGoldenClear: a task that lasts is no longer suspected after a while.
 func TestGoldenClear(t *testing.T) {
 	golden(t, "clear", 1, 1, func(b *fixture) {
-		j := b.job(1, "other", job.Step{Tasks: 1, Lasts: true})
+		j := b.job(1, "other", job.Step{Tasks: 1, LongRunning: true})
 		b.plan(0)
 		w, id, poll := b.reported(j)
-		over := assignment.LifeEnd{ID: w.life.ID, Listed: true, Runs: []assignment.CutRun{{RunID: id, Begun: true}}}
+		over := assignment.IncarnationEnd{ID: w.life.ID, Complete: true, Runs: []assignment.InterruptedRun{{RunID: id, Started: true}}}
 		next := *w.life
-		next.ID.Born++
-		poll.Life, poll.Over = &next, []assignment.LifeEnd{over}
-		b.control.Report(b.now, poll)
+		next.ID.StartMillis++
+		poll.State, poll.EndedIncarnations = &next, []assignment.IncarnationEnd{over}
+		b.control.ApplyPoll(b.now, poll)
 		b.plan(time.Second)
 		b.observe(j, b.now, 1)
 		b.plan(2 * soundAfter)
@@ -215,20 +215,20 @@
 // goldenAdviser gives a ticket for the first life that it is asked about, unless it fails.
 type goldenAdviser struct{ err error }
 
-// Advise implements Adviser.
-func (a goldenAdviser) Advise(_ context.Context, _ string, lives []life.ID) ([]Ticket, time.Duration, error) {
-	return []Ticket{{Life: lives[0], Text: "ticket"}}, time.Minute, a.err
+// Issue implements Adviser.
+func (a goldenAdviser) Issue(_ context.Context, _ string, lives []incarnation.ID) ([]Permit, time.Duration, error) {
+	return []Permit{{Incarnation: lives[0], Token: "ticket"}}, time.Minute, a.err
 }
 
 // TestGoldenAdvice: what the adviser said, and that it said nothing.
 func TestGoldenAdvice(t *testing.T) {
 	golden(t, "advice", 1, 2, func(b *fixture) {
 		j := b.job(1, "other", job.Step{Tasks: 1})
-		j.job.Advised = true
+		j.job.NeedsPermit = true
 		for _, err := range []error{errors.New("not now"), nil} {
 			b.control.advice.adviser = goldenAdviser{err: err}
 			b.plan(time.Second)
-			b.control.TakeAdvice(<-b.control.Advice())
+			b.control.ApplyPermits(<-b.control.Permits())
 		}
 		b.plan(time.Second)
 	})
@@ -260,10 +260,10 @@
 // TestGoldenWant: what a worker should run, as the leader takes it over.
 func TestGoldenWant(t *testing.T) {
 	b := newFixture(t, 1, 1)
-	j := b.job(1, "other", job.Step{Tasks: 1, Target: 250 * time.Millisecond})
+	j := b.job(1, "other", job.Step{Tasks: 1, LatencyTarget: 250 * time.Millisecond})
 	j.job.Spec = "spec"
 	b.plan(0)
-	want := b.control.Wants(b.now)["w0-0"]
+	want := b.control.TakeDesired(b.now)["w0-0"]
 	var lines []string
 	byName := func(a, b job.TaskName) int { return strings.Compare(a.String(), b.String()) }
 	for _, name := range slices.SortedFunc(maps.Keys(want.Runs), byName) {
@@ -276,7 +276,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		lines = append(lines, fmt.Sprintf("%s %s %v %s %s\n", want.Life, name, run.Stopping, start, role))
+		lines = append(lines, fmt.Sprintf("%s %s %v %s %s\n", want.Incarnation, name, run.Stopping, start, role))
 	}
 	goldentest.Bytes(t, "want.txt", []byte(strings.Join(lines, "")))
 }
--- a/jobs/dispatch/headroom.go
+++ b/jobs/dispatch/headroom.go
@@ -129,7 +129,7 @@
 			if n.life.Service != service || n.closed {
 				continue
 			}
-			total += n.life.Room.Accelerators
+			total += n.life.Capacity.Accelerators
 			if n.usable {
 				free[r] += max(n.later.Accelerators, 0)
 				usable = append(usable, n)
@@ -149,11 +149,11 @@
 // leavesHeadroom reports whether a unit can wait for room that is not kept for urgent jobs: it is not urgent, something of its
 // job runs or it has waited only a moment, and most of its slack is left.
 func (p *plan) leavesHeadroom(t *tracked, u job.Unit, due time.Time, chain time.Duration) bool {
-	if t.job.Priority == 0 || t.job.Lasting() || !p.c.has(Headroom) {
+	if t.job.Priority == 0 || t.job.LongRunning() || !p.c.has(Headroom) {
 		return false
 	}
 	from := t.job.Accepted
-	if t.job.Times > 0 {
+	if t.job.RoundCount > 0 {
 		from = t.job.DueAt(u.Round)
 	}
 	waited, slack := p.now.Sub(from), due.Sub(from)-chain
--- a/jobs/dispatch/headroom_test.go
+++ b/jobs/dispatch/headroom_test.go
@@ -10,7 +10,7 @@
 // TestHeadroom: what can wait leaves a rack's worth of room to urgent jobs, if such have come lately, and takes it when it has
 // waited for long or when nothing of its job runs.
 func TestHeadroom(t *testing.T) {
-	one := job.Need{CPU: 8000, Memory: 16_000, Accelerators: 8}
+	one := job.Resources{CPU: 8000, Memory: 16_000, Accelerators: 8}
 	tests := []struct {
 		name   string
 		urgent bool
@@ -29,11 +29,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			b := newFixture(t, 2, 2)
 			if test.urgent {
-				b.job(0, "", job.Step{Tasks: 2, Need: one, Estimate: time.Second})
+				b.job(0, "", job.Step{Tasks: 2, Resources: one, Estimate: time.Second})
 				b.plan(0)
 				b.finishAll(job.EndDone)
 			}
-			sweep := b.job(2, "", job.Step{Tasks: 4, Need: one})
+			sweep := b.job(2, "", job.Step{Tasks: 4, Resources: one})
 			if test.runs {
 				b.plan(0)
 			}
@@ -46,11 +46,11 @@
 	t.Run("room for several that come at once", func(t *testing.T) {
 		b := newFixture(t, 10, 2)
 		for range 4 {
-			b.job(0, "", job.Step{Tasks: 1, Need: one, Estimate: time.Second})
+			b.job(0, "", job.Step{Tasks: 1, Resources: one, Estimate: time.Second})
 		}
 		b.plan(0)
 		b.finishAll(job.EndDone)
-		sweep := b.job(2, "", job.Step{Tasks: 20, Need: one})
+		sweep := b.job(2, "", job.Step{Tasks: 20, Resources: one})
 		b.plan(0)
 		if got := len(b.at(sweep)); got != 16 {
 			t.Errorf("%d of 20 tasks of the sweep are placed, want all but room for the four that came at once", got)
@@ -58,12 +58,12 @@
 	})
 	t.Run("urgent jobs use it", func(t *testing.T) {
 		b := newFixture(t, 2, 2)
-		b.job(0, "", job.Step{Tasks: 2, Need: one, Estimate: time.Second})
+		b.job(0, "", job.Step{Tasks: 2, Resources: one, Estimate: time.Second})
 		b.plan(0)
 		b.finishAll(job.EndDone)
-		b.job(2, "", job.Step{Tasks: 4, Need: one})
+		b.job(2, "", job.Step{Tasks: 4, Resources: one})
 		b.plan(0)
-		next := b.job(0, "", job.Step{Tasks: 2, Need: one, Gang: true, SameRack: true})
+		next := b.job(0, "", job.Step{Tasks: 2, Resources: one, Gang: true, SameRack: true})
 		b.plan(0)
 		if got := racksOf(b.at(next)); len(got) != 1 || len(b.at(next)) != 2 {
 			t.Errorf("the urgent gang is at %v, want one rack at once", b.at(next))
--- a/jobs/dispatch/health.go
+++ b/jobs/dispatch/health.go
@@ -32,7 +32,7 @@
 }
 
 // ended takes note of the end of a run that was there so long; zero is an unknown time.
-func (h *health) ended(now time.Time, id job.ID, how job.Ending, took time.Duration) {
+func (h *health) ended(now time.Time, id job.ID, how job.EndReason, took time.Duration) {
 	switch {
 	case how == job.EndDone:
 		h.failed, h.length = nil, 0
--- a/jobs/dispatch/health_test.go
+++ b/jobs/dispatch/health_test.go
@@ -11,9 +11,9 @@
 // failed lets the only run of a job fail, after it was there for a time, and makes a decision.
 func (b *fixture) failed(t *tracked, took time.Duration) {
 	w, id, poll := b.reported(t)
-	poll.Ends = []assignment.End{{RunID: id, Number: w.ends + 1, How: job.EndFailed, TookMillis: took.Milliseconds()}}
+	poll.Ends = []assignment.End{{RunID: id, Number: w.ends + 1, Reason: job.EndFailed, TookMillis: took.Milliseconds()}}
 	b.now = time.Now()
-	b.control.Report(b.now, poll)
+	b.control.ApplyPoll(b.now, poll)
 	b.plan(0)
 }
 
--- a/jobs/dispatch/losses.go
+++ b/jobs/dispatch/losses.go
@@ -46,17 +46,17 @@
 // causeOf is why a run ended as it did, without regard to its gang.
 func (t *tracked) causeOf(e assignment.End) lossCause {
 	switch {
-	case e.How == job.EndDone || e.How == job.EndRefused:
+	case e.Reason == job.EndDone || e.Reason == job.EndRefused:
 		return lossNone
 	case t.progress.Phase == job.Cancelled:
 		return lossCancel
-	case e.How == job.EndFailed:
+	case e.Reason == job.EndFailed:
 		return lossFailed
-	case e.How == job.EndLost:
+	case e.Reason == job.EndLost:
 		return lossWorker
-	case e.How == job.EndLapsed:
+	case e.Reason == job.EndLeaseExpired:
 		return lossLapsed
-	case e.How == job.EndAlone:
+	case e.Reason == job.EndGangIncomplete:
 		return lossAlone
 	}
 	if cause, ok := t.causes[e.Task]; ok {
@@ -83,10 +83,10 @@
 			t.broken[first] = brokenGang{run: e.Run, cause: cause}
 		}
 	}
-	if step.Checkpoint || step.Lasts {
+	if step.Checkpoint || step.LongRunning {
 		return cause, 0
 	}
-	return cause, e.Took().Seconds() * weight(step.Need)
+	return cause, e.Took().Seconds() * weight(step.Resources)
 }
 
 // brokenGang says why a run of a gang broke.
--- a/jobs/dispatch/losses_test.go
+++ b/jobs/dispatch/losses_test.go
@@ -14,15 +14,15 @@
 	const took = 2 * time.Second
 	// A task of the fixture has 8 cores and 8 accelerators, which count as 8 cores each.
 	const each = 2 * (8 + 8*8)
-	end := func(j *tracked, index int, how job.Ending) (lossCause, float64) {
+	end := func(j *tracked, index int, how job.EndReason) (lossCause, float64) {
 		id := assignment.RunID{Task: job.TaskName{Job: j.job.ID, Index: index}, Run: 1}
-		return j.account(assignment.End{RunID: id, How: how, TookMillis: took.Milliseconds()})
+		return j.account(assignment.End{RunID: id, Reason: how, TookMillis: took.Milliseconds()})
 	}
 	tests := []struct {
 		name  string
 		step  job.Step
 		stop  string
-		how   job.Ending
+		how   job.EndReason
 		cause lossCause
 		lost  float64
 	}{
@@ -52,7 +52,7 @@
 		if cause, _ := end(j, 1, job.EndLost); cause != lossWorker {
 			t.Errorf("the first member ended: %s", cause)
 		}
-		if cause, lost := end(j, 0, job.EndBroken); cause != lossWorker || lost != each {
+		if cause, lost := end(j, 0, job.EndGangBroken); cause != lossWorker || lost != each {
 			t.Errorf("the other one broke: %s, %g, want %s and %d", cause, lost, lossWorker, each)
 		}
 	})
--- a/jobs/dispatch/metrics.go
+++ b/jobs/dispatch/metrics.go
@@ -11,7 +11,7 @@
 
 // Metrics are those of controllers. Those with a team have a series for each team of the configuration.
 type Metrics struct {
-	ends   telemetry.Counters[job.Ending]
+	ends   telemetry.Counters[job.EndReason]
 	stops  telemetry.Counters[string]
 	losses telemetry.Counters[string]
 	// lostWork counts core-seconds of work that was thrown away.
@@ -58,8 +58,8 @@
 // NewMetrics returns the metrics of a process; all its controllers share them.
 func NewMetrics(scope tally.Scope) *Metrics {
 	m := &Metrics{
-		ends: telemetry.NewCounters(scope, "runs_ended", "how", job.EndDone, job.EndFailed, job.EndStopped, job.EndLapsed, job.EndBroken,
-			job.EndAlone, job.EndLost, job.EndRefused),
+		ends: telemetry.NewCounters(scope, "runs_ended", "how", job.EndDone, job.EndFailed, job.EndStopped, job.EndLeaseExpired, job.EndGangBroken,
+			job.EndGangIncomplete, job.EndLost, job.EndRefused),
 		stops:       telemetry.NewCounters(scope, "runs_stopped", "why", stopYields, stopStall, stopLeaves, stopCordoned, stopShrunk),
 		losses:      telemetry.NewCounters(scope, "runs_lost", "why", lossLease, lossLife),
 		lostWork:    telemetry.NewCounters(scope, "work_lost_core_s", "cause", lossCauses()...),
@@ -126,7 +126,7 @@
 			continue
 		}
 		workers++
-		free += w.life.Room.Accelerators
+		free += w.life.Capacity.Accelerators
 		if cordons.Has(w.life.Zone) {
 			left += len(w.runs)
 		}
@@ -137,8 +137,8 @@
 			waiting[t.job.Team]++
 		}
 		t.progress.Placed(id, func(name job.TaskName, _ *job.Task) {
-			held[t.job.Team] += t.job.Steps[name.Step].Need.Accelerators
-			free -= t.job.Steps[name.Step].Need.Accelerators
+			held[t.job.Team] += t.job.Steps[name.Step].Resources.Accelerators
+			free -= t.job.Steps[name.Step].Resources.Accelerators
 		})
 	}
 	m.workers.Update(float64(workers))
--- a/jobs/dispatch/plan.go
+++ b/jobs/dispatch/plan.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // reservations is how many waiting gangs have room held back for them at once.
@@ -28,13 +28,13 @@
 	rack *rack
 	// place is the node's place in the order of names.
 	place int
-	free  job.Need
+	free  job.Resources
 	// later is what is free once all that was told to stop has ended.
-	later job.Need
+	later job.Resources
 	runs  []*running
 	// heldUntil is until when room is kept for a gang that waits for it, beside what is left then for work that does not end before.
 	heldUntil time.Time
-	beside    job.Need
+	beside    job.Resources
 	usable    bool
 	// closed says that operators have cordoned the worker's availability zone.
 	closed bool
@@ -46,7 +46,7 @@
 }
 
 // take takes the room of a need off the node.
-func (n *node) take(need job.Need) {
+func (n *node) take(need job.Resources) {
 	n.free = n.free.Plus(need, -1)
 	n.rack.free -= need.Accelerators
 }
@@ -57,7 +57,7 @@
 	name     job.TaskName
 	run      int
 	node     *node
-	need     job.Need
+	need     job.Resources
 	stopping bool
 	ends     time.Time
 	// lostWork is the work that a stop would lose, in core-seconds (an accelerator counts as 8 cores); cost is what a stop
@@ -115,7 +115,7 @@
 
 // Plan decides what to start and what to stop, and notes it in the jobs' progress. Questions to the adviser end with ctx.
 func (c *Controller) Plan(ctx context.Context, now time.Time) {
-	c.next = now.Add(c.settings.Every)
+	c.next = now.Add(c.settings.MaxInterval)
 	p := &plan{c: c, ctx: ctx, now: now, racks: map[string]*rack{}, byName: map[string]*node{}, noRoom: map[search]bool{}, gangs: map[job.TaskName][]*running{}, stopTime: c.stops.usual()}
 	p.addNodes()
 	p.addRuns()
@@ -142,10 +142,10 @@
 		if w.life == nil {
 			continue
 		}
-		n := &node{worker: w, free: w.life.Room, later: w.life.Room}
-		silent := w.silent || p.now.Sub(w.heard) > p.c.settings.Silent
+		n := &node{worker: w, free: w.life.Capacity, later: w.life.Capacity}
+		silent := w.silent || p.now.Sub(w.heard) > p.c.settings.SilentAfter
 		n.closed = cordons.Has(w.life.Zone)
-		n.usable = !silent && !w.closing && !w.life.Leaving && !n.closed && !w.health.quarantined(p.now)
+		n.usable = !silent && !w.closing && !w.life.Draining && !n.closed && !w.health.quarantined(p.now)
 		p.nodes = append(p.nodes, n)
 		p.byName[w.name] = n
 	}
@@ -186,7 +186,7 @@
 	lost := restartCost
 	if !step.Checkpoint {
 		lost += worked
-		r.lostWork = worked.Seconds() * weight(step.Need)
+		r.lostWork = worked.Seconds() * weight(step.Resources)
 	}
 	// What has been stopped before costs more each time, or it would be stopped again and again.
 	if p.c.has(RepeatCost) {
@@ -196,7 +196,7 @@
 	if r.tracked.job.Priority == 0 {
 		lost += time.Duration(worthInTime * float64(length))
 	}
-	r.cost = lost.Seconds() * weight(step.Need)
+	r.cost = lost.Seconds() * weight(step.Resources)
 }
 
 // Costs of a stop beside the work that it loses: the time until the task works again, and what is added for each
@@ -207,7 +207,7 @@
 )
 
 // weight is what a second of a task is worth, in core-seconds.
-func weight(n job.Need) float64 { return float64(n.CPU)/1000 + 8*float64(n.Accelerators) }
+func weight(n job.Resources) float64 { return float64(n.CPU)/1000 + 8*float64(n.Accelerators) }
 
 // guaranteedJobs returns the jobs that their team's guarantee covers: those of priority 0 that have not ended, in the order
 // in which they came, as long as all of them together need no more than what is guaranteed.
@@ -229,7 +229,7 @@
 	used := map[string]int{}
 	for _, t := range urgent {
 		used[t.job.Team] += widest(t.job)
-		guaranteed[t.job.ID] = used[t.job.Team] <= c.Guaranteed(t.job.Team)
+		guaranteed[t.job.ID] = used[t.job.Team] <= c.GuaranteedAccelerators(t.job.Team)
 	}
 	return guaranteed
 }
@@ -238,7 +238,7 @@
 func widest(j *job.Job) int {
 	most := 0
 	for _, s := range j.Steps {
-		most = max(most, s.Tasks*s.Need.Accelerators)
+		most = max(most, s.Tasks*s.Resources.Accelerators)
 	}
 	return most
 }
@@ -267,7 +267,7 @@
 			late := p.now.Sub(due) > 2*due.Sub(t.job.Accepted)
 			all = append(all, waiting{
 				tracked: t, unit: u, step: t.job.Steps[u.Step], due: due, length: p.c.length(t, u.Step), guaranteed: p.guaranteed[id],
-				expired: late && t.job.Times == 0 && !t.job.Lasting(),
+				expired: late && t.job.RoundCount == 0 && !t.job.LongRunning(),
 				late:    t.job.Priority == 0 && p.now.Add(p.c.length(t, u.Step)).After(due),
 				work:    p.c.work(t), preempts: p.now.Sub(t.preemptedFor[u.Tasks[0]]) < keptFor,
 				leavesHeadroom: p.leavesHeadroom(t, u, due, chain), suspicion: p.suspicionOfUnit(t, u), suspectedAt: t.suspectedAt(u, p.now),
@@ -331,11 +331,11 @@
 
 // seekAdvice asks about workers for a unit that needs tickets. It returns true while nothing more is to be said.
 func (p *plan) seekAdvice(w waiting) bool {
-	if !w.tracked.job.Advised {
+	if !w.tracked.job.NeedsPermit {
 		return true
 	}
 	step := stepOf(w.unit.Tasks[0])
-	var lives []life.ID
+	var lives []incarnation.ID
 	tickets := 0
 	for _, n := range p.nodes {
 		if !n.usable || !allowed(w, n) {
--- a/jobs/dispatch/plan_test.go
+++ b/jobs/dispatch/plan_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestPlacement(t *testing.T) {
-	small := job.Need{CPU: 4000, Memory: 1000, Accelerators: 1}
+	small := job.Resources{CPU: 4000, Memory: 1000, Accelerators: 1}
 	t.Run("a gang of one rack is not spread while a rack can hold it", func(t *testing.T) {
 		b := newFixture(t, 2, 3)
 		blocker := b.job(1, "other", job.Step{Tasks: 1, Estimate: 2 * time.Second})
@@ -52,9 +52,9 @@
 	})
 	t.Run("a gang is on as few workers as can be", func(t *testing.T) {
 		b := newFixture(t, 1, 4)
-		b.job(1, "other", job.Step{Tasks: 1, Need: small, Estimate: time.Minute})
+		b.job(1, "other", job.Step{Tasks: 1, Resources: small, Estimate: time.Minute})
 		b.plan(0)
-		gang := b.job(0, "other", job.Step{Tasks: 4, Gang: true, Need: job.Need{CPU: 4000, Memory: 1000, Accelerators: 4}})
+		gang := b.job(0, "other", job.Step{Tasks: 4, Gang: true, Resources: job.Resources{CPU: 4000, Memory: 1000, Accelerators: 4}})
 		b.plan(0)
 		on := map[string]int{}
 		for _, n := range b.at(gang) {
@@ -67,8 +67,8 @@
 	t.Run("labels", func(t *testing.T) {
 		b := newFixture(t, 1, 3)
 		b.control.workers["w0-1"].life.Labels = []string{"b", "r0"}
-		j := b.job(1, "other", job.Step{Tasks: 1, Label: "b"})
-		none := b.job(1, "other", job.Step{Tasks: 1, Label: "c"})
+		j := b.job(1, "other", job.Step{Tasks: 1, RequiredLabel: "b"})
+		none := b.job(1, "other", job.Step{Tasks: 1, RequiredLabel: "c"})
 		b.plan(0)
 		if got := b.at(j); len(got) != 1 || got[0] != "w0-1" {
 			t.Errorf("it is placed on %v", got)
@@ -79,7 +79,7 @@
 	})
 	t.Run("at most so many on a worker", func(t *testing.T) {
 		b := newFixture(t, 1, 3)
-		j := b.job(1, "other", job.Step{Tasks: 5, PerWorker: 1, Need: small})
+		j := b.job(1, "other", job.Step{Tasks: 5, MaxPerWorker: 1, Resources: small})
 		b.plan(0)
 		b.plan(0)
 		count := map[string]int{}
@@ -106,7 +106,7 @@
 	})
 	t.Run("what can't take work gets none", func(t *testing.T) {
 		b := newFixture(t, 1, 4)
-		b.control.workers["w0-0"].life.Leaving = true
+		b.control.workers["w0-0"].life.Draining = true
 		b.control.workers["w0-1"].health.fault(b.now, "x")
 		b.control.workers["w0-2"].silent = true
 		j := b.job(0, "sure", job.Step{Tasks: 4})
@@ -117,9 +117,9 @@
 	})
 	t.Run("filling tasks keep away from those with a target", func(t *testing.T) {
 		b := newFixture(t, 1, 2)
-		serves := b.job(1, "other", job.Step{Tasks: 1, Lasts: true, Target: time.Second, Need: small})
+		serves := b.job(1, "other", job.Step{Tasks: 1, LongRunning: true, LatencyTarget: time.Second, Resources: small})
 		b.plan(0)
-		fills := b.job(2, "other", job.Step{Tasks: 4, Fills: true, Need: small})
+		fills := b.job(2, "other", job.Step{Tasks: 4, BestEffort: true, Resources: small})
 		b.plan(0)
 		for _, n := range b.at(fills) {
 			if n == b.at(serves)[0] {
@@ -132,9 +132,9 @@
 	})
 	t.Run("where no worker is without tasks that serve, filling tasks share one after a while", func(t *testing.T) {
 		b := newFixture(t, 1, 1)
-		b.job(1, "other", job.Step{Tasks: 1, Lasts: true, Target: time.Second, Need: small})
+		b.job(1, "other", job.Step{Tasks: 1, LongRunning: true, LatencyTarget: time.Second, Resources: small})
 		b.plan(0)
-		fills := b.job(2, "other", job.Step{Tasks: 1, Fills: true, Need: small})
+		fills := b.job(2, "other", job.Step{Tasks: 1, BestEffort: true, Resources: small})
 		b.plan(100 * time.Millisecond)
 		if got := b.at(fills); len(got) != 0 {
 			t.Errorf("it is placed on %v at once", got)
@@ -146,15 +146,15 @@
 	})
 	t.Run("tasks that serve are spread", func(t *testing.T) {
 		b := newFixture(t, 1, 3)
-		b.job(2, "other", job.Step{Tasks: 1, Need: small})
+		b.job(2, "other", job.Step{Tasks: 1, Resources: small})
 		b.plan(0)
 		for i := range 3 {
-			b.job(1, "other", job.Step{Tasks: 1, Lasts: true, Target: time.Second, Need: small})
+			b.job(1, "other", job.Step{Tasks: 1, LongRunning: true, LatencyTarget: time.Second, Resources: small})
 			b.plan(time.Duration(i) * time.Millisecond)
 		}
 		on := map[string]int{}
 		for _, t := range b.control.jobs {
-			if t.job.Lasting() {
+			if t.job.LongRunning() {
 				on[b.at(t)[0]]++
 			}
 		}
@@ -164,7 +164,7 @@
 	})
 	t.Run("a task that failed tries another worker", func(t *testing.T) {
 		b := newFixture(t, 1, 2)
-		j := b.job(1, "other", job.Step{Tasks: 1, Need: small})
+		j := b.job(1, "other", job.Step{Tasks: 1, Resources: small})
 		b.plan(0)
 		first := b.at(j)[0]
 		b.finish(j, job.EndFailed)
@@ -209,8 +209,8 @@
 				gang := rapid.Bool().Draw(rt, "gang")
 				b.job(rapid.IntRange(0, 2).Draw(rt, "priority"), rapid.SampledFrom([]string{"sure", "other"}).Draw(rt, "team"), job.Step{
 					Tasks: rapid.IntRange(1, 6).Draw(rt, "tasks"), Gang: gang, SameRack: gang && rapid.Bool().Draw(rt, "same rack"),
-					Need:       job.Need{CPU: 8000, Memory: 1000, Accelerators: rapid.IntRange(1, 8).Draw(rt, "accelerators")},
-					Checkpoint: rapid.Bool().Draw(rt, "checkpoint"), PerWorker: rapid.IntRange(0, 2).Draw(rt, "bound"),
+					Resources:  job.Resources{CPU: 8000, Memory: 1000, Accelerators: rapid.IntRange(1, 8).Draw(rt, "accelerators")},
+					Checkpoint: rapid.Bool().Draw(rt, "checkpoint"), MaxPerWorker: rapid.IntRange(0, 2).Draw(rt, "bound"),
 					Estimate: time.Duration(rapid.IntRange(1, 9).Draw(rt, "estimate")) * time.Second,
 				})
 			}
@@ -218,8 +218,8 @@
 				t.progress.Placed(t.job.ID, func(name job.TaskName, task *job.Task) {
 					_, told := t.stopping[name]
 					if told || rapid.IntRange(0, 3).Draw(rt, "ends") == 0 {
-						how := rapid.SampledFrom([]job.Ending{job.EndDone, job.EndStopped, job.EndFailed, job.EndLost}).Draw(rt, "how")
-						b.control.endTask(t, task.Life, assignment.End{RunID: assignment.RunID{Task: name, Run: task.Run}, How: how})
+						how := rapid.SampledFrom([]job.EndReason{job.EndDone, job.EndStopped, job.EndFailed, job.EndLost}).Draw(rt, "how")
+						b.control.endTask(t, task.Incarnation, assignment.End{RunID: assignment.RunID{Task: name, Run: task.Run}, Reason: how})
 					}
 				})
 			}
@@ -230,14 +230,14 @@
 }
 
 func (b *fixture) checkRoom(rt *rapid.T, runs map[assignment.RunID]string) {
-	used := map[string]job.Need{}
+	used := map[string]job.Resources{}
 	for id, t := range b.control.jobs {
 		perWorker := map[string]int{}
 		placed := 0
 		t.progress.Placed(id, func(name job.TaskName, task *job.Task) {
 			placed++
 			perWorker[task.Worker]++
-			used[task.Worker] = used[task.Worker].Plus(t.job.Steps[0].Need, 1)
+			used[task.Worker] = used[task.Worker].Plus(t.job.Steps[0].Resources, 1)
 			key := assignment.RunID{Task: name, Run: task.Run}
 			if at, ok := runs[key]; ok && at != task.Worker {
 				rt.Fatalf("%v run %d was on %s and is on %s", name, task.Run, at, task.Worker)
@@ -246,14 +246,14 @@
 		})
 		step := t.job.Steps[0]
 		for w, n := range perWorker {
-			if step.PerWorker > 0 && n > step.PerWorker {
-				rt.Fatalf("%d tasks of %s are on %s, the bound is %d", n, id, w, step.PerWorker)
+			if step.MaxPerWorker > 0 && n > step.MaxPerWorker {
+				rt.Fatalf("%d tasks of %s are on %s, the bound is %d", n, id, w, step.MaxPerWorker)
 			}
 		}
 	}
 	for name, need := range used {
-		if !need.Fits(b.control.workers[name].life.Room) {
-			rt.Fatalf("%s holds %+v, its room is %+v", name, need, b.control.workers[name].life.Room)
+		if !need.FitsIn(b.control.workers[name].life.Capacity) {
+			rt.Fatalf("%s holds %+v, its room is %+v", name, need, b.control.workers[name].life.Capacity)
 		}
 	}
 }
@@ -261,13 +261,13 @@
 // BenchmarkPlan is one decision at the size to design for: 1,400 workers and 14,000 tasks, of which 300 wait.
 func BenchmarkPlan(b *testing.B) {
 	fixture := newFixture(b, 70, 20)
-	small := job.Need{CPU: 4000, Memory: 1000}
+	small := job.Resources{CPU: 4000, Memory: 1000}
 	for range 1370 {
-		fixture.job(1, "other", job.Step{Tasks: 10, Need: small, Estimate: time.Hour})
+		fixture.job(1, "other", job.Step{Tasks: 10, Resources: small, Estimate: time.Hour})
 	}
 	fixture.plan(0)
 	for range 30 {
-		fixture.job(1, "other", job.Step{Tasks: 10, Need: job.Need{CPU: 4000, Memory: 1000, Accelerators: 9}, Estimate: time.Hour})
+		fixture.job(1, "other", job.Step{Tasks: 10, Resources: job.Resources{CPU: 4000, Memory: 1000, Accelerators: 9}, Estimate: time.Hour})
 	}
 	for b.Loop() {
 		fixture.plan(time.Millisecond)
@@ -281,13 +281,13 @@
 	for b.Loop() {
 		b.StopTimer()
 		fixture := newFixture(b, 30, 8)
-		member := job.Need{CPU: 4000, Memory: 1000, Accelerators: 1}
+		member := job.Resources{CPU: 4000, Memory: 1000, Accelerators: 1}
 		for range 76 {
-			fixture.job(1, "other", job.Step{Tasks: 25, Gang: true, Need: member, Estimate: time.Minute})
+			fixture.job(1, "other", job.Step{Tasks: 25, Gang: true, Resources: member, Estimate: time.Minute})
 		}
 		fixture.plan(0)
 		for range 10 {
-			fixture.job(0, "sure", job.Step{Tasks: 8, Gang: true, SameRack: true, Need: job.Need{CPU: 4000, Memory: 1000, Accelerators: 4}, Estimate: time.Second})
+			fixture.job(0, "sure", job.Step{Tasks: 8, Gang: true, SameRack: true, Resources: job.Resources{CPU: 4000, Memory: 1000, Accelerators: 4}, Estimate: time.Second})
 		}
 		b.StartTimer()
 		fixture.plan(patienceOfOwners + 100*time.Millisecond)
@@ -299,9 +299,9 @@
 	b := newFixture(t, 1, 1)
 	lines := b.logged()
 	// One unit waits for the job that yields, the other finds nothing that may.
-	b.job(1, "", job.Step{Tasks: 1, Need: job.Need{CPU: 1000, Memory: 1000, Accelerators: 8}})
+	b.job(1, "", job.Step{Tasks: 1, Resources: job.Resources{CPU: 1000, Memory: 1000, Accelerators: 8}})
 	b.plan(0)
-	b.job(0, "", job.Step{Tasks: 2, Need: job.Need{CPU: 1000, Memory: 1000, Accelerators: 8}})
+	b.job(0, "", job.Step{Tasks: 2, Resources: job.Resources{CPU: 1000, Memory: 1000, Accelerators: 8}})
 	for range 5 {
 		b.plan(time.Millisecond)
 	}
@@ -313,11 +313,11 @@
 // TestBesideHeldRoom: what fits beside a gang that waits for a worker is not kept from the rest of the rack until the gang starts.
 func TestBesideHeldRoom(t *testing.T) {
 	b := newFixture(t, 1, 3)
-	large := job.Need{CPU: 10_000, Memory: 70_000, Accelerators: 1}
-	b.job(1, "other", job.Step{Tasks: 1, Need: large, Estimate: 20 * time.Second})
+	large := job.Resources{CPU: 10_000, Memory: 70_000, Accelerators: 1}
+	b.job(1, "other", job.Step{Tasks: 1, Resources: large, Estimate: 20 * time.Second})
 	b.plan(0)
-	gang := b.job(1, "other", job.Step{Tasks: 3, Need: large, Gang: true, SameRack: true, Estimate: 10 * time.Second})
-	small := b.job(2, "other", job.Step{Tasks: 2, Need: job.Need{CPU: 5000, Memory: 20_000, Accelerators: 1}, Estimate: time.Minute})
+	gang := b.job(1, "other", job.Step{Tasks: 3, Resources: large, Gang: true, SameRack: true, Estimate: 10 * time.Second})
+	small := b.job(2, "other", job.Step{Tasks: 2, Resources: job.Resources{CPU: 5000, Memory: 20_000, Accelerators: 1}, Estimate: time.Minute})
 	b.plan(10 * time.Millisecond)
 	if len(b.at(gang)) != 0 {
 		t.Fatalf("the gang is at %v: the test proves nothing", b.at(gang))
--- a/jobs/dispatch/preempt.go
+++ b/jobs/dispatch/preempt.go
@@ -50,7 +50,7 @@
 
 // budget is how much work may be lost for a unit that starts after a stop on the nodes.
 func (p *plan) budget(w waiting, nodes []*node) float64 {
-	own := float64(len(w.unit.Tasks)) * w.length.Seconds() * weight(w.step.Need)
+	own := float64(len(w.unit.Tasks)) * w.length.Seconds() * weight(w.step.Resources)
 	if p.c.has(StopsByChance) {
 		chance := p.chance(w, p.now.Add(p.stopTime), slowestOf(nodes))
 		return own * (chance*worthInTime + (1-chance)*worthLate)
@@ -147,7 +147,7 @@
 func (p *plan) yields(r *running, w waiting) (rank int, ok bool) {
 	j := r.tracked.job
 	switch {
-	case r.stopping || j.Lasting() || r.lastStarts():
+	case r.stopping || j.LongRunning() || r.lastStarts():
 		return 0, false
 	case j.Priority > w.tracked.job.Priority:
 		return j.Priority, true
@@ -241,7 +241,7 @@
 }
 
 // prune leaves out what need not be stopped after all, the dearest first.
-func (p *plan) prune(w waiting, n *node, tasks int, room job.Need, taken []group) preemption {
+func (p *plan) prune(w waiting, n *node, tasks int, room job.Resources, taken []group) preemption {
 	c := preemption{node: n, tasks: tasks}
 	for i := len(taken) - 1; i >= 0; i-- {
 		less := room.Plus(taken[i].here(n), -1)
@@ -258,7 +258,7 @@
 
 // freedElsewhere counts the tasks that fit on other nodes once a preemption's runs have stopped, up to what the unit needs.
 func freedElsewhere(w waiting, c preemption) int {
-	room := map[*node]job.Need{}
+	room := map[*node]job.Resources{}
 	for _, r := range c.runs {
 		if r.node == c.node || !allowed(w, r.node) {
 			continue
@@ -284,8 +284,8 @@
 }
 
 // here is what the group takes on a node.
-func (g group) here(n *node) job.Need {
-	var sum job.Need
+func (g group) here(n *node) job.Resources {
+	var sum job.Resources
 	for _, r := range g.runs {
 		if r.node == n {
 			sum = sum.Plus(r.need, 1)
@@ -343,13 +343,13 @@
 // for the others: before they have come, which takes less than a stall, and after its own work is done.
 func (p *plan) moveStalled() {
 	for _, n := range p.nodes {
-		if p.now.Sub(n.heard) > p.c.settings.Silent {
+		if p.now.Sub(n.heard) > p.c.settings.SilentAfter {
 			continue
 		}
 		for _, r := range n.runs {
 			step := r.tracked.job.Steps[r.name.Step]
 			o, known := n.worker.runs[runID(r)]
-			if !known || r.stopping || step.Lasts || o.percent < 0 || o.percent >= workDone {
+			if !known || r.stopping || step.LongRunning || o.percent < 0 || o.percent >= workDone {
 				continue
 			}
 			if p.now.Sub(o.advanced) > stallAfter(step.Estimate) {
@@ -374,14 +374,14 @@
 // others as late as their checkpoint allows. What lasts stays: it serves as long as the worker does.
 func (p *plan) evacuate() {
 	for _, n := range p.nodes {
-		if !n.life.Leaving || n.worker.leaves.IsZero() {
+		if !n.life.Draining || n.worker.leaves.IsZero() {
 			continue
 		}
 		last := n.worker.leaves.Add(-stayMargin)
 		for _, r := range n.runs {
 			step := r.tracked.job.Steps[r.name.Step]
 			switch {
-			case step.Lasts || r.stopping || !r.ends.After(last):
+			case step.LongRunning || r.stopping || !r.ends.After(last):
 			case !step.Checkpoint:
 				p.stop(r, "its worker leaves before it ends")
 			case !p.now.Before(n.worker.leaves.Add(-saveAhead)):
--- a/jobs/dispatch/preempt_test.go
+++ b/jobs/dispatch/preempt_test.go
@@ -9,7 +9,7 @@
 
 // TestUrgentOrder: what may be in time comes before what is late, small jobs before large ones, and a guarantee before all.
 func TestUrgentOrder(t *testing.T) {
-	small := job.Need{CPU: 4000, Memory: 1000, Accelerators: 2}
+	small := job.Resources{CPU: 4000, Memory: 1000, Accelerators: 2}
 	tests := []struct {
 		name          string
 		first, second func(b *fixture) *tracked
@@ -17,12 +17,12 @@
 		{
 			"small before large",
 			func(b *fixture) *tracked { return b.job(0, "other", job.Step{Tasks: 1}) },
-			func(b *fixture) *tracked { return b.job(0, "other", job.Step{Tasks: 1, Need: small}) },
+			func(b *fixture) *tracked { return b.job(0, "other", job.Step{Tasks: 1, Resources: small}) },
 		},
 		{
 			"in time before late",
 			func(b *fixture) *tracked {
-				late := b.job(0, "other", job.Step{Tasks: 1, Need: small})
+				late := b.job(0, "other", job.Step{Tasks: 1, Resources: small})
 				late.job.Accepted = b.now.Add(-12 * time.Second)
 				return late
 			},
@@ -30,7 +30,7 @@
 		},
 		{
 			"guaranteed before small",
-			func(b *fixture) *tracked { return b.job(0, "other", job.Step{Tasks: 1, Need: small}) },
+			func(b *fixture) *tracked { return b.job(0, "other", job.Step{Tasks: 1, Resources: small}) },
 			func(b *fixture) *tracked { return b.job(0, "sure", job.Step{Tasks: 1}) },
 		},
 	}
@@ -126,7 +126,7 @@
 		b.plan(0)
 		large := b.job(0, "other", job.Step{Tasks: 1})
 		b.plan(0)
-		small := b.job(0, "other", job.Step{Tasks: 1, Need: job.Need{CPU: 1000, Memory: 1000, Accelerators: 1}})
+		small := b.job(0, "other", job.Step{Tasks: 1, Resources: job.Resources{CPU: 1000, Memory: 1000, Accelerators: 1}})
 		b.finish(victim, job.EndStopped)
 		b.plan(300 * time.Millisecond)
 		if len(b.at(large)) != 1 || len(b.at(small)) != 0 {
@@ -218,8 +218,8 @@
 	t.Run("what waits for room as long as it can be in time stops nothing before", func(t *testing.T) {
 		b := newFixture(t, 1, 1)
 		// It loses less than the urgent job is worth.
-		half := job.Need{CPU: 4000, Memory: 8000, Accelerators: 4}
-		ending := b.job(1, "other", job.Step{Tasks: 1, Need: half, Estimate: 2 * time.Second})
+		half := job.Resources{CPU: 4000, Memory: 8000, Accelerators: 4}
+		ending := b.job(1, "other", job.Step{Tasks: 1, Resources: half, Estimate: 2 * time.Second})
 		b.plan(0)
 		urgent := b.job(0, "other", job.Step{Tasks: 1, Estimate: time.Second})
 		b.plan(0)
@@ -238,11 +238,11 @@
 	})
 	t.Run("what saves its work stands apart, and yields", func(t *testing.T) {
 		b := newFixture(t, 4, 2)
-		small := job.Need{CPU: 1000, Memory: 1000, Accelerators: 4}
+		small := job.Resources{CPU: 1000, Memory: 1000, Accelerators: 4}
 		var loses, saves []*tracked
 		for range 8 {
-			loses = append(loses, b.job(1, "other", job.Step{Tasks: 1, Need: small, Estimate: 20 * time.Second}))
-			saves = append(saves, b.job(2, "other", job.Step{Tasks: 1, Need: small, Estimate: 20 * time.Second, Checkpoint: true}))
+			loses = append(loses, b.job(1, "other", job.Step{Tasks: 1, Resources: small, Estimate: 20 * time.Second}))
+			saves = append(saves, b.job(2, "other", job.Step{Tasks: 1, Resources: small, Estimate: 20 * time.Second, Checkpoint: true}))
 			b.plan(0)
 		}
 		b.job(0, "sure", job.Step{Tasks: 2, Gang: true, SameRack: true, Estimate: time.Second})
@@ -266,7 +266,7 @@
 	})
 	t.Run("what lasts does not yield", func(t *testing.T) {
 		b := newFixture(t, 1, 1)
-		lasts := b.job(2, "other", job.Step{Tasks: 1, Lasts: true, Bounded: true})
+		lasts := b.job(2, "other", job.Step{Tasks: 1, LongRunning: true, HasMaxUnavailable: true})
 		b.plan(0)
 		b.job(0, "sure", job.Step{Tasks: 1})
 		b.plan(time.Second)
@@ -305,14 +305,14 @@
 // TestEvacuation: off a leaving worker goes what can't end there, what saves its work as late as it can.
 func TestEvacuation(t *testing.T) {
 	b := newFixture(t, 1, 1)
-	small := job.Need{CPU: 1000, Memory: 1000, Accelerators: 1}
-	ends := b.job(1, "other", job.Step{Tasks: 1, Need: small, Estimate: 2 * time.Second})
-	loses := b.job(1, "other", job.Step{Tasks: 1, Need: small, Estimate: 20 * time.Second})
-	saves := b.job(1, "other", job.Step{Tasks: 1, Need: small, Estimate: 20 * time.Second, Checkpoint: true})
-	lasts := b.job(1, "other", job.Step{Tasks: 1, Need: small, Estimate: 20 * time.Second, Lasts: true})
+	small := job.Resources{CPU: 1000, Memory: 1000, Accelerators: 1}
+	ends := b.job(1, "other", job.Step{Tasks: 1, Resources: small, Estimate: 2 * time.Second})
+	loses := b.job(1, "other", job.Step{Tasks: 1, Resources: small, Estimate: 20 * time.Second})
+	saves := b.job(1, "other", job.Step{Tasks: 1, Resources: small, Estimate: 20 * time.Second, Checkpoint: true})
+	lasts := b.job(1, "other", job.Step{Tasks: 1, Resources: small, Estimate: 20 * time.Second, LongRunning: true})
 	b.plan(0)
 	w := b.control.workers["w0-0"]
-	w.life.Leaving, w.leaves = true, b.now.Add(4*time.Second)
+	w.life.Draining, w.leaves = true, b.now.Add(4*time.Second)
 	b.plan(100 * time.Millisecond)
 	stopped := func(j *tracked) bool { return len(j.stopping) > 0 }
 	if stopped(ends) || !stopped(loses) || stopped(saves) || stopped(lasts) {
--- a/jobs/dispatch/reports.go
+++ b/jobs/dispatch/reports.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 func (c *Controller) workerOf(name string) *worker {
@@ -18,19 +18,19 @@
 	return w
 }
 
-// Report takes over what the agent of a worker says. Ends come before lives that are over: what has ended done there is done.
-func (c *Controller) Report(now time.Time, poll assignment.Poll) {
+// ApplyPoll takes over what the agent of a worker says. Ends come before lives that are over: what has ended done there is done.
+func (c *Controller) ApplyPoll(now time.Time, poll assignment.Poll) {
 	w := c.workerOf(poll.Worker)
-	w.heard, w.silent, w.failing = now, poll.Silent, time.Time{}
-	w.closing = w.life != nil && slices.Contains(poll.Closing, w.life.ID)
+	w.heard, w.silent, w.failing = now, poll.Unresponsive, time.Time{}
+	w.closing = w.life != nil && slices.Contains(poll.ClosingIncarnations, w.life.ID)
 	if poll.FailingMillis > 0 {
 		w.failing = now.Add(-time.Duration(poll.FailingMillis) * time.Millisecond)
 	}
-	if poll.Life != nil && poll.Listed {
+	if poll.State != nil && poll.Complete {
 		w.closing = false
 		c.reportLife(now, w, poll)
 	}
-	for _, end := range poll.Over {
+	for _, end := range poll.EndedIncarnations {
 		c.endLife(now, w, end)
 		if w.life != nil && w.life.ID == end.ID {
 			// Nothing is placed there until the next life reports.
@@ -42,15 +42,15 @@
 
 // reportLife takes over what a worker that is there says by its agent.
 func (c *Controller) reportLife(now time.Time, w *worker, poll assignment.Poll) {
-	if w.life == nil || w.life.ID != poll.Life.ID {
+	if w.life == nil || w.life.ID != poll.State.ID {
 		c.newLife(now, w, poll)
 	}
 	c.answersAgain(w, poll)
-	if poll.Life.Leaving && !w.life.Leaving {
-		w.leaves = now.Add(time.Duration(poll.Life.LeavesIn) * time.Millisecond)
-		c.logger.Info().Str("step", "dispatch.report").Str("worker", w.name).Int64("leaves_in_ms", poll.Life.LeavesIn).Msg("worker leaves")
+	if poll.State.Draining && !w.life.Draining {
+		w.leaves = now.Add(time.Duration(poll.State.DrainMillis) * time.Millisecond)
+		c.logger.Info().Str("step", "dispatch.report").Str("worker", w.name).Int64("leaves_in_ms", poll.State.DrainMillis).Msg("worker leaves")
 	}
-	w.life = poll.Life
+	w.life = poll.State
 	before := w.runs
 	c.reportRuns(now, w, poll)
 	for _, e := range poll.Ends {
@@ -75,17 +75,17 @@
 
 // newLife ends what the worker's earlier lives ran, as far as the agent has not said how they ended.
 func (c *Controller) newLife(now time.Time, w *worker, poll assignment.Poll) {
-	present := poll.Life
-	for _, end := range poll.Over {
+	present := poll.State
+	for _, end := range poll.EndedIncarnations {
 		c.endLife(now, w, end)
 	}
 	if w.life != nil {
-		c.endLife(now, w, assignment.LifeEnd{ID: w.life.ID, Leaving: w.life.Leaving})
+		c.endLife(now, w, assignment.IncarnationEnd{ID: w.life.ID, Draining: w.life.Draining})
 	}
 	c.judgeFormer(w, present.ID)
 	for _, t := range c.active {
 		t.progress.Placed(t.job.ID, func(name job.TaskName, task *job.Task) {
-			if task.Worker == w.name && task.Life != present.ID {
+			if task.Worker == w.name && task.Incarnation != present.ID {
 				c.loseRun(t, name, task, whyLifeOver, job.Loss{Fate: job.Doubtful})
 			}
 		})
@@ -101,15 +101,15 @@
 // while it runs, and its end there would count for nothing.
 func (c *Controller) takeCarriedOver(now time.Time, w *worker, poll assignment.Poll) {
 	for _, r := range poll.Runs {
-		c.carryOver(now, w, poll.Life.ID, r.RunID)
+		c.carryOver(now, w, poll.State.ID, r.RunID)
 	}
 	for _, e := range poll.Ends {
-		c.carryOver(now, w, poll.Life.ID, e.RunID)
+		c.carryOver(now, w, poll.State.ID, e.RunID)
 	}
 }
 
 // carryOver places a run on the present life of a worker, if it is the newest of its task and was taken for lost.
-func (c *Controller) carryOver(now time.Time, w *worker, present life.ID, id assignment.RunID) {
+func (c *Controller) carryOver(now time.Time, w *worker, present incarnation.ID, id assignment.RunID) {
 	t := c.jobs[id.Task.Job]
 	if t == nil || t.progress.Phase.Final() {
 		return
@@ -157,9 +157,9 @@
 	}
 	now := time.Now()
 	if c.has(Quarantine) {
-		w.health.ended(now, e.Task.Job, e.How, e.Took())
+		w.health.ended(now, e.Task.Job, e.Reason, e.Took())
 	}
-	if e.How == job.EndFailed {
+	if e.Reason == job.EndFailed {
 		t.failedOn[w.name] = now
 	}
 	return true
@@ -169,12 +169,12 @@
 // was done once more elsewhere (2 of 60 drawn days of starts under one id).
 func (c *Controller) endLate(t *tracked, w *worker, e assignment.End) {
 	before := t.progress.Phase
-	if !t.progress.EndLate(t.job, e.Task, e.Run, e.How) {
+	if !t.progress.EndLate(t.job, e.Task, e.Run, e.Reason) {
 		return
 	}
 	c.touch(t)
 	c.metrics.late.Inc(1)
-	c.logger.Warn().Str("step", "dispatch.end").Stringer("task", e.Task).Int("run", e.Run).Str("how", string(e.How)).Str("worker", w.name).
+	c.logger.Warn().Str("step", "dispatch.end").Stringer("task", e.Task).Int("run", e.Run).Str("how", string(e.Reason)).Str("worker", w.name).
 		Msg("run that had been given up has ended")
 	t.progress.Placed(t.job.ID, func(name job.TaskName, placed *job.Task) {
 		if placed.Done && firstOf(name) == firstOf(e.Task) {
@@ -185,10 +185,10 @@
 }
 
 // endTask takes note of the end of a run on a life of a worker. It returns false if that run is not there.
-func (c *Controller) endTask(t *tracked, at life.ID, e assignment.End) bool {
+func (c *Controller) endTask(t *tracked, at incarnation.ID, e assignment.End) bool {
 	before := t.progress.Phase
 	w := c.workers[placedOn(t, e.Task)]
-	if !t.progress.End(t.job, e.Task, e.Run, at, e.How, e.Saved) {
+	if !t.progress.End(t.job, e.Task, e.Run, at, e.Reason, e.Checkpoint) {
 		return false
 	}
 	if w != nil {
@@ -210,14 +210,14 @@
 // noteEnd counts and logs the end of a run that has been taken note of.
 func (c *Controller) noteEnd(t *tracked, e assignment.End) {
 	c.touch(t)
-	c.metrics.ends.Inc(e.How)
+	c.metrics.ends.Inc(e.Reason)
 	cause, lost := t.account(e)
 	if lost > 0 {
 		c.metrics.lostWork.Add(cause, int(lost))
 	}
-	c.logger.Info().Str("step", "dispatch.end").Stringer("task", e.Task).Int("run", e.Run).Str("how", string(e.How)).
+	c.logger.Info().Str("step", "dispatch.end").Stringer("task", e.Task).Int("run", e.Run).Str("how", string(e.Reason)).
 		Int64("took_ms", e.TookMillis).Str("cause", string(cause)).Float64("lost_core_s", lost).Msg("run ended")
-	if told, ok := t.stoppedAt[e.Task]; ok && e.How == job.EndStopped {
+	if told, ok := t.stoppedAt[e.Task]; ok && e.Reason == job.EndStopped {
 		c.stops.note(time.Since(told))
 	}
 	delete(t.stoppedAt, e.Task)
@@ -238,8 +238,8 @@
 	return t.job.Objective(t.job.Rounds()-1, t.job.Chain(func(step int) time.Duration { return c.length(t, step) }))
 }
 
-// Placed are the workers on which something is placed.
-func (c *Controller) Placed() map[string]bool {
+// WorkersInUse are the workers on which something is placed.
+func (c *Controller) WorkersInUse() map[string]bool {
 	names := map[string]bool{}
 	for _, t := range c.active {
 		t.progress.Placed(t.job.ID, func(_ job.TaskName, placed *job.Task) { names[placed.Worker] = true })
@@ -247,8 +247,8 @@
 	return names
 }
 
-// LeaseOver ends all that is placed on workers whose lease is surely over.
-func (c *Controller) LeaseOver(workers map[string]bool) {
+// ExpireLeases ends all that is placed on workers whose lease is surely over.
+func (c *Controller) ExpireLeases(workers map[string]bool) {
 	if len(workers) == 0 {
 		return
 	}
--- a/jobs/dispatch/room.go
+++ b/jobs/dispatch/room.go
@@ -14,7 +14,7 @@
 // search is what a search for room depends on.
 type search struct {
 	service, label, dataRack string
-	need                     job.Need
+	need                     job.Resources
 	tasks                    int
 	gang, sameRack           bool
 	leavesHeadroom           bool
@@ -27,12 +27,12 @@
 // searchOf returns what the search for a unit's room depends on.
 func searchOf(w waiting) search {
 	s := search{
-		service: w.tracked.job.Service, label: w.step.Label, dataRack: w.step.DataRack, need: w.step.Reserved(),
+		service: w.tracked.job.Service, label: w.step.RequiredLabel, dataRack: w.step.DataRack, need: w.step.Reserved(),
 		tasks: len(w.unit.Tasks), gang: w.step.Gang, sameRack: w.step.SameRack,
 		length: w.length, leavesHeadroom: w.leavesHeadroom,
 		urgent: w.tracked.job.Priority == 0, saves: w.step.Checkpoint,
 	}
-	if w.step.PerWorker > 0 || w.tracked.job.Advised || w.step.DataRack != "" || len(w.tracked.failedOn) > 0 || w.tracked.progress.Suspects() > 0 || w.step.Fills || w.step.Target > 0 {
+	if w.step.MaxPerWorker > 0 || w.tracked.job.NeedsPermit || w.step.DataRack != "" || len(w.tracked.failedOn) > 0 || w.tracked.progress.Suspects() > 0 || w.step.BestEffort || w.step.LatencyTarget > 0 {
 		s.job = w.tracked.job.ID
 	}
 	return s
@@ -99,8 +99,8 @@
 func (p *plan) canEverFit(w waiting, nodes []*node) bool {
 	left := len(w.unit.Tasks)
 	for _, n := range nodes {
-		if !n.life.Leaving && !n.closed && allowed(w, n) {
-			left -= count(w.step.Reserved(), n.life.Room, bound(w, n))
+		if !n.life.Draining && !n.closed && allowed(w, n) {
+			left -= count(w.step.Reserved(), n.life.Capacity, bound(w, n))
 		}
 	}
 	return left <= 0
@@ -108,7 +108,7 @@
 
 // allowed reports whether the tasks of the unit may run on the node at all.
 func allowed(w waiting, n *node) bool {
-	return n.life.Service == w.tracked.job.Service && (w.step.Label == "" || slices.Contains(n.life.Labels, w.step.Label))
+	return n.life.Service == w.tracked.job.Service && (w.step.RequiredLabel == "" || slices.Contains(n.life.Labels, w.step.RequiredLabel))
 }
 
 // sharePatience is how long a task waits for a worker on which it neither fills beside tasks with a target nor serves beside
@@ -127,18 +127,18 @@
 // disturbs reports whether the step's tasks fill beside tasks on the node that have a target for their users, or the other
 // way round.
 func disturbs(step job.Step, n *node) bool {
-	if !step.Fills && step.Target == 0 {
+	if !step.BestEffort && step.LatencyTarget == 0 {
 		return false
 	}
 	return slices.ContainsFunc(n.runs, func(r *running) bool {
 		other := r.tracked.job.Steps[r.name.Step]
-		return step.Fills && other.Target > 0 || step.Target > 0 && other.Fills
+		return step.BestEffort && other.LatencyTarget > 0 || step.LatencyTarget > 0 && other.BestEffort
 	})
 }
 
 // bound is how many more tasks of the unit's step the node may get.
 func bound(w waiting, n *node) int {
-	if w.step.PerWorker == 0 {
+	if w.step.MaxPerWorker == 0 {
 		return len(w.unit.Tasks)
 	}
 	there := 0
@@ -147,13 +147,13 @@
 			there++
 		}
 	}
-	return max(w.step.PerWorker-there, 0)
+	return max(w.step.MaxPerWorker-there, 0)
 }
 
 // count is how many tasks fit into the room, most at the most.
-func count(need, room job.Need, most int) int {
+func count(need, room job.Resources, most int) int {
 	n := 0
-	for n < most && need.Fits(room) {
+	for n < most && need.FitsIn(room) {
 		room = room.Plus(need, -1)
 		n++
 	}
@@ -205,7 +205,7 @@
 
 // findIn fills the nodes that are the fullest first, so that what is left free stays together.
 func (p *plan) findIn(w waiting, domain []*node, later bool) []*node {
-	room := func(n *node) job.Need {
+	room := func(n *node) job.Resources {
 		if later {
 			return n.later
 		}
@@ -215,7 +215,7 @@
 	var candidates []*node
 	fits := 0
 	for _, n := range domain {
-		if !n.usable || !need.Fits(room(n)) || !p.mayPlace(w, n) {
+		if !n.usable || !need.FitsIn(room(n)) || !p.mayPlace(w, n) {
 			continue
 		}
 		if k := p.countOn(w, n, room(n), tasks); k > 0 {
@@ -248,7 +248,7 @@
 }
 
 // countOn is how many tasks of the unit fit into a node's room, most at the most.
-func (p *plan) countOn(w waiting, n *node, room job.Need, most int) int {
+func (p *plan) countOn(w waiting, n *node, room job.Resources, most int) int {
 	room = p.besideHeld(w, n, room)
 	most = min(most, bound(w, n))
 	if n.health.onProbation() {
@@ -260,7 +260,7 @@
 // preference orders nodes for a unit, the better ones first. A gang takes the workers
 // that hold the most of its members: each worker that leaves or fails breaks the gang, so it should be on few, and it frees whole workers
 // when it ends.
-func (p *plan) preference(w waiting, candidates []*node, room func(*node) job.Need) func(a, b *node) int {
+func (p *plan) preference(w waiting, candidates []*node, room func(*node) job.Resources) func(a, b *node) int {
 	avoid := p.avoided(w)
 	serving := servingOn(w, candidates)
 	fullestFirst := p.c.has(FullestFirst)
@@ -292,13 +292,13 @@
 // servingOn counts the tasks with a target on each of the nodes, for a unit that has one too: their load disturbs the others,
 // so they are spread. For other units it is nil.
 func servingOn(w waiting, nodes []*node) map[*node]int {
-	if w.step.Target == 0 {
+	if w.step.LatencyTarget == 0 {
 		return nil
 	}
 	counts := map[*node]int{}
 	for _, n := range nodes {
 		for _, r := range n.runs {
-			if r.tracked.job.Steps[r.name.Step].Target > 0 {
+			if r.tracked.job.Steps[r.name.Step].LatencyTarget > 0 {
 				counts[n]++
 			}
 		}
@@ -308,7 +308,7 @@
 
 // mayUse reports whether the unit may use a node on which room is kept for a gang: if it ends in time, or fits beside the gang.
 func (p *plan) mayUse(w waiting, n *node) bool {
-	return p.endsBeforeHeld(w, n) || w.step.Reserved().Fits(n.beside)
+	return p.endsBeforeHeld(w, n) || w.step.Reserved().FitsIn(n.beside)
 }
 
 // endsBeforeHeld reports whether the unit ends before a gang needs the room that is kept for it on the node.
@@ -317,11 +317,11 @@
 }
 
 // besideHeld is the part of a node's room that the unit may use.
-func (p *plan) besideHeld(w waiting, n *node, room job.Need) job.Need {
+func (p *plan) besideHeld(w waiting, n *node, room job.Resources) job.Resources {
 	if p.endsBeforeHeld(w, n) {
 		return room
 	}
-	return room.Least(n.beside)
+	return room.Min(n.beside)
 }
 
 // failedThere reports whether a task of the job failed on the node a short while ago.
@@ -332,7 +332,7 @@
 
 // hasTicket reports whether the unit has a ticket for the node, or needs none.
 func (p *plan) hasTicket(w waiting, n *node) bool {
-	if !w.tracked.job.Advised {
+	if !w.tracked.job.NeedsPermit {
 		return true
 	}
 	_, ok := p.c.advice.ticket(stepOf(w.unit.Tasks[0]), n.life.ID, p.now)
--- a/jobs/dispatch/running.go
+++ b/jobs/dispatch/running.go
@@ -18,7 +18,7 @@
 	for id, t := range p.c.active {
 		t.progress.Placed(id, func(name job.TaskName, task *job.Task) {
 			n := p.byName[task.Worker]
-			if n == nil || n.life.ID != task.Life {
+			if n == nil || n.life.ID != task.Incarnation {
 				return
 			}
 			step := &t.job.Steps[name.Step]
@@ -57,7 +57,7 @@
 // isPlacedOn reports whether a run is placed on the present life of a node's worker.
 func isPlacedOn(t *tracked, n *node, id assignment.RunID) bool {
 	task := t.progress.Task(id.Task)
-	return task != nil && task.Placed() && task.Run == id.Run && task.Life == n.life.ID
+	return task != nil && task.Placed() && task.Run == id.Run && task.Incarnation == n.life.ID
 }
 
 // addRun lists a run with its node, and with its gang if it is part of one.
--- a/jobs/dispatch/speed.go
+++ b/jobs/dispatch/speed.go
@@ -59,7 +59,7 @@
 // noteSpeed compares how a run has come on with others of its step. Each run is a sample once.
 func (c *Controller) noteSpeed(w *worker, id assignment.RunID, percent int, millis int64) {
 	t := c.jobs[id.Task.Job]
-	if t == nil || millis <= 0 || percent <= 0 || id.Task.Step >= len(t.job.Steps) || t.job.Steps[id.Task.Step].Lasts {
+	if t == nil || millis <= 0 || percent <= 0 || id.Task.Step >= len(t.job.Steps) || t.job.Steps[id.Task.Step].LongRunning {
 		return
 	}
 	key := job.TaskName{Job: id.Task.Job, Round: id.Task.Round, Step: id.Task.Step}
@@ -89,7 +89,7 @@
 // sampleEnd takes a run that has ended done as a sample, if it was none on its way. The end of a gang is that of its slowest member.
 func (c *Controller) sampleEnd(w *worker, e assignment.End, o observed) {
 	t := c.jobs[e.Task.Job]
-	if t == nil || o.sampled || e.How != job.EndDone || e.Task.Step >= len(t.job.Steps) {
+	if t == nil || o.sampled || e.Reason != job.EndDone || e.Task.Step >= len(t.job.Steps) {
 		return
 	}
 	if t.job.Steps[e.Task.Step].Gang || !c.fromTheStart(e.RunID) {
--- a/jobs/dispatch/speed_test.go
+++ b/jobs/dispatch/speed_test.go
@@ -60,7 +60,7 @@
 	j := b.job(1, "other", job.Step{Tasks: 1})
 	w := b.control.workers["w0-0"]
 	id := assignment.RunID{Task: job.TaskName{Job: j.job.ID, Step: 1}, Run: 1}
-	b.control.sampleEnd(w, assignment.End{RunID: id, How: job.EndDone, TookMillis: 1000}, observed{})
+	b.control.sampleEnd(w, assignment.End{RunID: id, Reason: job.EndDone, TookMillis: 1000}, observed{})
 	if w.speed != (speed{}) {
 		t.Errorf("it counts as a sample: %+v", w.speed)
 	}
--- a/jobs/dispatch/state.go
+++ b/jobs/dispatch/state.go
@@ -41,7 +41,7 @@
 type worker struct {
 	name string
 	// life is nil until the agent has reported one.
-	life *assignment.Life
+	life *assignment.WorkerState
 	// closing says that its agent knows the life to be over, and that its end is not told yet.
 	closing bool
 	// heard is when the newest poll was taken.
@@ -84,7 +84,7 @@
 func (c *Controller) work(t *tracked) float64 {
 	sum := 0.0
 	for i, s := range t.job.Steps {
-		sum += float64(s.Tasks) * c.length(t, i).Seconds() * weight(s.Need)
+		sum += float64(s.Tasks) * c.length(t, i).Seconds() * weight(s.Resources)
 	}
 	return sum
 }
@@ -92,11 +92,11 @@
 // noteLength takes note of how long a run took that has ended done, unless it went on from a checkpoint.
 func (c *Controller) noteLength(e assignment.End) {
 	t := c.jobs[e.Task.Job]
-	if t == nil || e.How != job.EndDone || e.Took() <= 0 {
+	if t == nil || e.Reason != job.EndDone || e.Took() <= 0 {
 		return
 	}
 	task := t.progress.Task(e.Task)
-	if _, known := t.took[e.Task.Step]; known || task == nil || task.Run != e.Run || task.Saved != "" {
+	if _, known := t.took[e.Task.Step]; known || task == nil || task.Run != e.Run || task.Checkpoint != "" {
 		return
 	}
 	took := e.Took()
--- a/jobs/dispatch/suspects.go
+++ b/jobs/dispatch/suspects.go
@@ -100,7 +100,7 @@
 
 // clearIfSound forgets the crashes under a task that lasts once it has been there long enough.
 func (p *plan) clearIfSound(n *node, r *running) {
-	if !r.tracked.job.Steps[r.name.Step].Lasts || p.ageOf(n, r) < soundAfter || !r.tracked.progress.Clear(r.name) {
+	if !r.tracked.job.Steps[r.name.Step].LongRunning || p.ageOf(n, r) < soundAfter || !r.tracked.progress.Clear(r.name) {
 		return
 	}
 	p.c.touch(r.tracked)
--- a/jobs/dispatch/suspects_test.go
+++ b/jobs/dispatch/suspects_test.go
@@ -22,9 +22,9 @@
 // placed as always.
 func TestSuspectOnTrial(t *testing.T) {
 	b := newFixture(t, 1, 4)
-	small := job.Need{CPU: 1000, Memory: 1000, Accelerators: 1}
-	beside := b.job(1, "", job.Step{Tasks: 3, Need: small, Estimate: time.Minute})
-	suspect := b.job(1, "", job.Step{Tasks: 1, Need: small, Estimate: time.Minute})
+	small := job.Resources{CPU: 1000, Memory: 1000, Accelerators: 1}
+	beside := b.job(1, "", job.Step{Tasks: 3, Resources: small, Estimate: time.Minute})
+	suspect := b.job(1, "", job.Step{Tasks: 1, Resources: small, Estimate: time.Minute})
 	for range 2 {
 		b.plan(time.Second)
 		b.crash(suspect)
@@ -37,7 +37,7 @@
 	if len(others) != 1 || len(b.at(suspect)) != 1 || others[b.at(suspect)[0]] {
 		t.Fatalf("the suspect is at %v, the others are at %v", b.at(suspect), b.at(beside))
 	}
-	joining := b.job(1, "", job.Step{Tasks: 4, Need: job.Need{CPU: 1000, Memory: 1000, Accelerators: 5}, Estimate: time.Minute})
+	joining := b.job(1, "", job.Step{Tasks: 4, Resources: job.Resources{CPU: 1000, Memory: 1000, Accelerators: 5}, Estimate: time.Minute})
 	b.plan(time.Second)
 	if got := len(b.at(joining)); got != 3 {
 		t.Errorf("%d tasks are placed while the suspect has a worker of its own, want 3", got)
@@ -52,7 +52,7 @@
 // TestClearedBySoundness: a task that lasts is not given up for crashes of its workers long ago.
 func TestClearedBySoundness(t *testing.T) {
 	b := newFixture(t, 1, 4)
-	lasting := b.job(1, "", job.Step{Tasks: 1, Need: job.Need{CPU: 1000, Memory: 1000, Accelerators: 1}, Lasts: true})
+	lasting := b.job(1, "", job.Step{Tasks: 1, Resources: job.Resources{CPU: 1000, Memory: 1000, Accelerators: 1}, LongRunning: true})
 	for range 10 {
 		b.plan(2 * time.Second)
 		b.observe(lasting, b.now, 0)
--- a/jobs/dispatch/wants.go
+++ b/jobs/dispatch/wants.go
@@ -5,22 +5,22 @@
 	"time"
 
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
-// Want is what a life of a worker should run. The zero value is that of a worker of which no life is known.
-type Want struct {
-	Life life.ID
-	Runs map[job.TaskName]WantedRun
+// DesiredState is what a life of a worker should run. The zero value is that of a worker of which no life is known.
+type DesiredState struct {
+	Incarnation incarnation.ID
+	Runs        map[job.TaskName]DesiredRun
 	// Held are jobs that can't be read: what runs of them is left alone.
 	Held map[job.ID]bool
-	// Seen is the number up to which the worker's ends are taken note of.
-	Seen int64
+	// AckedEnd is the number up to which the worker's ends are taken note of.
+	AckedEnd int64
 }
 
-// WantedRun is a run that should be on a worker, or stop there. Its role is nil if it shares nothing in a way of its own.
-type WantedRun struct {
+// DesiredRun is a run that should be on a worker, or stop there. Its role is nil if it shares nothing in a way of its own.
+type DesiredRun struct {
 	Start    assignment.Start
 	Stopping bool
 	Role     *assignment.Role
@@ -44,8 +44,8 @@
 
 // placedRun is a run with the life of the worker on which it is placed.
 type placedRun struct {
-	WantedRun
-	life life.ID
+	DesiredRun
+	life incarnation.ID
 }
 
 func newWants() *wants {
@@ -58,8 +58,8 @@
 // changeWorker notes that a worker has another life, or that ends of it were taken note of.
 func (ws *wants) changeWorker(name string) { ws.changedWorkers[name] = true }
 
-// Wants is what workers should run, for those for which that may have changed since the last call.
-func (c *Controller) Wants(now time.Time) map[string]Want {
+// TakeDesired is what workers should run, for those for which that may have changed since the last call.
+func (c *Controller) TakeDesired(now time.Time) map[string]DesiredState {
 	ws := c.wants
 	for t := range ws.advised {
 		ws.change(t)
@@ -72,7 +72,7 @@
 			ws.changeWorker(name)
 		}
 	}
-	changed := make(map[string]Want, len(ws.changedWorkers))
+	changed := make(map[string]DesiredState, len(ws.changedWorkers))
 	held := maps.Clone(c.unreadable)
 	for name := range ws.changedWorkers {
 		changed[name] = c.wantOf(name, held)
@@ -102,21 +102,21 @@
 			t.wantedOn = append(t.wantedOn, task.Worker)
 			ws.changeWorker(task.Worker)
 		}
-		runs[name] = placedRun{WantedRun: c.wantedRun(t, name, task, now), life: task.Life}
+		runs[name] = placedRun{DesiredRun: c.wantedRun(t, name, task, now), life: task.Incarnation}
 	})
 	delete(ws.advised, t)
-	if t.job.Advised && len(t.wantedOn) > 0 {
+	if t.job.NeedsPermit && len(t.wantedOn) > 0 {
 		ws.advised[t] = true
 	}
 }
 
 // wantedRun is how a placed run of a job is told to its worker.
-func (c *Controller) wantedRun(t *tracked, name job.TaskName, task *job.Task, now time.Time) WantedRun {
-	start := assignment.Start{RunID: assignment.RunID{Task: name, Run: task.Run}, Spec: t.job.Spec, Saved: task.Saved}
-	if t.job.Advised {
-		start.Ticket, _ = c.advice.ticket(stepOf(name), task.Life, now)
+func (c *Controller) wantedRun(t *tracked, name job.TaskName, task *job.Task, now time.Time) DesiredRun {
+	start := assignment.Start{RunID: assignment.RunID{Task: name, Run: task.Run}, Spec: t.job.Spec, Checkpoint: task.Checkpoint}
+	if t.job.NeedsPermit {
+		start.Permit, _ = c.advice.ticket(stepOf(name), task.Incarnation, now)
 	}
-	return WantedRun{
+	return DesiredRun{
 		Start:    start,
 		Stopping: t.stopping[name] == task.Run || t.progress.Phase == job.Cancelled || t.progress.Phase == job.Failed,
 		Role:     roleOf(start.RunID, t.job.Steps[name.Step]),
@@ -124,16 +124,16 @@
 }
 
 // wantOf is what a worker should run, as the jobs were taken over last.
-func (c *Controller) wantOf(name string, held map[job.ID]bool) Want {
+func (c *Controller) wantOf(name string, held map[job.ID]bool) DesiredState {
 	w := c.workers[name]
 	if w == nil || w.life == nil {
-		return Want{}
+		return DesiredState{}
 	}
-	want := Want{Life: w.life.ID, Runs: map[job.TaskName]WantedRun{}, Held: held, Seen: w.ends}
+	want := DesiredState{Incarnation: w.life.ID, Runs: map[job.TaskName]DesiredRun{}, Held: held, AckedEnd: w.ends}
 	for _, runs := range c.wants.on[name] {
 		for task, r := range runs {
-			if r.life == want.Life {
-				want.Runs[task] = r.WantedRun
+			if r.life == want.Incarnation {
+				want.Runs[task] = r.DesiredRun
 			}
 		}
 	}
@@ -142,8 +142,8 @@
 
 // roleOf is how a run of the step shares its worker's processors, or nil if in no way of its own.
 func roleOf(id assignment.RunID, s job.Step) *assignment.Role {
-	if !s.Fills && s.Target == 0 {
+	if !s.BestEffort && s.LatencyTarget == 0 {
 		return nil
 	}
-	return &assignment.Role{RunID: id, TargetMillis: s.Target.Milliseconds(), Fills: s.Fills}
+	return &assignment.Role{RunID: id, LatencyTargetMillis: s.LatencyTarget.Milliseconds(), BestEffort: s.BestEffort}
 }
--- a/jobs/dispatch/wants_test.go
+++ b/jobs/dispatch/wants_test.go
@@ -10,22 +10,22 @@
 	"pgregory.net/rapid"
 
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // wantsAnew is what each worker should run, made from all workers and all jobs.
-func (c *Controller) wantsAnew(now time.Time) map[string]Want {
-	all := map[string]Want{}
+func (c *Controller) wantsAnew(now time.Time) map[string]DesiredState {
+	all := map[string]DesiredState{}
 	for name, w := range c.workers {
-		all[name] = Want{}
+		all[name] = DesiredState{}
 		if w.life != nil {
-			all[name] = Want{Life: w.life.ID, Runs: map[job.TaskName]WantedRun{}, Held: maps.Clone(c.unreadable), Seen: w.ends}
+			all[name] = DesiredState{Incarnation: w.life.ID, Runs: map[job.TaskName]DesiredRun{}, Held: maps.Clone(c.unreadable), AckedEnd: w.ends}
 		}
 	}
 	for _, t := range c.jobs {
 		t.progress.Placed(t.job.ID, func(name job.TaskName, task *job.Task) {
-			if want := all[task.Worker]; want.Runs != nil && want.Life == task.Life {
+			if want := all[task.Worker]; want.Runs != nil && want.Incarnation == task.Incarnation {
 				want.Runs[name] = c.wantedRun(t, name, task, now)
 			}
 		})
@@ -37,25 +37,25 @@
 func TestWantsAreKept(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		b := newFixture(t, 2, 3)
-		told := map[string]Want{}
+		told := map[string]DesiredState{}
 		born := int64(1)
 		for range rapid.IntRange(3, 25).Draw(rt, "events") {
 			w := b.control.workers[fmt.Sprintf("w%d-%d", rapid.IntRange(0, 1).Draw(rt, "rack"), rapid.IntRange(0, 2).Draw(rt, "worker"))]
 			switch rapid.IntRange(0, 6).Draw(rt, "event") {
 			case 0, 1:
 				b.job(rapid.IntRange(0, 2).Draw(rt, "priority"), "other", job.Step{
-					Tasks: rapid.IntRange(1, 4).Draw(rt, "tasks"), Gang: rapid.Bool().Draw(rt, "gang"), Fills: rapid.IntRange(0, 4).Draw(rt, "fills") == 0,
-					Need: job.Need{CPU: 8000, Memory: 1000, Accelerators: rapid.IntRange(1, 8).Draw(rt, "accelerators")}, Checkpoint: rapid.Bool().Draw(rt, "checkpoint"),
+					Tasks: rapid.IntRange(1, 4).Draw(rt, "tasks"), Gang: rapid.Bool().Draw(rt, "gang"), BestEffort: rapid.IntRange(0, 4).Draw(rt, "fills") == 0,
+					Resources: job.Resources{CPU: 8000, Memory: 1000, Accelerators: rapid.IntRange(1, 8).Draw(rt, "accelerators")}, Checkpoint: rapid.Bool().Draw(rt, "checkpoint"),
 				})
 			case 2:
 				b.endOne(rt, w)
 			case 3:
 				born++
 				l := *w.life
-				l.ID = life.ID{Instance: w.name, Born: born}
-				b.control.Report(b.now, assignment.Poll{Worker: w.name, Life: &l, Listed: true})
+				l.ID = incarnation.ID{Instance: w.name, StartMillis: born}
+				b.control.ApplyPoll(b.now, assignment.Poll{Worker: w.name, State: &l, Complete: true})
 			case 4:
-				b.control.LeaseOver(map[string]bool{w.name: true})
+				b.control.ExpireLeases(map[string]bool{w.name: true})
 			case 5:
 				for _, t := range b.control.active {
 					t.progress.Cancel()
@@ -64,12 +64,12 @@
 				}
 			}
 			b.plan(time.Duration(rapid.IntRange(0, 1500).Draw(rt, "ms")) * time.Millisecond)
-			if _, err := b.control.Changes(b.now); err != nil {
+			if _, err := b.control.TakeRecords(b.now); err != nil {
 				rt.Fatal(err)
 			}
-			maps.Copy(told, b.control.Wants(b.now))
+			maps.Copy(told, b.control.TakeDesired(b.now))
 			for name, want := range b.control.wantsAnew(b.now) {
-				if got := told[name]; got.Life != want.Life || got.Seen != want.Seen || !reflect.DeepEqual(got.Runs, want.Runs) && len(got.Runs)+len(want.Runs) > 0 {
+				if got := told[name]; got.Incarnation != want.Incarnation || got.AckedEnd != want.AckedEnd || !reflect.DeepEqual(got.Runs, want.Runs) && len(got.Runs)+len(want.Runs) > 0 {
 					rt.Fatalf("%s was told %+v, should run %+v", name, got, want)
 				}
 			}
@@ -79,16 +79,16 @@
 
 // endOne lets a worker list the end of one of its runs, if it has any.
 func (b *fixture) endOne(rt *rapid.T, w *worker) {
-	poll := assignment.Poll{Worker: w.name, Life: w.life, Listed: true}
+	poll := assignment.Poll{Worker: w.name, State: w.life, Complete: true}
 	for _, t := range b.control.active {
 		t.progress.Placed(t.job.ID, func(name job.TaskName, task *job.Task) {
-			if task.Worker == w.name && task.Life == w.life.ID && len(poll.Ends) == 0 {
-				how := rapid.SampledFrom([]job.Ending{job.EndDone, job.EndFailed, job.EndStopped}).Draw(rt, "how")
-				poll.Ends = []assignment.End{{RunID: assignment.RunID{Task: name, Run: task.Run}, Number: w.ends + 1, How: how}}
+			if task.Worker == w.name && task.Incarnation == w.life.ID && len(poll.Ends) == 0 {
+				how := rapid.SampledFrom([]job.EndReason{job.EndDone, job.EndFailed, job.EndStopped}).Draw(rt, "how")
+				poll.Ends = []assignment.End{{RunID: assignment.RunID{Task: name, Run: task.Run}, Number: w.ends + 1, Reason: how}}
 			}
 		})
 	}
-	b.control.Report(b.now, poll)
+	b.control.ApplyPoll(b.now, poll)
 }
 
 // TestWantsCostWhatChanges: what all workers should run was made anew at each decision and told to all of their agents. One job more costs the same
@@ -96,18 +96,18 @@
 func TestWantsCostWhatChanges(t *testing.T) {
 	cost := func(racks int) (told int, allocations float64) {
 		b := newFixture(t, racks, 8)
-		small := job.Need{CPU: 4000, Memory: 1000, Accelerators: 1}
+		small := job.Resources{CPU: 4000, Memory: 1000, Accelerators: 1}
 		for range 8 * racks {
-			b.job(1, "other", job.Step{Tasks: 4, Need: small, Estimate: time.Hour})
+			b.job(1, "other", job.Step{Tasks: 4, Resources: small, Estimate: time.Hour})
 		}
 		b.plan(0)
-		b.control.Wants(b.now)
-		next := b.job(1, "other", job.Step{Tasks: 2, Need: small, Estimate: time.Hour})
+		b.control.TakeDesired(b.now)
+		next := b.job(1, "other", job.Step{Tasks: 2, Resources: small, Estimate: time.Hour})
 		b.plan(0)
-		told = len(b.control.Wants(b.now))
+		told = len(b.control.TakeDesired(b.now))
 		allocations = testing.AllocsPerRun(10, func() {
 			b.control.wants.change(next)
-			b.control.Wants(b.now)
+			b.control.TakeDesired(b.now)
 		})
 		return told, allocations
 	}
@@ -130,7 +130,7 @@
 			ended := b.job(1, "other", job.Step{Tasks: 1})
 			b.plan(0)
 			b.finish(ended, job.EndDone)
-			if _, err := b.control.Changes(b.now); err != nil {
+			if _, err := b.control.TakeRecords(b.now); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -139,7 +139,7 @@
 		if len(b.control.jobs) != n+1 || len(b.control.active) != 1 {
 			t.Errorf("%d jobs are known and %d are looked at, want %d and 1", len(b.control.jobs), len(b.control.active), n+1)
 		}
-		records, err := b.control.Changes(b.now.Add(b.control.settings.Forget + time.Second))
+		records, err := b.control.TakeRecords(b.now.Add(b.control.settings.KeepEnded + time.Second))
 		if err != nil || len(b.control.jobs) != 1 || len(records) < n {
 			t.Errorf("later %d jobs are known, %d records drop them (%v), want 1 and at least %d", len(b.control.jobs), len(records), err, n)
 		}
@@ -151,10 +151,10 @@
 	b := newFixture(t, 1, 1)
 	yields := b.job(1, "other", job.Step{Tasks: 1, Checkpoint: true, Estimate: time.Minute})
 	b.plan(0)
-	b.control.Wants(b.now)
+	b.control.TakeDesired(b.now)
 	b.job(0, "sure", job.Step{Tasks: 1, Estimate: time.Second})
 	b.plan(patienceOfOwners + time.Second)
-	for task, run := range b.control.Wants(b.now)["w0-0"].Runs {
+	for task, run := range b.control.TakeDesired(b.now)["w0-0"].Runs {
 		if task.Job == yields.job.ID && run.Stopping {
 			return
 		}
--- a/jobs/life/golden_test.go
+++ b/jobs/incarnation/golden_test.go
@@ -1,23 +1,23 @@
-package life_test
+package incarnation_test
 
 import (
 	"testing"
 
 	"yarrowgrade.example/yarrowgrade/internal/goldentest"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 )
 
 // storedLives is a document with an ID as a value, as an optional value and as a key.
 type storedLives struct {
-	At    life.ID            `json:"at"`
-	Maybe life.ID            `json:"maybe,omitzero"`
-	Seen  map[life.ID]string `json:"seen"`
+	At    incarnation.ID            `json:"at"`
+	Maybe incarnation.ID            `json:"maybe,omitzero"`
+	Seen  map[incarnation.ID]string `json:"seen"`
 }
 
 // TestGoldenID: the stored form has the instance and the time of the start, joined by an @.
 func TestGoldenID(t *testing.T) {
-	id := life.ID{Instance: "i-7f3a91c2", Born: 1764722812345}
-	goldentest.JSON(t, "id", storedLives{At: id, Maybe: id, Seen: map[life.ID]string{id: "side-a-1"}})
+	id := incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722812345}
+	goldentest.JSON(t, "id", storedLives{At: id, Maybe: id, Seen: map[incarnation.ID]string{id: "side-a-1"}})
 }
 
 // TestGoldenIDWithoutStart: an ID without the time of the start, as older versions stored it, is the
@@ -25,16 +25,16 @@
 func TestGoldenIDWithoutStart(t *testing.T) {
 	tests := []struct {
 		name string
-		id   life.ID
+		id   incarnation.ID
 	}{
-		{"id-without-start", life.ID{Instance: "i-7f3a91c2"}},
-		{"id-with-separator", life.ID{Instance: "a@b", Born: 7}},
-		{"id-not-a-number", life.ID{Instance: "i-1@x"}},
+		{"id-without-start", incarnation.ID{Instance: "i-7f3a91c2"}},
+		{"id-with-separator", incarnation.ID{Instance: "a@b", StartMillis: 7}},
+		{"id-not-a-number", incarnation.ID{Instance: "i-1@x"}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			goldentest.Bytes(t, test.name+".txt", []byte(test.id.String()))
-			if got := life.Parse(string(goldentest.Read(t, test.name+".txt"))); got != test.id {
+			if got := incarnation.Parse(string(goldentest.Read(t, test.name+".txt"))); got != test.id {
 				t.Errorf("read %+v, want %+v", got, test.id)
 			}
 		})
--- a/jobs/life/life.go
+++ b/jobs/incarnation/incarnation.go
@@ -8,9 +8,9 @@
 //
 // # Usage
 //
-//	id := life.ID{Instance: "i-7f3a91c2", Born: 1764722812345}
+//	id := incarnation.ID{Instance: "i-7f3a91c2", Born: 1764722812345}
 //	id.String() // "i-7f3a91c2@1764722812345", also its form in JSON
-package life
+package incarnation
 
 import (
 	"strconv"
@@ -22,9 +22,9 @@
 type ID struct {
 	// Instance is the id that the worker has on the platform. Several starts may share it.
 	Instance string
-	// Born is when the worker started, in milliseconds since 1970 by its own time of day; zero for a worker that does not say it,
+	// StartMillis is when the worker started, in milliseconds since 1970 by its own time of day; zero for a worker that does not say it,
 	// which then has a new instance at each start.
-	Born int64
+	StartMillis int64
 }
 
 // separator stands between the instance and the time of its start.
@@ -32,17 +32,17 @@
 
 // String is the text form: the instance, and the time of its start if that is known.
 func (id ID) String() string {
-	if id.Born == 0 {
+	if id.StartMillis == 0 {
 		return id.Instance
 	}
-	return id.Instance + separator + strconv.FormatInt(id.Born, 10)
+	return id.Instance + separator + strconv.FormatInt(id.StartMillis, 10)
 }
 
 // Parse is the reverse of String. A text without a time, as older versions stored it, is the instance as a whole.
 func Parse(text string) ID {
 	if at := strings.LastIndex(text, separator); at >= 0 {
 		if born, err := strconv.ParseInt(text[at+len(separator):], 10, 64); err == nil && born > 0 {
-			return ID{Instance: text[:at], Born: born}
+			return ID{Instance: text[:at], StartMillis: born}
 		}
 	}
 	return ID{Instance: text}
@@ -60,12 +60,12 @@
 	return nil
 }
 
-// Started is when the worker started, by its own time of day; zero if it does not say it.
-func (id ID) Started() time.Time {
-	if id.Born == 0 {
+// StartedAt is when the worker started, by its own time of day; zero if it does not say it.
+func (id ID) StartedAt() time.Time {
+	if id.StartMillis == 0 {
 		return time.Time{}
 	}
-	return time.UnixMilli(id.Born)
+	return time.UnixMilli(id.StartMillis)
 }
 
 // SharesInstance reports whether two lives, which may be one, have the id on the platform in common. A call that names the instance reaches
--- a/jobs/job/crashes.go
+++ b/jobs/job/crashes.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/jobs/life"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 )
 
 // Fate is what the end of a worker's life means for a run that was placed there.
@@ -66,7 +66,7 @@
 // Suspicion is how many workers have crashed under the task, or may have, for all that is known by its fault.
 func (t *Task) Suspicion() int {
 	n := t.crashes()
-	for _, l := range t.Open {
+	for _, l := range t.Unresolved {
 		if l.Silent {
 			n++
 		}
@@ -75,14 +75,14 @@
 }
 
 // crashes is how many workers have crashed under the task as far as is known.
-func (t *Task) crashes() int { return t.Crashes + t.Doubts }
+func (t *Task) crashes() int { return t.Crashes + t.UncertainCrashes }
 
 // crashesWorkers reports whether the task has crashed so many workers that it must not start again. While it runs it may still end well.
 func (t *Task) crashesWorkers() bool {
 	if t.crashes() < giveUpAfter {
 		return false
 	}
-	return t.Alone >= giveUpAlone && t.Crashes >= giveUpSure || t.Extra >= lastStarts && !t.Placed()
+	return t.SoleCrashes >= giveUpAlone && t.Crashes >= giveUpSure || t.ExtraStarts >= lastStarts && !t.Placed()
 }
 
 // GivenUpForCrashes reports whether the task is why its job was given up, by the workers that crashed under it.
@@ -91,13 +91,13 @@
 // Undecided reports whether the task must not start before it is known whether the workers crashed that are open: it may have had its last start. Without
 // this, tasks whose workers are away for longer than their lease were started beyond the bound 13 times on 100 stand-in days.
 func (t *Task) Undecided(now time.Time) bool {
-	return t.Extra >= lastStarts && t.mayHaveCrashed(now) >= giveUpAfter
+	return t.ExtraStarts >= lastStarts && t.mayHaveCrashed(now) >= giveUpAfter
 }
 
 // mayHaveCrashed is how many workers have crashed under the task, those included of which that may still come to light.
 func (t *Task) mayHaveCrashed(now time.Time) int {
 	n := t.crashes()
-	for _, l := range t.Open {
+	for _, l := range t.Unresolved {
 		if now.Sub(l.At) < openFor {
 			n++
 		}
@@ -106,17 +106,17 @@
 }
 
 // OnLastStarts reports whether the task must not be stopped without need: each start may be its last.
-func (t *Task) OnLastStarts() bool { return t.Extra > 0 }
+func (t *Task) OnLastStarts() bool { return t.ExtraStarts > 0 }
 
 // countStart counts a start that users count: one after the third crash.
 func (t *Task) countStart(now time.Time) {
 	if t.mayHaveCrashed(now) >= giveUpAfter {
-		t.Extra++
+		t.ExtraStarts++
 	}
 }
 
 // takeBackStart takes back the count of a start that was not carried out.
-func (t *Task) takeBackStart() { t.Extra = max(t.Extra-1, 0) }
+func (t *Task) takeBackStart() { t.ExtraStarts = max(t.ExtraStarts-1, 0) }
 
 // TriedAlone reports whether the next crash under the task would give it up if nothing else is there.
 func (t *Task) TriedAlone() bool { return t.Suspicion() >= giveUpAfter-1 }
@@ -127,7 +127,7 @@
 	if t == nil || t.Suspicion() == 0 {
 		return false
 	}
-	t.Crashes, t.Doubts, t.Alone, t.Extra, t.Open = 0, 0, 0, 0, nil
+	t.Crashes, t.UncertainCrashes, t.SoleCrashes, t.ExtraStarts, t.Unresolved = 0, 0, 0, 0, nil
 	p.countSuspects()
 	return true
 }
@@ -136,60 +136,60 @@
 func (p *Progress) Suspects() int { return p.suspects }
 
 // note takes note of what the end of a worker's life means for the task's run there.
-func (t *Task) note(worker string, at life.ID, l Loss) {
+func (t *Task) note(worker string, at incarnation.ID, l Loss) {
 	switch l.Fate {
 	case Crashed, Doubtful:
 		t.crash(l)
 	case Unbegun:
 		t.takeBackStart()
 	case Open, OpenDoubtful:
-		if t.Open == nil {
-			t.Open = map[life.ID]openLife{}
+		if t.Unresolved == nil {
+			t.Unresolved = map[incarnation.ID]openLife{}
 		}
-		if t.Open[at].Begun {
+		if t.Unresolved[at].Begun {
 			// A later run that was placed on a life of which nothing was heard any more says nothing of the one that had begun there.
 			return
 		}
-		t.Open[at] = openLife{Worker: worker, Run: t.Run, Begun: l.Fate == Open, Silent: l.Silent, At: l.At}
+		t.Unresolved[at] = openLife{Worker: worker, Run: t.Run, Begun: l.Fate == Open, Silent: l.Silent, At: l.At}
 	}
 }
 
 // crash counts a crash. The first one is not the task's alone: until then it was placed where others are.
 func (t *Task) crash(l Loss) {
 	if l.Alone && t.crashes() > 0 {
-		t.Alone++
+		t.SoleCrashes++
 	}
 	if l.Fate == Crashed {
 		t.Crashes++
 		return
 	}
-	t.Doubts++
+	t.UncertainCrashes++
 }
 
 // Lose takes note that a run has ended with its worker, or that nothing of it is left there. It returns false, and changes nothing, unless that run is the one
 // that is placed on that life. The count is part of the progress, and so is kept as long as the job, whoever leads.
-func (p *Progress) Lose(j *Job, name TaskName, run int, at life.ID, l Loss) bool {
+func (p *Progress) Lose(j *Job, name TaskName, run int, at incarnation.ID, l Loss) bool {
 	return p.end(j, name, run, at, ending{how: EndLost, loss: l})
 }
 
 // Judge takes note of how a life of a worker ended of which nothing was heard when its runs were given up. Verdict says what that means for a run of which it
 // was known that it had begun, or was not. It returns the tasks under which the worker crashed, with
 // how sure that is.
-func (p *Progress) Judge(j *Job, over life.ID, verdict func(name TaskName, run int, begun bool) Loss) map[TaskName]Fate {
+func (p *Progress) Judge(j *Job, over incarnation.ID, verdict func(name TaskName, run int, begun bool) Loss) map[TaskName]Fate {
 	under := map[TaskName]Fate{}
 	for s, t := range p.tasks {
-		l, open := t.Open[over]
+		l, open := t.Unresolved[over]
 		if !open {
 			continue
 		}
-		delete(t.Open, over)
+		delete(t.Unresolved, over)
 		name := TaskName{Job: j.ID, Round: s.round, Step: s.step, Index: s.index}
 		loss := verdict(name, l.Run, l.Begun)
 		if loss.Fate == Crashed || loss.Fate == Doubtful {
 			t.crash(loss)
 			under[name] = loss.Fate
-		} else if t.crashes()+len(t.Open) < giveUpAfter {
-			t.Extra = 0
+		} else if t.crashes()+len(t.Unresolved) < giveUpAfter {
+			t.ExtraStarts = 0
 		}
 	}
 	p.settle(j)
@@ -197,9 +197,9 @@
 }
 
 // OpenLives calls f for each life of a worker of which it is open how it ended under a task of the job.
-func (p *Progress) OpenLives(f func(worker string, open life.ID)) {
+func (p *Progress) OpenLives(f func(worker string, open incarnation.ID)) {
 	for _, t := range p.tasks {
-		for id, l := range t.Open {
+		for id, l := range t.Unresolved {
 			f(l.Worker, id)
 		}
 	}
--- a/jobs/job/crashes_test.go
+++ b/jobs/job/crashes_test.go
@@ -5,12 +5,12 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/jobs/life"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 )
 
 // lifeNumber is one of many lives: each second one is a new start under the id of the one before.
-func lifeNumber(n int) life.ID {
-	return life.ID{Instance: fmt.Sprintf("life-%d", n/2), Born: int64(1 + n%2)}
+func lifeNumber(n int) incarnation.ID {
+	return incarnation.ID{Instance: fmt.Sprintf("life-%d", n/2), StartMillis: int64(1 + n%2)}
 }
 
 // crashOf is one crash of a worker under a task, as a table gives it.
@@ -26,7 +26,7 @@
 // TestGivenUp: a task is given up at the third crash if nothing else could be blamed for two of them once it was suspected, at the fifth in any case, and never
 // for what is not a crash. All that is counted survives being stored.
 func TestGivenUp(t *testing.T) {
-	j := &Job{ID: "0000000000000001", Steps: []Step{{Tasks: 2, Need: Need{CPU: 1}}}}
+	j := &Job{ID: "0000000000000001", Steps: []Step{{Tasks: 2, Resources: Resources{CPU: 1}}}}
 	name := TaskName{Job: j.ID}
 	repeat := func(l Loss, n int) []Loss {
 		var losses []Loss
@@ -100,18 +100,18 @@
 // TestLastStarts: users count starts after the third crash, and not what becomes of them: a task that was stopped in between was started a third time. A
 // start that was not carried out is none.
 func TestLastStarts(t *testing.T) {
-	j := &Job{ID: "0000000000000001", Steps: []Step{{Tasks: 2, Need: Need{CPU: 1}}}}
+	j := &Job{ID: "0000000000000001", Steps: []Step{{Tasks: 2, Resources: Resources{CPU: 1}}}}
 	name := TaskName{Job: j.ID}
 	tests := []struct {
 		name string
-		ends []Ending
+		ends []EndReason
 		want Phase
 	}{
-		{"stopped once", []Ending{EndStopped}, Running},
-		{"stopped twice", []Ending{EndStopped, EndStopped}, Failed},
-		{"refused", []Ending{EndRefused, EndRefused, EndRefused, EndStopped}, Running},
-		{"stopped, refused and broken", []Ending{EndStopped, EndRefused, EndBroken}, Failed},
-		{"stopped and done", []Ending{EndStopped, EndDone}, Running},
+		{"stopped once", []EndReason{EndStopped}, Running},
+		{"stopped twice", []EndReason{EndStopped, EndStopped}, Failed},
+		{"refused", []EndReason{EndRefused, EndRefused, EndRefused, EndStopped}, Running},
+		{"stopped, refused and broken", []EndReason{EndStopped, EndRefused, EndGangBroken}, Failed},
+		{"stopped and done", []EndReason{EndStopped, EndDone}, Running},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -135,7 +135,7 @@
 
 // TestOpenLifeIsKept: of two runs that were given up on one life, the one that had begun is judged: its worker may have crashed under it.
 func TestOpenLifeIsKept(t *testing.T) {
-	j := &Job{ID: "0000000000000001", Steps: []Step{{Tasks: 1, Need: Need{CPU: 1}}}}
+	j := &Job{ID: "0000000000000001", Steps: []Step{{Tasks: 1, Resources: Resources{CPU: 1}}}}
 	p, name := NewProgress(), TaskName{Job: j.ID}
 	for run, fate := range []Fate{Open, OpenDoubtful} {
 		p.Assign(time.Now(), name, run+1, "w", present)
@@ -162,7 +162,7 @@
 		name     string
 		step     Step
 		run      int
-		how      Ending
+		how      EndReason
 		noted    bool
 		phase    Phase
 		failures int
@@ -173,11 +173,11 @@
 		{"failed, a gang", Step{Tasks: 3, Gang: true}, 1, EndFailed, true, Running, 1},
 		{"a run that there never was", Step{Tasks: 1}, 3, EndDone, false, Running, 0},
 		{"stopped", Step{Tasks: 1}, 1, EndStopped, false, Running, 0},
-		{"lasts", Step{Tasks: 1, Lasts: true}, 1, EndDone, false, Running, 0},
+		{"lasts", Step{Tasks: 1, LongRunning: true}, 1, EndDone, false, Running, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			j := &Job{ID: "0000000000000001", Attempts: 3, Steps: []Step{test.step}}
+			j := &Job{ID: "0000000000000001", MaxAttempts: 3, Steps: []Step{test.step}}
 			p := NewProgress()
 			for _, name := range j.stepNames(0, 0) {
 				p.Assign(time.Now(), name, 1, "w", present)
