--- a/jobs/job/golden_test.go
+++ b/jobs/job/golden_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"yarrowgrade.example/yarrowgrade/internal/goldentest"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 )
 
 // goldenTime has a fraction, so that its precision is part of the record.
@@ -16,62 +16,62 @@
 
 func goldenStep() Step {
 	return Step{
-		Tasks:      3,
-		Need:       Need{CPU: 1500, Memory: 2048, Accelerators: 2},
-		Estimate:   90 * time.Second,
-		After:      []int{1, 2},
-		Gang:       true,
-		SameRack:   true,
-		Label:      "fast",
-		DataRack:   "r7",
-		PerWorker:  4,
-		Checkpoint: true,
-		Racing:     true,
-		Lasts:      true,
-		Image:      "image-1",
-		Target:     250 * time.Millisecond,
-		Fills:      true,
-		MayMiss:    5,
-		Bounded:    true,
+		Tasks:             3,
+		Resources:         Resources{CPU: 1500, Memory: 2048, Accelerators: 2},
+		Estimate:          90 * time.Second,
+		DependsOn:         []int{1, 2},
+		Gang:              true,
+		SameRack:          true,
+		RequiredLabel:     "fast",
+		DataRack:          "r7",
+		MaxPerWorker:      4,
+		Checkpoint:        true,
+		Speculative:       true,
+		LongRunning:       true,
+		Image:             "image-1",
+		LatencyTarget:     250 * time.Millisecond,
+		BestEffort:        true,
+		MaxUnavailable:    5,
+		HasMaxUnavailable: true,
 	}
 }
 
 func goldenJob() Job {
 	return Job{
-		ID:       "0123456789abcdef",
-		Queue:    "batch",
-		Team:     "atlas",
-		Service:  "roster",
-		Priority: 2,
-		Attempts: 3,
-		Stretch:  1.5,
-		Aim:      4 * time.Second,
-		Advised:  true,
-		Spec:     "spec \"quoted\"",
-		Steps:    []Step{goldenStep()},
-		Times:    6,
-		First:    goldenTime.Add(time.Minute),
-		Every:    10 * time.Minute,
-		Accepted: goldenTime,
+		ID:              "0123456789abcdef",
+		Queue:           "batch",
+		Team:            "atlas",
+		Service:         "roster",
+		Priority:        2,
+		MaxAttempts:     3,
+		ObjectiveFactor: 1.5,
+		ObjectiveSlack:  4 * time.Second,
+		NeedsPermit:     true,
+		Spec:            "spec \"quoted\"",
+		Steps:           []Step{goldenStep()},
+		RoundCount:      6,
+		FirstRound:      goldenTime.Add(time.Minute),
+		RoundInterval:   10 * time.Minute,
+		Accepted:        goldenTime,
 	}
 }
 
 func goldenTask() Task {
 	return Task{
-		Run:       7,
-		Worker:    "side-a-1",
-		Life:      life.ID{Instance: "i-7f3a91c2", Born: 1764722812345},
-		Failures:  2,
-		FailedRun: 6,
-		Done:      true,
-		GivenUp:   []int{3, 4},
-		Saved:     "00000bb87a21d901",
-		Avoid:     "side-a-2",
-		Crashes:   1,
-		Doubts:    2,
-		Alone:     3,
-		Extra:     4,
-		Open: map[life.ID]openLife{
+		Run:              7,
+		Worker:           "side-a-1",
+		Incarnation:      incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722812345},
+		Failures:         2,
+		FailedRun:        6,
+		Done:             true,
+		GivenUp:          []int{3, 4},
+		Checkpoint:       "00000bb87a21d901",
+		Avoid:            "side-a-2",
+		Crashes:          1,
+		UncertainCrashes: 2,
+		SoleCrashes:      3,
+		ExtraStarts:      4,
+		Unresolved: map[incarnation.ID]openLife{
 			{Instance: "i-1"}: {Worker: "side-a-3", Run: 5, Begun: true, Silent: true, At: goldenTime},
 		},
 	}
@@ -94,14 +94,14 @@
 	p := NewProgress()
 	for i := range 20 {
 		name := TaskName{Job: "0123456789abcdef", Index: i}
-		p.Assign(goldenTime, name, 2, "side-a-1", life.ID{Instance: "i-7f3a91c2", Born: 1764722812345})
-		p.Task(name).Saved = "00000bb87a21d901"
+		p.Assign(goldenTime, name, 2, "side-a-1", incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722812345})
+		p.Task(name).Checkpoint = "00000bb87a21d901"
 	}
 	return p
 }
 
 func TestGoldenNeed(t *testing.T) {
-	goldentest.JSON(t, "need", Need{CPU: 1500, Memory: 2048, Accelerators: 2})
+	goldentest.JSON(t, "need", Resources{CPU: 1500, Memory: 2048, Accelerators: 2})
 }
 
 func TestGoldenStep(t *testing.T) { goldentest.JSON(t, "step", goldenStep()) }
@@ -191,7 +191,7 @@
 func TestGoldenOlderProgress(t *testing.T) {
 	want := largeGoldenProgress()
 	for _, placed := range want.placed {
-		placed.task.Life.Born = 0
+		placed.task.Incarnation.StartMillis = 0
 	}
 	stored := goldentest.Read(t, "progress-older.stored")
 	if len(stored) < compressFrom {
@@ -236,10 +236,10 @@
 		Final  bool   `json:"final"`
 	}
 	words := struct {
-		Phases  []phase  `json:"phases"`
-		Endings []Ending `json:"endings"`
+		Phases  []phase     `json:"phases"`
+		Endings []EndReason `json:"endings"`
 	}{
-		Endings: []Ending{EndDone, EndFailed, EndStopped, EndLapsed, EndBroken, EndAlone, EndLost, EndRefused},
+		Endings: []EndReason{EndDone, EndFailed, EndStopped, EndLeaseExpired, EndGangBroken, EndGangIncomplete, EndLost, EndRefused},
 	}
 	for _, p := range []Phase{Queued, Running, Completed, Failed, Cancelled, Phase('?')} {
 		words.Phases = append(words.Phases, phase{Stored: string(rune(p)), Shown: p.String(), Final: p.Final()})
@@ -257,7 +257,7 @@
 // TestGoldenFates: how runs end is kept in the counts of their tasks.
 func TestGoldenFates(t *testing.T) {
 	name := TaskName{Job: "0123456789abcdef"}
-	at := life.ID{Instance: "i-7f3a91c2", Born: 1764722812345}
+	at := incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722812345}
 	tests := []struct {
 		file string
 		loss Loss
@@ -271,7 +271,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.file, func(t *testing.T) {
-			j := &Job{ID: name.Job, Attempts: 3, Steps: []Step{{Tasks: 1}}}
+			j := &Job{ID: name.Job, MaxAttempts: 3, Steps: []Step{{Tasks: 1}}}
 			p := NewProgress()
 			for run := 1; run <= 2; run++ {
 				p.Assign(goldenTime, name, run, "side-a-1", at)
--- a/jobs/job/job_test.go
+++ b/jobs/job/job_test.go
@@ -9,15 +9,15 @@
 	"pgregory.net/rapid"
 
 	"yarrowgrade.example/yarrowgrade/internal/fault"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 )
 
 // present is the life on which the tests place tasks.
-var present = life.ID{Instance: "life", Born: 1}
+var present = incarnation.ID{Instance: "life", StartMillis: 1}
 
 const id ID = "00000000000000ab"
 
-func oneStep(s Step) *Job { return &Job{ID: id, Steps: []Step{s}, Attempts: 2} }
+func oneStep(s Step) *Job { return &Job{ID: id, Steps: []Step{s}, MaxAttempts: 2} }
 
 func TestValidate(t *testing.T) {
 	good := Step{Tasks: 1}
@@ -32,12 +32,12 @@
 		{"long spec", Job{ID: id, Spec: string(make([]byte, MaxSpecBytes+1)), Steps: []Step{good}}, "spec"},
 		{"no steps", Job{ID: id}, "steps"},
 		{"no tasks", Job{ID: id, Steps: []Step{{}}}, "steps.0.tasks"},
-		{"negative need", Job{ID: id, Steps: []Step{{Tasks: 1, Need: Need{CPU: -1}}}}, "steps.0.need"},
-		{"after itself", Job{ID: id, Steps: []Step{good, {Tasks: 1, After: []int{1}}}}, "steps.1.after"},
-		{"after nothing", Job{ID: id, Steps: []Step{{Tasks: 1, After: []int{-1}}}}, "steps.0.after"},
+		{"negative need", Job{ID: id, Steps: []Step{{Tasks: 1, Resources: Resources{CPU: -1}}}}, "steps.0.need"},
+		{"after itself", Job{ID: id, Steps: []Step{good, {Tasks: 1, DependsOn: []int{1}}}}, "steps.1.after"},
+		{"after nothing", Job{ID: id, Steps: []Step{{Tasks: 1, DependsOn: []int{-1}}}}, "steps.0.after"},
 		{"too many tasks", Job{ID: id, Steps: []Step{{Tasks: MaxTasks + 1}}}, "steps"},
-		{"negative times", Job{ID: id, Steps: []Step{good}, Times: -1}, "times"},
-		{"negative interval", Job{ID: id, Steps: []Step{good}, Times: 2, Every: -1}, "every"},
+		{"negative times", Job{ID: id, Steps: []Step{good}, RoundCount: -1}, "times"},
+		{"negative interval", Job{ID: id, Steps: []Step{good}, RoundCount: 2, RoundInterval: -1}, "every"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -87,9 +87,9 @@
 	}{
 		{"independent tasks", oneStep(Step{Tasks: 3}), 3},
 		{"a gang is one unit", oneStep(Step{Tasks: 3, Gang: true}), 1},
-		{"a later step waits", &Job{ID: id, Steps: []Step{{Tasks: 1}, {Tasks: 5, After: []int{0}}}}, 1},
-		{"rounds that are due", &Job{ID: id, Steps: []Step{{Tasks: 1}}, Times: 5, First: now.Add(-3 * time.Second), Every: 2 * time.Second}, 2},
-		{"a round that is not due", &Job{ID: id, Steps: []Step{{Tasks: 1}}, Times: 1, First: now.Add(time.Second)}, 0},
+		{"a later step waits", &Job{ID: id, Steps: []Step{{Tasks: 1}, {Tasks: 5, DependsOn: []int{0}}}}, 1},
+		{"rounds that are due", &Job{ID: id, Steps: []Step{{Tasks: 1}}, RoundCount: 5, FirstRound: now.Add(-3 * time.Second), RoundInterval: 2 * time.Second}, 2},
+		{"a round that is not due", &Job{ID: id, Steps: []Step{{Tasks: 1}}, RoundCount: 1, FirstRound: now.Add(time.Second)}, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -110,7 +110,7 @@
 	t.Run("an end of another run or life changes nothing", func(t *testing.T) {
 		j, p := oneStep(Step{Tasks: 1}), NewProgress()
 		begin(j, p, now)
-		if p.End(j, task(0), 2, present, EndDone, "") || p.End(j, task(0), 1, life.ID{Instance: present.Instance, Born: present.Born + 1}, EndDone, "") {
+		if p.End(j, task(0), 2, present, EndDone, "") || p.End(j, task(0), 1, incarnation.ID{Instance: present.Instance, StartMillis: present.StartMillis + 1}, EndDone, "") {
 			t.Error("it was taken")
 		}
 		if p.Phase != Running {
@@ -133,7 +133,7 @@
 		if len(j.Waiting(p, now, 0)) != 0 {
 			t.Error("the gang waits while a member is placed")
 		}
-		p.End(j, task(2), 1, present, EndBroken, "")
+		p.End(j, task(2), 1, present, EndGangBroken, "")
 		if p.Phase != Running || begin(j, p, now) != 1 {
 			t.Fatalf("after one failed run the phase is %v", p.Phase)
 		}
@@ -144,7 +144,7 @@
 	})
 	t.Run("only failures are attempts", func(t *testing.T) {
 		j, p := oneStep(Step{Tasks: 1}), NewProgress()
-		for run, how := range []Ending{EndStopped, EndLapsed, EndBroken, EndAlone, EndLost, EndRefused} {
+		for run, how := range []EndReason{EndStopped, EndLeaseExpired, EndGangBroken, EndGangIncomplete, EndLost, EndRefused} {
 			begin(j, p, now)
 			p.End(j, task(0), run+1, present, how, "")
 		}
@@ -156,14 +156,14 @@
 		j, p := oneStep(Step{Tasks: 2, Gang: true, Checkpoint: true}), NewProgress()
 		begin(j, p, now)
 		p.End(j, task(0), 1, present, EndStopped, "saved")
-		p.End(j, task(1), 1, present, EndBroken, "")
-		if got := p.Task(task(1)).Saved; got != "saved" {
+		p.End(j, task(1), 1, present, EndGangBroken, "")
+		if got := p.Task(task(1)).Checkpoint; got != "saved" {
 			t.Errorf("the other member has %q", got)
 		}
 	})
 	t.Run("what lasts starts again however it ends", func(t *testing.T) {
-		j, p := oneStep(Step{Tasks: 1, Lasts: true}), NewProgress()
-		for run, how := range []Ending{EndDone, EndFailed, EndFailed, EndFailed} {
+		j, p := oneStep(Step{Tasks: 1, LongRunning: true}), NewProgress()
+		for run, how := range []EndReason{EndDone, EndFailed, EndFailed, EndFailed} {
 			if begin(j, p, now) != 1 {
 				t.Fatalf("run %d does not start", run+1)
 			}
@@ -192,10 +192,10 @@
 		for range rapid.IntRange(0, 4).Draw(t, "rounds") {
 			begin(j, p, time.Now())
 			i := rapid.IntRange(0, j.Steps[0].Tasks-1).Draw(t, "index")
-			how := rapid.SampledFrom([]Ending{EndDone, EndFailed, EndStopped, EndLost}).Draw(t, "how")
+			how := rapid.SampledFrom([]EndReason{EndDone, EndFailed, EndStopped, EndLost}).Draw(t, "how")
 			name := TaskName{Job: id, Index: i}
 			if task := p.Task(name); task != nil {
-				p.End(j, name, task.Run, task.Life, how, rapid.StringMatching("[a-f0-9]{0,4}").Draw(t, "saved"))
+				p.End(j, name, task.Run, task.Incarnation, how, rapid.StringMatching("[a-f0-9]{0,4}").Draw(t, "saved"))
 			}
 		}
 		data, err := p.Encode()
@@ -219,13 +219,13 @@
 
 func TestObjective(t *testing.T) {
 	accepted := time.Unix(1000, 0)
-	j := &Job{ID: id, Accepted: accepted, Stretch: 2, Aim: time.Second, Steps: []Step{
-		{Tasks: 1, Estimate: 3 * time.Second}, {Tasks: 1, Estimate: 5 * time.Second}, {Tasks: 1, Estimate: time.Second, After: []int{0, 1}},
+	j := &Job{ID: id, Accepted: accepted, ObjectiveFactor: 2, ObjectiveSlack: time.Second, Steps: []Step{
+		{Tasks: 1, Estimate: 3 * time.Second}, {Tasks: 1, Estimate: 5 * time.Second}, {Tasks: 1, Estimate: time.Second, DependsOn: []int{0, 1}},
 	}}
 	if got, want := j.Objective(0, j.Chain(j.Estimate)), accepted.Add(13*time.Second); !got.Equal(want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
-	j.Times, j.First, j.Every = 3, accepted.Add(time.Minute), 10*time.Second
+	j.RoundCount, j.FirstRound, j.RoundInterval = 3, accepted.Add(time.Minute), 10*time.Second
 	if got, want := j.Objective(2, j.Chain(j.Estimate)), accepted.Add(80*time.Second+13*time.Second); !got.Equal(want) {
 		t.Errorf("round 2: got %v, want %v", got, want)
 	}
--- a/jobs/job/progress.go
+++ b/jobs/job/progress.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/jobs/life"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 )
 
 // TaskName names a task: job, round, step and index.
@@ -84,21 +84,21 @@
 	return "unknown"
 }
 
-// Ending is how a run ended.
-type Ending string
+// EndReason is how a run ended.
+type EndReason string
 
 // The endings. Only Done counts as success and only Failed as an attempt; the others are the system's or a worker's doing.
 const (
-	EndDone    Ending = "done"
-	EndFailed  Ending = "failed"
-	EndStopped Ending = "stopped"
-	EndLapsed  Ending = "lapsed"
-	EndBroken  Ending = "broken"
-	EndAlone   Ending = "alone"
+	EndDone           EndReason = "done"
+	EndFailed         EndReason = "failed"
+	EndStopped        EndReason = "stopped"
+	EndLeaseExpired   EndReason = "lapsed"
+	EndGangBroken     EndReason = "broken"
+	EndGangIncomplete EndReason = "alone"
 	// EndLost is the ending of a run whose worker is gone or whose lease is surely over.
-	EndLost Ending = "lost"
+	EndLost EndReason = "lost"
 	// EndRefused is the ending of a run that a worker did not start and never will.
-	EndRefused Ending = "refused"
+	EndRefused EndReason = "refused"
 )
 
 // Task is what has become of a task.
@@ -107,27 +107,27 @@
 	Run int `json:"r"`
 	// Worker and Life say where that run is; both are empty when the task is not placed. It takes room there until its
 	// end is known.
-	Worker string  `json:"w,omitempty"`
-	Life   life.ID `json:"l,omitzero"`
+	Worker      string         `json:"w,omitempty"`
+	Incarnation incarnation.ID `json:"l,omitzero"`
 	// Failures counts runs that failed; FailedRun is the newest of them.
 	Failures  int  `json:"f,omitempty"`
 	FailedRun int  `json:"fr,omitempty"`
 	Done      bool `json:"d,omitempty"`
 	// GivenUp holds the newest runs of which nobody knows how they ended: their worker was gone, or the run from its list.
 	GivenUp []int `json:"gu,omitempty"`
-	// Saved is the newest checkpoint; it is opaque.
-	Saved string `json:"s,omitempty"`
+	// Checkpoint is the newest checkpoint; it is opaque.
+	Checkpoint string `json:"s,omitempty"`
 	// Avoid is the worker on which it last failed.
 	Avoid string `json:"a,omitempty"`
 	// Crashes counts the workers that crashed under it, Doubts those of which that is not sure, Alone those of both for which nothing else could be
 	// blamed.
-	Crashes int `json:"c,omitempty"`
-	Doubts  int `json:"cd,omitempty"`
-	Alone   int `json:"ca,omitempty"`
-	// Extra counts the starts since it may have crashed so many workers that users count them.
-	Extra int `json:"ce,omitempty"`
-	// Open holds the lives of workers of which nothing was heard when its runs there were given up.
-	Open map[life.ID]openLife `json:"co,omitempty"`
+	Crashes          int `json:"c,omitempty"`
+	UncertainCrashes int `json:"cd,omitempty"`
+	SoleCrashes      int `json:"ca,omitempty"`
+	// ExtraStarts counts the starts since it may have crashed so many workers that users count them.
+	ExtraStarts int `json:"ce,omitempty"`
+	// Unresolved holds the lives of workers of which nothing was heard when its runs there were given up.
+	Unresolved map[incarnation.ID]openLife `json:"co,omitempty"`
 }
 
 // Placed reports whether a run of the task takes room on a worker.
@@ -196,14 +196,14 @@
 }
 
 // Assign places a new run of the task on a life of a worker.
-func (p *Progress) Assign(now time.Time, name TaskName, run int, worker string, l life.ID) {
+func (p *Progress) Assign(now time.Time, name TaskName, run int, worker string, l incarnation.ID) {
 	t := p.touch(name)
 	t.countStart(now)
 	if !t.Placed() {
 		p.placed = append(p.placed, placedTask{slot: slot{name.Round, name.Step, name.Index}, task: t})
 	}
 	t.known(run)
-	t.Run, t.Worker, t.Life = run, worker, l
+	t.Run, t.Worker, t.Incarnation = run, worker, l
 	if p.Phase == Queued {
 		p.Phase = Running
 	}
@@ -231,14 +231,14 @@
 
 // ending is how a run ended, what it saved, and what it means for the task if it ended with its worker.
 type ending struct {
-	how   Ending
+	how   EndReason
 	saved string
 	loss  Loss
 }
 
 // End takes note of the end of a run. It returns false, and changes nothing, unless that run is the one that is placed on
 // that life.
-func (p *Progress) End(j *Job, name TaskName, run int, l life.ID, how Ending, saved string) bool {
+func (p *Progress) End(j *Job, name TaskName, run int, l incarnation.ID, how EndReason, saved string) bool {
 	return p.end(j, name, run, l, ending{how: how, saved: saved})
 }
 
@@ -261,9 +261,9 @@
 // EndLate takes note of the end of a run that had been given up: its worker was silent until its lease was over, or a later start of it carried the run out. A task
 // is done whichever of its runs did it, and a failure counts as one attempt. It returns false, and changes nothing, for all other
 // ends, and for what had been noted.
-func (p *Progress) EndLate(j *Job, name TaskName, run int, how Ending) bool {
+func (p *Progress) EndLate(j *Job, name TaskName, run int, how EndReason) bool {
 	t := p.Task(name)
-	if t == nil || t.Done || !slices.Contains(t.GivenUp, run) || p.Phase.Final() || name.Step >= len(j.Steps) || j.Steps[name.Step].Lasts {
+	if t == nil || t.Done || !slices.Contains(t.GivenUp, run) || p.Phase.Final() || name.Step >= len(j.Steps) || j.Steps[name.Step].LongRunning {
 		return false
 	}
 	members := []TaskName{name}
@@ -290,13 +290,13 @@
 	return true
 }
 
-func (p *Progress) end(j *Job, name TaskName, run int, at life.ID, e ending) bool {
+func (p *Progress) end(j *Job, name TaskName, run int, at incarnation.ID, e ending) bool {
 	t := p.Task(name)
-	if t == nil || !t.Placed() || t.Run != run || t.Life != at || name.Step >= len(j.Steps) {
+	if t == nil || !t.Placed() || t.Run != run || t.Incarnation != at || name.Step >= len(j.Steps) {
 		return false
 	}
 	worker := t.Worker
-	t.Worker, t.Life = "", life.ID{}
+	t.Worker, t.Incarnation = "", incarnation.ID{}
 	t.note(worker, at, e.loss)
 	p.unplace(slot{name.Round, name.Step, name.Index})
 	step := j.Steps[name.Step]
@@ -308,7 +308,7 @@
 	case EndLost:
 		t.giveUp(run)
 	case EndDone:
-		if step.Lasts {
+		if step.LongRunning {
 			break
 		}
 		for _, m := range members {
@@ -323,7 +323,7 @@
 	}
 	if e.saved != "" && !t.Done {
 		for _, m := range members {
-			p.touch(m).Saved = e.saved
+			p.touch(m).Checkpoint = e.saved
 		}
 	}
 	p.settle(j)
@@ -332,7 +332,7 @@
 
 // fail counts one attempt of the task, or of its gang.
 func (p *Progress) fail(members []TaskName, run int, step Step) {
-	if step.Lasts {
+	if step.LongRunning {
 		return
 	}
 	for _, m := range members {
@@ -353,7 +353,7 @@
 	}
 	p.countSuspects()
 	for _, t := range p.tasks {
-		if !t.Done && j.Attempts > 0 && t.Failures >= j.Attempts || t.GivenUpForCrashes() {
+		if !t.Done && j.MaxAttempts > 0 && t.Failures >= j.MaxAttempts || t.GivenUpForCrashes() {
 			p.Phase = Failed
 			return
 		}
@@ -366,7 +366,7 @@
 func (p *Progress) countSuspects() {
 	p.suspects = 0
 	for _, t := range p.tasks {
-		if !t.Done && (t.Suspicion() > 0 || len(t.Open) > 0) {
+		if !t.Done && (t.Suspicion() > 0 || len(t.Unresolved) > 0) {
 			p.suspects++
 		}
 	}
@@ -437,7 +437,7 @@
 }
 
 func (j *Job) depends(p *Progress, round, step int) bool {
-	for _, a := range j.Steps[step].After {
+	for _, a := range j.Steps[step].DependsOn {
 		if !p.stepDone(j, round, a) {
 			return false
 		}
--- a/jobs/job/stored_test.go
+++ b/jobs/job/stored_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/jobs/life"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 )
 
 // largeProgress is that of a job of so many tasks, all of which run with a checkpoint.
@@ -14,8 +14,8 @@
 	p := NewProgress()
 	for i := range tasks {
 		name := TaskName{Job: "0000000000000001", Index: i}
-		p.Assign(time.Now(), name, 2, fmt.Sprintf("side-plovdiv-a-%d", i/8), life.ID{Instance: fmt.Sprintf("i-7f3a91c2%02x", i/8), Born: 1764722812345})
-		p.Task(name).Saved = fmt.Sprintf("00000bb87a21d9%02x", i)
+		p.Assign(time.Now(), name, 2, fmt.Sprintf("side-plovdiv-a-%d", i/8), incarnation.ID{Instance: fmt.Sprintf("i-7f3a91c2%02x", i/8), StartMillis: 1764722812345})
+		p.Task(name).Checkpoint = fmt.Sprintf("00000bb87a21d9%02x", i)
 	}
 	return p
 }
--- a/jobs/jobstore/chase_test.go
+++ b/jobs/jobstore/chase_test.go
@@ -22,7 +22,7 @@
 
 func (l *busyLog) Read(ctx context.Context, q topic.Query) (topic.Batch, error) {
 	batch, err := l.CountedLog.Read(ctx, q)
-	if !q.Brief && len(batch.Records) > 0 {
+	if !q.Probe && len(batch.Records) > 0 {
 		time.Sleep(l.takes)
 	}
 	return batch, err
@@ -54,7 +54,7 @@
 			if got := busy.Brief.Load() - brief; got > 6 {
 				t.Errorf("%d reads that find out whether the log answers, in %v, want at most 6", got, time.Second+takes)
 			}
-			if age := time.Since(r.Proof()); age > time.Second {
+			if age := time.Since(r.SyncedAt()); age > time.Second {
 				t.Errorf("%v after the log was back the proof is %v old", time.Second+takes, age)
 			}
 		})
@@ -80,7 +80,7 @@
 			add(t, log, submission(t, one, "first"))
 			counted := &jobtest.CountedLog{Log: log.Client("entry")}
 			r := jobstore.NewReplica(counted, func() int { return test.readers }, zerolog.Nop())
-			r.Lead(test.leads)
+			r.SetLeading(test.leads)
 			go r.Run(ctx)
 			time.Sleep(2 * time.Second)
 			log.SetFault("entry", jobtest.Fault{Refuse: true})
@@ -92,7 +92,7 @@
 			}
 			log.Heal()
 			time.Sleep(test.back)
-			if age := time.Since(r.Proof()); age > test.back {
+			if age := time.Since(r.SyncedAt()); age > test.back {
 				t.Errorf("%v after it was back the proof of one of %d entries is %v old", test.back, test.readers, age)
 			}
 		})
@@ -107,7 +107,7 @@
 		bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 			add(t, log, submission(t, one, "first"))
 			r := jobstore.NewReplica(log.Client("entry"), func() int { return readers }, zerolog.Nop())
-			r.Lead(true)
+			r.SetLeading(true)
 			go r.Run(ctx)
 			time.Sleep(time.Second)
 			log.SetFault("entry", jobtest.Fault{Deaf: true})
--- a/jobs/jobstore/golden_test.go
+++ b/jobs/jobstore/golden_test.go
@@ -21,10 +21,10 @@
 	"yarrowgrade.example/yarrowgrade/internal/goldentest"
 	"yarrowgrade.example/yarrowgrade/internal/hedge"
 	"yarrowgrade.example/yarrowgrade/jobs/directory"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
 )
@@ -35,13 +35,13 @@
 func goldenJob() *job.Job {
 	return &job.Job{
 		ID: one, Queue: "urgent", Team: "plates", Service: "parkpay",
-		Priority: 2, Attempts: 3, Stretch: 1.5, Aim: 90 * time.Second, Advised: true, Spec: "spec of the caller",
+		Priority: 2, MaxAttempts: 3, ObjectiveFactor: 1.5, ObjectiveSlack: 90 * time.Second, NeedsPermit: true, Spec: "spec of the caller",
 		Steps: []job.Step{{
-			Tasks: 4, Need: job.Need{CPU: 1500, Memory: 2048, Accelerators: 8}, Estimate: time.Minute, After: []int{1},
-			Gang: true, SameRack: true, Label: "gpu", DataRack: "rack-2", PerWorker: 2, Checkpoint: true, Racing: true, Lasts: true,
-			Image: "plates:7", Target: 250 * time.Millisecond, Fills: true, MayMiss: 1, Bounded: true,
+			Tasks: 4, Resources: job.Resources{CPU: 1500, Memory: 2048, Accelerators: 8}, Estimate: time.Minute, DependsOn: []int{1},
+			Gang: true, SameRack: true, RequiredLabel: "gpu", DataRack: "rack-2", MaxPerWorker: 2, Checkpoint: true, Speculative: true, LongRunning: true,
+			Image: "plates:7", LatencyTarget: 250 * time.Millisecond, BestEffort: true, MaxUnavailable: 1, HasMaxUnavailable: true,
 		}},
-		Times: 7, First: goldenTime, Every: 24 * time.Hour, Accepted: goldenTime.Add(time.Second),
+		RoundCount: 7, FirstRound: goldenTime, RoundInterval: 24 * time.Hour, Accepted: goldenTime.Add(time.Second),
 	}
 }
 
@@ -54,11 +54,11 @@
 	t.Helper()
 	running := job.NewProgress()
 	for i := range 2 {
-		running.Assign(goldenTime, taskName(i), 1, "worker-"+strconv.Itoa(i), life.ID{Instance: "i-7f3a91c2", Born: 1764722812345})
+		running.Assign(goldenTime, taskName(i), 1, "worker-"+strconv.Itoa(i), incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722812345})
 	}
 	large := job.NewProgress()
 	for i := range 40 {
-		large.Assign(goldenTime, taskName(i), 2, "worker-"+strconv.Itoa(i/8), life.ID{Instance: "i-7f3a91c2", Born: 1764722812345})
+		large.Assign(goldenTime, taskName(i), 2, "worker-"+strconv.Itoa(i/8), incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722812345})
 	}
 	return map[string][]byte{
 		"progress-defaults": encoded(t, job.NewProgress()),
@@ -118,7 +118,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := old.Task(taskName(1)).Life, (life.ID{Instance: "i-7f3a91c2"}); got != want {
+	if got, want := old.Task(taskName(1)).Incarnation, (incarnation.ID{Instance: "i-7f3a91c2"}); got != want {
 		t.Errorf("the life is %v, want %v", got, want)
 	}
 	goldentest.Bytes(t, "progress-old-life", encoded(t, old))
@@ -185,28 +185,28 @@
 		must(jobstore.SubmissionRecord(&job.Job{ID: two})),
 		must(jobstore.ProgressRecord(two, job.NewProgress())),
 		jobstore.CancelRecord(two),
-		must(directory.LeaderRecord(directory.Leader{Term: 7, Name: "entry-1", Address: "10.1.0.19:7000"})),
+		must(directory.LeaderRecord(directory.Leader{Term: 7, Incarnation: "entry-1", Address: "10.1.0.19:7000"})),
 		must(jobstore.SubmissionRecord(&job.Job{ID: three})),
 		jobstore.CancelRecord(three),
 	}
-	records = append(records, jobstore.ForgetRecords(three)...)
+	records = append(records, jobstore.DeleteRecords(three)...)
 	records = append(records, must(directory.LeaderRecord(directory.Leader{Term: 8})))
 	goldentest.Bytes(t, "jobs-topic", lines(records))
 
 	stored := readLines(t, "jobs-topic")
 	r := jobstore.NewReplica(jobtest.NewLog(1).Client("entry"), alone, zerolog.Nop())
-	r.Note(stored[:6], 0)
-	if leader, _, _ := r.Leader(); leader != (directory.Leader{Term: 7, Name: "entry-1", Address: "10.1.0.19:7000"}) {
+	r.ApplyLocal(stored[:6], 0)
+	if leader, _, _ := r.Leader(); leader != (directory.Leader{Term: 7, Incarnation: "entry-1", Address: "10.1.0.19:7000"}) {
 		t.Errorf("the leader is %+v", leader)
 	}
-	r.Note(stored[6:], 6)
+	r.ApplyLocal(stored[6:], 6)
 	if leader, _, _ := r.Leader(); leader != (directory.Leader{Term: 8}) {
 		t.Errorf("the leader is %+v, want nobody in term 8", leader)
 	}
 	if got := r.IDs(); !reflect.DeepEqual(got, []job.ID{one, two}) {
 		t.Errorf("the jobs are %v", got)
 	}
-	view, _ := r.View(one)
+	view, _ := r.Job(one)
 	if j, err := job.Decode(view.ID, view.Submission); err != nil || !reflect.DeepEqual(j, goldenJob()) || view.Cancelled {
 		t.Errorf("the first job is %+v, cancelled %v, %v", j, view.Cancelled, err)
 	}
--- a/jobs/jobstore/jobstore_test.go
+++ b/jobs/jobstore/jobstore_test.go
@@ -86,8 +86,8 @@
 				add(t, log, submission(t, one, "first"))
 				counted := &jobtest.CountedLog{Log: log.Client("entry")}
 				r := jobstore.NewReplica(counted, func() int { return test.readers }, zerolog.Nop()).
-					WithLine(func() bool { return !test.behind })
-				r.Lead(test.leads)
+					WithStandby(func() bool { return !test.behind })
+				r.SetLeading(test.leads)
 				go r.Run(ctx)
 				time.Sleep(time.Second)
 				before := counted.Reads()
@@ -138,12 +138,12 @@
 		r := jobstore.NewReplica(log.Client("entry"), alone, zerolog.Nop())
 		go r.Run(ctx)
 		time.Sleep(50 * time.Millisecond)
-		if r.Proof().IsZero() {
+		if r.SyncedAt().IsZero() {
 			t.Error("there is no proof after 50 ms")
 		}
 		add(t, log, submission(t, one, "second"), submission(t, two, "other"))
 		time.Sleep(50 * time.Millisecond)
-		for _, v := range r.All() {
+		for _, v := range r.Jobs() {
 			if j, err := job.Decode(v.ID, v.Submission); err != nil || v.ID == one && j.Spec != "first" {
 				t.Errorf("job %s has the spec %q, %v; the first submission counts", v.ID, j.Spec, err)
 			}
@@ -158,7 +158,7 @@
 				t.Errorf("job %s is %v, want %v", id, got, want)
 			}
 		}
-		add(t, log, jobstore.ForgetRecords(one)...)
+		add(t, log, jobstore.DeleteRecords(one)...)
 		time.Sleep(50 * time.Millisecond)
 		if _, ok := r.Phase(one); ok {
 			t.Error("a job that was dropped is still known")
@@ -184,7 +184,7 @@
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		add(t, log, submission(t, one, ""), progress(t, one, job.Running))
 		r := jobstore.NewReplica(log.Client("entry"), alone, zerolog.Nop())
-		r.Note([]topic.Record{progress(t, one, job.Completed)}, 2)
+		r.ApplyLocal([]topic.Record{progress(t, one, job.Completed)}, 2)
 		go r.Run(ctx)
 		time.Sleep(time.Millisecond)
 		add(t, log, progress(t, one, job.Completed))
@@ -224,7 +224,7 @@
 			time.Sleep(away*time.Second + 130*time.Millisecond)
 			log.SetFault("entry", jobtest.Fault{})
 			back := time.Now()
-			for !r.Proof().After(back) {
+			for !r.SyncedAt().After(back) {
 				time.Sleep(10 * time.Millisecond)
 			}
 			if took := time.Since(back); took > 100*time.Millisecond {
@@ -233,7 +233,7 @@
 		}
 		log.SetFault("entry", jobtest.Fault{Delay: 900 * time.Millisecond})
 		time.Sleep(10 * time.Second)
-		if age := time.Since(r.Proof()); age > 3*time.Second {
+		if age := time.Since(r.SyncedAt()); age > 3*time.Second {
 			t.Errorf("with a slow log the proof is %v old", age)
 		}
 	})
@@ -248,7 +248,7 @@
 		time.Sleep(50 * time.Millisecond)
 		log.SetFault("entry", jobtest.Fault{Deaf: true})
 		for began := time.Now(); time.Since(began) < 5*time.Second; time.Sleep(10 * time.Millisecond) {
-			if age := time.Since(r.Proof()); age > 800*time.Millisecond {
+			if age := time.Since(r.SyncedAt()); age > 800*time.Millisecond {
 				t.Fatalf("the proof is %v old", age)
 			}
 		}
@@ -266,25 +266,25 @@
 func TestClaims(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		for _, name := range []string{"a", "b"} {
-			record, err := directory.LeaderRecord(directory.Leader{Term: 1, Name: name, Address: name})
+			record, err := directory.LeaderRecord(directory.Leader{Term: 1, Incarnation: name, Address: name})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, err := log.Client(name).Append(ctx, []topic.Record{record}, topic.Condition{Exact: true, Producer: directory.TermOf(1, 0)}); err != nil {
+			if _, err := log.Client(name).Append(ctx, []topic.Record{record}, topic.Condition{Exact: true, Producer: directory.TermProducer(1, 0)}); err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
 		}
 		r := jobstore.NewReplica(log.Client("c"), alone, zerolog.Nop())
 		go r.Run(ctx)
 		time.Sleep(50 * time.Millisecond)
-		if o, _, _ := r.Leader(); o.Name != "a" {
-			t.Errorf("the leader is %q, want a", o.Name)
+		if o, _, _ := r.Leader(); o.Incarnation != "a" {
+			t.Errorf("the leader is %q, want a", o.Incarnation)
 		}
-		late, err := directory.LeaderRecord(directory.Leader{Term: 2, Name: "b", Address: "b"})
+		late, err := directory.LeaderRecord(directory.Leader{Term: 2, Incarnation: "b", Address: "b"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := log.Client("b").Append(ctx, []topic.Record{late}, topic.Condition{Exact: true, At: 0, Producer: directory.TermOf(2, 0)}); !errors.Is(err, topic.ErrConflict) {
+		if _, err := log.Client("b").Append(ctx, []topic.Record{late}, topic.Condition{Exact: true, At: 0, Producer: directory.TermProducer(2, 0)}); !errors.Is(err, topic.ErrConflict) {
 			t.Errorf("a claim on an old end got %v", err)
 		}
 	})
--- a/jobs/jobstore/records.go
+++ b/jobs/jobstore/records.go
@@ -45,8 +45,8 @@
 	return topic.Record{Key: progressPrefix + string(id), Value: value}, err
 }
 
-// ForgetRecords drops all of a job.
-func ForgetRecords(id job.ID) []topic.Record {
+// DeleteRecords drops all of a job.
+func DeleteRecords(id job.ID) []topic.Record {
 	return []topic.Record{
 		{Key: submissionPrefix + string(id)}, {Key: cancelPrefix + string(id)}, {Key: progressPrefix + string(id)},
 	}
--- a/jobs/jobstore/replica.go
+++ b/jobs/jobstore/replica.go
@@ -57,7 +57,7 @@
 	jobs   map[job.ID]*entry
 	leader directory.Leader
 	next   int64
-	proof  suspend.Mark
+	proof  suspend.Instant
 	clock  suspend.Clock
 	// watching is since when proofs have followed one another without a gap.
 	watching time.Time
@@ -88,8 +88,8 @@
 	return r
 }
 
-// WithLine sets what reports whether this process is one of the few that are to lead next. Without it, it is.
-func (r *Replica) WithLine(inLine func() bool) *Replica {
+// WithStandby sets what reports whether this process is one of the few that are to lead next. Without it, it is.
+func (r *Replica) WithStandby(inLine func() bool) *Replica {
 	r.inLine = inLine
 	return r
 }
@@ -100,7 +100,7 @@
 		return 0
 	}
 	most := mostGap
-	if !r.inLine() && r.tail.Latency().Quick() {
+	if !r.inLine() && r.tail.Latency().Fast() {
 		most = mostGapBehind
 	}
 	return min(time.Duration(r.readers())*readShare, most)
@@ -114,17 +114,17 @@
 	return r.readers()
 }
 
-// Lead says whether this process needs each record as it comes, as the leader does.
-func (r *Replica) Lead(leading bool) {
+// SetLeading says whether this process needs each record as it comes, as the leader does.
+func (r *Replica) SetLeading(leading bool) {
 	r.leading.Store(leading)
-	r.tail.Hurry()
+	r.tail.ReadNow()
 }
 
-// Leads reports whether this process leads.
-func (r *Replica) Leads() bool { return r.leading.Load() }
+// Leading reports whether this process leads.
+func (r *Replica) Leading() bool { return r.leading.Load() }
 
-// Hurry has the next read begin at once.
-func (r *Replica) Hurry() { r.tail.Hurry() }
+// ReadNow has the next read begin at once.
+func (r *Replica) ReadNow() { r.tail.ReadNow() }
 
 // Rejected reports whether the log turns this process away.
 func (r *Replica) Rejected() bool { return r.tail.Rejected() }
@@ -134,12 +134,12 @@
 	asked := time.Now()
 	for ctx.Err() == nil {
 		r.mu.Lock()
-		proof, taken := r.clock.Steady(r.proof), r.taken
+		proof, taken := r.clock.Monotonic(r.proof), r.taken
 		r.mu.Unlock()
 		if r.gap() <= freshEnough || asked.Sub(proof) < freshEnough {
 			return
 		}
-		r.tail.Hurry()
+		r.tail.ReadNow()
 		select {
 		case <-taken:
 		case <-ctx.Done():
@@ -150,31 +150,31 @@
 // Run follows the topic until ctx ends.
 func (r *Replica) Run(ctx context.Context) { r.tail.Run(ctx, r.take) }
 
-func (r *Replica) take(n topic.News) {
+func (r *Replica) take(n topic.Update) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	led := r.leader
-	if n.Loaded {
+	if n.Snapshot {
 		r.forget()
 	}
 	for _, s := range n.Records {
 		r.applyOne(s)
 	}
-	if n.Loaded {
+	if n.Snapshot {
 		// What was loaded may be old: it is no sign of life of the leader.
 		r.sign = time.Time{}
 	}
 	r.next = n.Next
 	close(r.taken)
 	r.taken = make(chan struct{})
-	first := r.proof.IsZero() && !n.Proof.IsZero()
-	if !n.Proof.IsZero() {
-		if r.clock.Steady(n.Proof).Sub(r.clock.Steady(r.proof)) > proofGap {
+	first := r.proof.IsZero() && !n.SyncedAt.IsZero()
+	if !n.SyncedAt.IsZero() {
+		if r.clock.Monotonic(n.SyncedAt).Sub(r.clock.Monotonic(r.proof)) > proofGap {
 			r.watching = time.Now()
 		}
-		r.proof = n.Proof
+		r.proof = n.SyncedAt
 	}
-	if first || n.Loaded || len(n.Records) > 0 {
+	if first || n.Snapshot || len(n.Records) > 0 {
 		r.wake(led)
 	}
 }
@@ -187,8 +187,8 @@
 	r.jobs = map[job.ID]*entry{}
 }
 
-// Note takes records over that this process has appended itself, before they come back by a read.
-func (r *Replica) Note(records []topic.Record, first int64) {
+// ApplyLocal takes records over that this process has appended itself, before they come back by a read.
+func (r *Replica) ApplyLocal(records []topic.Record, first int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	led := r.leader
@@ -253,7 +253,7 @@
 	}
 	e.submission = s.Value
 	if j, err := job.Decode(id, s.Value); err == nil {
-		e.queue, e.lasting = j.Queue, j.Lasting()
+		e.queue, e.lasting = j.Queue, j.LongRunning()
 	}
 }
 
@@ -267,24 +267,24 @@
 	return r.changed
 }
 
-// News is closed once there is something to Take, or another leader. What this process writes of jobs' progress is no news to it: a leader that
+// JobsChanged is closed once there is something to Take, or another leader. What this process writes of jobs' progress is no news to it: a leader that
 // decided anew for each change decided three times for each of its appends.
-func (r *Replica) News() <-chan struct{} {
+func (r *Replica) JobsChanged() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.news
 }
 
-// Proof is when the newest read was sent whose answer had nothing left to read; zero if there was none. The time since then is what has really passed, also
+// SyncedAt is when the newest read was sent whose answer had nothing left to read; zero if there was none. The time since then is what has really passed, also
 // on a machine that was suspended.
-func (r *Replica) Proof() time.Time {
+func (r *Replica) SyncedAt() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.clock.Steady(r.proof)
+	return r.clock.Monotonic(r.proof)
 }
 
-// Watched is for how long this process has been able to see at once what is written; zero if it is not now.
-func (r *Replica) Watched() time.Duration {
+// SyncedFor is for how long this process has been able to see at once what is written; zero if it is not now.
+func (r *Replica) SyncedFor() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.proof.IsZero() || r.clock.Since(r.proof) > proofGap {
@@ -332,19 +332,19 @@
 	return n
 }
 
-// View is all that is stored of a job.
-type View struct {
+// StoredJob is all that is stored of a job.
+type StoredJob struct {
 	ID         job.ID
 	Submission []byte
 	Cancelled  bool
 	Progress   []byte
 }
 
-// All returns all jobs, and forgets which have changed.
-func (r *Replica) All() []View {
+// Jobs returns all jobs, and forgets which have changed.
+func (r *Replica) Jobs() []StoredJob {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	views := make([]View, 0, len(r.jobs))
+	views := make([]StoredJob, 0, len(r.jobs))
 	for id, e := range r.jobs {
 		views = append(views, e.view(id))
 	}
@@ -352,13 +352,13 @@
 	return views
 }
 
-// View returns all that is stored of one job.
-func (r *Replica) View(id job.ID) (View, bool) {
+// Job returns all that is stored of one job.
+func (r *Replica) Job(id job.ID) (StoredJob, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.jobs[id]
 	if e == nil || e.submission == nil {
-		return View{}, false
+		return StoredJob{}, false
 	}
 	return e.view(id), true
 }
@@ -377,11 +377,11 @@
 	return ids
 }
 
-// Take returns the jobs whose submission or cancel came since All or Take.
-func (r *Replica) Take() []View {
+// TakeChanged returns the jobs whose submission or cancel came since All or Take.
+func (r *Replica) TakeChanged() []StoredJob {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var views []View
+	var views []StoredJob
 	for id := range r.fresh {
 		if e := r.jobs[id]; e != nil {
 			views = append(views, e.view(id))
@@ -391,6 +391,6 @@
 	return views
 }
 
-func (e *entry) view(id job.ID) View {
-	return View{ID: id, Submission: e.submission, Cancelled: e.cancel != nil, Progress: e.progress}
+func (e *entry) view(id job.ID) StoredJob {
+	return StoredJob{ID: id, Submission: e.submission, Cancelled: e.cancel != nil, Progress: e.progress}
 }
--- a/jobs/jobstore/writer.go
+++ b/jobs/jobstore/writer.go
@@ -81,10 +81,10 @@
 	for {
 		offset, err := wr.round(ctx, wr.tries(record))
 		if err == nil {
-			wr.replica.Note([]topic.Record{record}, offset)
+			wr.replica.ApplyLocal([]topic.Record{record}, offset)
 			return nil
 		}
-		doubt = doubt || !topic.NotDone(err)
+		doubt = doubt || !topic.NotApplied(err)
 		if !doubt {
 			return err
 		}
@@ -156,7 +156,7 @@
 // reachesLog reports whether the log has answered lately and does not turn this entry away. What is sent to a log that resets each call
 // stays uncertain until its caller has left: a caller who is refused at once can come back.
 func (wr *Writer) reachesLog() bool {
-	proof := wr.replica.Proof()
+	proof := wr.replica.SyncedAt()
 	return !proof.IsZero() && time.Since(proof) < keepProof && !wr.replica.Rejected()
 }
 
@@ -165,10 +165,10 @@
 	sent := time.Now()
 	offset, err := wr.log.Append(ctx, []topic.Record{record}, topic.Condition{})
 	if err == nil {
-		wr.latency.Note(time.Since(sent))
+		wr.latency.Observe(time.Since(sent))
 	} else {
 		// Whether that was one call or all of them is seen by a read.
-		wr.replica.Hurry()
+		wr.replica.ReadNow()
 	}
 	return offset, err
 }
@@ -176,21 +176,21 @@
 // round tries the ways one after the other, the next one as soon as one has failed or takes long, until one succeeds.
 func (wr *Writer) round(ctx context.Context, tries []try) (int64, error) {
 	if len(tries) == 0 {
-		return 0, fmt.Errorf("%w: no way to the log", topic.ErrRefused)
+		return 0, fmt.Errorf("%w: no way to the log", topic.ErrRejected)
 	}
-	calls := hedge.Calls[int64]{
-		Way:   func(ctx context.Context, n int) (int64, error) { return tries[n](ctx) },
-		After: wr.latency.Patience,
-		Limit: keepLimit,
-		Tries: len(tries),
-		Worse: moreDoubtful,
+	calls := hedge.Call[int64]{
+		Attempt:     func(ctx context.Context, n int) (int64, error) { return tries[n](ctx) },
+		HedgeAfter:  wr.latency.HedgeDelay,
+		Timeout:     keepLimit,
+		MaxAttempts: len(tries),
+		MergeErrors: moreDoubtful,
 	}
 	return calls.Do(ctx)
 }
 
 // moreDoubtful is the one of two errors after which more is uncertain.
 func moreDoubtful(earlier, later error) error {
-	if topic.NotDone(earlier) {
+	if topic.NotApplied(earlier) {
 		return later
 	}
 	return earlier
@@ -206,11 +206,11 @@
 			wr.unreached[address] = time.Now()
 			wr.mu.Unlock()
 		}
-		return 0, fmt.Errorf("%w: %w", topic.ErrRefused, err)
+		return 0, fmt.Errorf("%w: %w", topic.ErrRejected, err)
 	}
 	var status *jsonhttp.StatusError
 	if errors.As(err, &status) && status.Status == http.StatusServiceUnavailable {
-		return 0, fmt.Errorf("%w: %w", topic.ErrRefused, err)
+		return 0, fmt.Errorf("%w: %w", topic.ErrRejected, err)
 	}
 	return answer.Offset, err
 }
@@ -227,7 +227,7 @@
 		return
 	}
 	if !wr.reachesLog() {
-		jsonhttp.WriteError(w, topic.ErrRefused)
+		jsonhttp.WriteError(w, topic.ErrRejected)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), keepLimit)
@@ -235,13 +235,13 @@
 	offset, err := wr.append(ctx, record)
 	if err != nil {
 		code := http.StatusGatewayTimeout
-		if topic.NotDone(err) {
+		if topic.NotApplied(err) {
 			code = http.StatusServiceUnavailable
 		}
 		jsonhttp.WriteError(w, &jsonhttp.StatusError{Status: code, Message: err.Error()})
 		return
 	}
-	wr.replica.Note([]topic.Record{record}, offset)
+	wr.replica.ApplyLocal([]topic.Record{record}, offset)
 	wr.logger.Info().Str("step", "jobstore.write").Str("key", record.Key).Int64("offset", offset).Msg("record is kept for another entry")
 	jsonhttp.Write(w, http.StatusOK, kept{Offset: offset})
 }
--- a/jobs/jobstore/writer_test.go
+++ b/jobs/jobstore/writer_test.go
@@ -79,7 +79,7 @@
 				if (err == nil) != test.kept {
 					t.Errorf("got %v, want kept %v", err, test.kept)
 				}
-				if err != nil && topic.NotDone(err) == test.doubt {
+				if err != nil && topic.NotApplied(err) == test.doubt {
 					t.Errorf("got %v, want doubt %v", err, test.doubt)
 				}
 			})
@@ -127,7 +127,7 @@
 		refused := func(within time.Duration) {
 			t.Helper()
 			began := time.Now()
-			if err := w.Write(ctx, submission(t, one, "")); !topic.NotDone(err) {
+			if err := w.Write(ctx, submission(t, one, "")); !topic.NotApplied(err) {
 				t.Errorf("got %v, want a refusal", err)
 			}
 			if took := time.Since(began); took > within {
@@ -195,7 +195,7 @@
 					asked.Store(0)
 					began := time.Now()
 					err := w.Write(ctx, submission(t, one, ""))
-					if (err == nil) != test.kept || err != nil && !topic.NotDone(err) {
+					if (err == nil) != test.kept || err != nil && !topic.NotApplied(err) {
 						t.Errorf("got %v, want kept %v", err, test.kept)
 					}
 					if took := time.Since(began); took > 100*time.Millisecond || asked.Load() > 5 {
--- a/jobs/jobtest/counted.go
+++ b/jobs/jobtest/counted.go
@@ -16,7 +16,7 @@
 
 // Read implements topic.Log.
 func (l *CountedLog) Read(ctx context.Context, q topic.Query) (topic.Batch, error) {
-	if q.Brief {
+	if q.Probe {
 		l.Brief.Add(1)
 	} else {
 		l.Whole.Add(1)
--- a/jobs/jobtest/crash.go
+++ b/jobs/jobtest/crash.go
@@ -67,7 +67,7 @@
 		}
 	}
 	for name, failures := range ws.failures {
-		if name.Job == id && ws.jobs[id].Attempts > 0 && len(failures) >= ws.jobs[id].Attempts {
+		if name.Job == id && ws.jobs[id].MaxAttempts > 0 && len(failures) >= ws.jobs[id].MaxAttempts {
 			return true
 		}
 	}
@@ -117,7 +117,7 @@
 		w.all.crashesOf(name).under++
 	}
 	for _, r := range w.runs {
-		w.end(r, job.EndLapsed, time.Now())
+		w.end(r, job.EndLeaseExpired, time.Now())
 	}
 	time.AfterFunc(back, func() {
 		w.all.mu.Lock()
--- a/jobs/jobtest/golden_test.go
+++ b/jobs/jobtest/golden_test.go
@@ -96,6 +96,6 @@
 // wideJob is a job that takes all accelerators of all workers.
 func (s *system) wideJob(priority int, length time.Duration) *job.Job {
 	j := s.simpleJob(workerCount, length)
-	j.Priority, j.Steps[0].Need.Accelerators = priority, 8
+	j.Priority, j.Steps[0].Resources.Accelerators = priority, 8
 	return j
 }
--- a/jobs/jobtest/log.go
+++ b/jobs/jobtest/log.go
@@ -108,7 +108,7 @@
 		<-ctx.Done()
 		return fault, ctx.Err()
 	case fault.Refuse:
-		return fault, topic.ErrRefused
+		return fault, topic.ErrRejected
 	}
 	return fault, sleep(ctx, callDelay+fault.Delay)
 }
@@ -225,7 +225,7 @@
 	if q.From < end {
 		batch.Records = append(batch.Records, l.records[q.From:]...)
 	}
-	if q.Brief {
+	if q.Probe {
 		batch.Records = batch.Records[:min(1, len(batch.Records))]
 	}
 	return batch, l.changed, nil
--- a/jobs/jobtest/orders.go
+++ b/jobs/jobtest/orders.go
@@ -42,13 +42,13 @@
 
 // carryOut checks the life and the fence. The lock must be held.
 func (w *Worker) carryOut(o runner.Order, carry func() error) error {
-	if !o.Life.SharesInstance(w.life.ID) {
-		return runner.ErrOtherLife
+	if !o.Incarnation.SharesInstance(w.life.ID) {
+		return runner.ErrOtherIncarnation
 	}
 	if o.Fence < w.fence {
 		return runner.ErrFenced
 	}
-	w.stray = w.late && o.Life != w.life.ID && w.fence <= o.Fence
+	w.stray = w.late && o.Incarnation != w.life.ID && w.fence <= o.Fence
 	w.fence = o.Fence
 	w.advance(time.Now())
 	return carry()
@@ -67,7 +67,7 @@
 func (w *Worker) start(s assignment.Start, until int64) error {
 	now := time.Now()
 	if until <= w.clock(now) {
-		return runner.ErrLate
+		return runner.ErrLeaseOver
 	}
 	if r := w.runs[s.Task]; r != nil && r.id.Run == s.Run {
 		w.extend(until)
@@ -75,17 +75,17 @@
 	}
 	if s.Run <= w.highest[s.Task] || w.runs[s.Task] != nil {
 		w.extend(until)
-		return runner.ErrOld
+		return runner.ErrAlreadyRan
 	}
 	step := w.all.stepOf(s.Task)
 	w.extend(until)
-	if !w.unguarded && !step.Reserved().Fits(w.free()) {
-		return runner.ErrNoRoom
+	if !w.unguarded && !step.Reserved().FitsIn(w.free()) {
+		return runner.ErrNoCapacity
 	}
 	w.all.check(w, s)
 	w.all.checkRoom(w, s, step.Reserved())
 	r := &run{id: s.RunID, need: step.Reserved(), arrived: now, pace: 100, lostUntil: now, work: w.all.workOf(s.Task), fails: w.all.random.Float64() < w.all.FailureShare}
-	if r.resumed, _ = time.ParseDuration(s.Saved); !step.Gang {
+	if r.resumed, _ = time.ParseDuration(s.Checkpoint); !step.Gang {
 		r.begun = now
 	}
 	w.runs[s.Task] = r
@@ -103,10 +103,10 @@
 	return time.Second + time.Duration((name.Index*37+len(ws.jobs))%20)*100*time.Millisecond
 }
 
-func (w *Worker) free() job.Need { return w.freeOf(w.life.Room) }
+func (w *Worker) free() job.Resources { return w.freeOf(w.life.Capacity) }
 
 // freeOf is what of a room is not taken.
-func (w *Worker) freeOf(room job.Need) job.Need {
+func (w *Worker) freeOf(room job.Resources) job.Resources {
 	free := room
 	for _, r := range w.runs {
 		free = free.Plus(r.need, -1)
@@ -129,8 +129,8 @@
 	})
 }
 
-// Pace implements runner.Worker.
-func (w *Worker) Pace(ctx context.Context, o runner.Order, id assignment.RunID, percent int) (int64, error) {
+// Throttle implements runner.Worker.
+func (w *Worker) Throttle(ctx context.Context, o runner.Order, id assignment.RunID, percent int) (int64, error) {
 	return w.order(ctx, o, func() error {
 		if r := w.runs[id.Task]; r != nil && r.id.Run == id.Run {
 			r.advance(time.Now())
@@ -140,8 +140,8 @@
 	})
 }
 
-// Hold implements runner.Worker.
-func (w *Worker) Hold(ctx context.Context, o runner.Order, until, seen int64, wait time.Duration) (runner.Listing, int64, error) {
+// Sync implements runner.Worker.
+func (w *Worker) Sync(ctx context.Context, o runner.Order, until, seen int64, wait time.Duration) (runner.Listing, int64, error) {
 	var l runner.Listing
 	clock, err := w.order(ctx, o, func() error {
 		if until > w.clock(time.Now()) {
@@ -155,7 +155,7 @@
 	}
 	for waited := time.Duration(0); ; waited += tick {
 		w.all.mu.Lock()
-		if !o.Life.SharesInstance(w.life.ID) || !w.up || w.unreachable {
+		if !o.Incarnation.SharesInstance(w.life.ID) || !w.up || w.unreachable {
 			err := w.away(ctx)
 			w.all.mu.Unlock()
 			return l, 0, err
@@ -189,13 +189,13 @@
 
 func (w *Worker) listing() runner.Listing {
 	w.advance(time.Now())
-	l := runner.Listing{Born: w.life.ID.Born}
+	l := runner.Listing{StartMillis: w.life.ID.StartMillis}
 	for _, r := range w.runs {
 		percent := 0
 		if !r.begun.IsZero() {
 			percent = min(99, int(100*r.worked(time.Now())/r.work))
 		}
-		l.Runs = append(l.Runs, assignment.Run{RunID: r.id, Percent: percent, Saved: w.saved(r), Gauge: w.gauge(r)})
+		l.Runs = append(l.Runs, assignment.Run{RunID: r.id, Percent: percent, Checkpoint: w.saved(r), LatencyMillis: w.gauge(r)})
 	}
 	l.Ends = append(l.Ends, w.ends...)
 	return l
--- a/jobs/jobtest/recovery_test.go
+++ b/jobs/jobtest/recovery_test.go
@@ -51,8 +51,8 @@
 func (s *system) simpleJob(tasks int, estimate time.Duration) *job.Job {
 	s.number++
 	return &job.Job{
-		ID: job.ID(fmt.Sprintf("%016x", s.number)), Spec: "spec", Service: service, Attempts: 4, Priority: 1,
-		Steps: []job.Step{{Tasks: tasks, Need: job.Need{CPU: 1000, Memory: 1000, Accelerators: 1}, Estimate: estimate}},
+		ID: job.ID(fmt.Sprintf("%016x", s.number)), Spec: "spec", Service: service, MaxAttempts: 4, Priority: 1,
+		Steps: []job.Step{{Tasks: tasks, Resources: job.Resources{CPU: 1000, Memory: 1000, Accelerators: 1}, Estimate: estimate}},
 	}
 }
 
--- a/jobs/jobtest/room_test.go
+++ b/jobs/jobtest/room_test.go
@@ -51,7 +51,7 @@
 				room := s.roomOf(0)
 				test.strike(s, s.leader())
 				for _, w := range s.worker {
-					w.SetRoom(job.Need{CPU: room.CPU / 4, Memory: room.Memory / 4, Accelerators: room.Accelerators / 4})
+					w.SetRoom(job.Resources{CPU: room.CPU / 4, Memory: room.Memory / 4, Accelerators: room.Accelerators / 4})
 				}
 				time.AfterFunc(test.heal, func() {
 					s.network.Heal()
@@ -77,7 +77,7 @@
 }
 
 // roomOf is the room that a worker says it has.
-func (s *system) roomOf(i int) job.Need {
+func (s *system) roomOf(i int) job.Resources {
 	life, _ := s.worker[i].Beat()
-	return life.Room
+	return life.Capacity
 }
--- a/jobs/jobtest/rules.go
+++ b/jobs/jobtest/rules.go
@@ -33,18 +33,18 @@
 			ws.breaks("TWICE: %v run %d starts on %s while run %d is on %s", s.Task, s.Run, w.name, r.id.Run, other.name)
 		}
 	}
-	if ws.acked[s.Task] && !step.Lasts {
+	if ws.acked[s.Task] && !step.LongRunning {
 		ws.breaks("TWICE: %v run %d starts on %s after its end was taken note of", s.Task, s.Run, w.name)
 	}
-	for _, after := range step.After {
+	for _, after := range step.DependsOn {
 		for i := range j.Steps[after].Tasks {
 			if !ws.done[job.TaskName{Job: j.ID, Round: s.Task.Round, Step: after, Index: i}] {
 				ws.breaks("ORDER: %v starts before step %d is done", s.Task, after)
 			}
 		}
 	}
-	if step.Label != "" && !slices.Contains(w.life.Labels, step.Label) {
-		ws.breaks("ROUTE: %v starts on %s, which has not the label %q", s.Task, w.name, step.Label)
+	if step.RequiredLabel != "" && !slices.Contains(w.life.Labels, step.RequiredLabel) {
+		ws.breaks("ROUTE: %v starts on %s, which has not the label %q", s.Task, w.name, step.RequiredLabel)
 	}
 	if j.Service != w.life.Service {
 		ws.breaks("ROUTE: %v starts on %s, which serves %q", s.Task, w.name, w.life.Service)
@@ -52,7 +52,7 @@
 	ws.checkBound(w, s, step)
 	ws.checkCordon(w, s)
 	ws.checkCrashes(w, s)
-	if j.Attempts > 0 && len(ws.failures[s.Task]) >= j.Attempts && !step.Lasts {
+	if j.MaxAttempts > 0 && len(ws.failures[s.Task]) >= j.MaxAttempts && !step.LongRunning {
 		ws.breaks("BUDGET: %v run %d starts after %d failures", s.Task, s.Run, len(ws.failures[s.Task]))
 	}
 	if s.Spec != j.Spec {
@@ -61,7 +61,7 @@
 }
 
 func (ws *Workers) checkBound(w *Worker, s assignment.Start, step job.Step) {
-	if step.PerWorker == 0 {
+	if step.MaxPerWorker == 0 {
 		return
 	}
 	there := 1
@@ -70,7 +70,7 @@
 			there++
 		}
 	}
-	if there > step.PerWorker {
+	if there > step.MaxPerWorker {
 		ws.breaks("ROUTE: %v is the %d. of its step on %s", s.Task, there, w.name)
 	}
 }
@@ -114,7 +114,7 @@
 
 // acknowledge notes that the scheduler has taken note of an end. The lock must be held.
 func (ws *Workers) acknowledge(e assignment.End) {
-	switch e.How {
+	switch e.Reason {
 	case job.EndDone:
 		ws.acked[e.Task] = true
 	case job.EndFailed:
--- a/jobs/jobtest/sharing.go
+++ b/jobs/jobtest/sharing.go
@@ -24,9 +24,9 @@
 		step := w.all.stepOf(other.id.Task)
 		switch {
 		case other == r:
-		case step.Target > 0:
+		case step.LatencyTarget > 0:
 			sum += serveTail
-		case step.Fills && filled:
+		case step.BestEffort && filled:
 			sum += fillTail * float64(other.pace) / 100
 		}
 	}
@@ -35,7 +35,7 @@
 
 // gauge is the worker's figure for a run: the tail of a serving task in milliseconds. The lock must be held.
 func (w *Worker) gauge(r *run) int {
-	target := w.all.stepOf(r.id.Task).Target
+	target := w.all.stepOf(r.id.Task).LatencyTarget
 	return int(w.tail(r, true) * float64(target.Milliseconds()))
 }
 
@@ -45,7 +45,7 @@
 	defer w.all.mu.Unlock()
 	var paces []int
 	for _, r := range w.runs {
-		if w.all.stepOf(r.id.Task).Fills {
+		if w.all.stepOf(r.id.Task).BestEffort {
 			paces = append(paces, r.pace)
 		}
 	}
@@ -55,7 +55,7 @@
 
 // checkHarm notes a serving task that is over its target for too long because of what fills beside it. The lock must be held.
 func (w *Worker) checkHarm(r *run, now time.Time) {
-	if w.all.stepOf(r.id.Task).Target == 0 {
+	if w.all.stepOf(r.id.Task).LatencyTarget == 0 {
 		return
 	}
 	if w.tail(r, true) <= 1 || w.tail(r, false) > 1 {
--- a/jobs/jobtest/system_test.go
+++ b/jobs/jobtest/system_test.go
@@ -122,7 +122,7 @@
 		t.Fatal(err)
 	}
 	for i := range workerCount {
-		room := job.Need{CPU: 16_000, Memory: 64_000, Accelerators: 8}
+		room := job.Resources{CPU: 16_000, Memory: 64_000, Accelerators: 8}
 		w := s.workers.Add(fmt.Sprintf("worker-%d", i), service, zoneOf(i), fmt.Sprintf("rack-%d", i/rackSize), room, "a")
 		s.worker = append(s.worker, w)
 		s.agents = append(s.agents, &process{name: fmt.Sprintf("worker-%d", i)})
@@ -184,11 +184,11 @@
 
 // decodeCatalog is the configuration of the test: three queues with priorities 0 to 2, and a team for each key.
 func decodeCatalog([]byte) (*catalog.Catalog, error) {
-	c := catalog.Catalog{Version: 1, Teams: []catalog.Team{{Name: "team", Keys: []string{"key"}, Guaranteed: 16}}}
+	c := catalog.Catalog{Version: 1, Teams: []catalog.Team{{Name: "team", Keys: []string{"key"}, GuaranteedAccelerators: 16}}}
 	for p := range 3 {
 		c.Queues = append(c.Queues, catalog.Queue{
 			Name: fmt.Sprintf("queue-%d", p), Host: host, Prefix: fmt.Sprintf("/q%d/", p), Service: service, Priority: p,
-			Attempts: 4, Stretch: 3, Aim: time.Second,
+			MaxAttempts: 4, ObjectiveFactor: 3, ObjectiveSlack: time.Second,
 		})
 	}
 	return c.WithIndex(), nil
@@ -202,19 +202,19 @@
 	log, announced := s.log.Client(p.name), s.directory.Client(p.name)
 	logger := s.logger.With().Str("entry", p.name).Logger()
 	directory := directory.NewDirectory(announced, zerolog.Nop())
-	inLine := func() bool { return directory.InLine(p.name) }
-	replica := jobstore.NewReplica(log, func() int { return s.readers }, logger).WithLine(inLine)
+	inLine := func() bool { return directory.IsStandby(p.name) }
+	replica := jobstore.NewReplica(log, func() int { return s.readers }, logger).WithStandby(inLine)
 	p.replica = replica
 	follower := catalog.NewFollower(s.config.Client(p.name), operatorFormat, logger)
 	latency := replica.Latency()
-	writer := jobstore.NewWriter(log, latency, replica, directory.Entries, p.name, client, logger)
-	p.admission = admission.New(admission.Settings{KeyProof: 5 * time.Second}, admission.Parts{Writer: writer, Replica: replica, Catalog: follower, Logger: logger, Metrics: tally.NoopScope})
+	writer := jobstore.NewWriter(log, latency, replica, directory.Addresses, p.name, client, logger)
+	p.admission = admission.New(admission.Settings{KeyProof: 5 * time.Second}, admission.Dependencies{Writer: writer, Replica: replica, Catalog: follower, Logger: logger, Metrics: tally.NoopScope})
 	candidate := leader.New(
 		leader.Settings{
-			Entry: p.name, Name: fmt.Sprintf("%s/%d", p.name, p.life), Address: p.name, Processor: p.cores,
+			Entry: p.name, Incarnation: fmt.Sprintf("%s/%d", p.name, p.life), Address: p.name, Cores: p.cores,
 			Timing: leader.DefaultTiming(lease), Dispatch: dispatch.DefaultSettings(),
 		},
-		leader.Parts{Log: log, Replica: replica, Catalog: follower, Announced: announced, Directory: directory, Latency: latency, Client: client, Logger: logger, Metrics: tally.NoopScope},
+		leader.Dependencies{Log: log, Replica: replica, Catalog: follower, DirectoryLog: announced, Directory: directory, Latency: latency, Client: client, Logger: logger, Metrics: tally.NoopScope},
 	)
 	p.candidate = candidate
 	r := httprouter.New()
@@ -227,7 +227,7 @@
 	go follower.Run(ctx)
 	go directory.Run(ctx)
 	go candidate.Run(ctx)
-	go directory.KeepAnnounced(ctx, announced, p.name, p.name, p.cores)
+	go directory.KeepRegistered(ctx, announced, p.name, p.name, p.cores)
 }
 
 func (s *system) startAgent(i int) {
@@ -238,8 +238,8 @@
 	directory := directory.NewDirectory(s.directory.Client(p.name), zerolog.Nop())
 	s.network.Attach("http://"+p.name, http.NotFoundHandler())
 	p.runner = runner.New(
-		runner.Settings{Name: p.name, Agent: fmt.Sprintf("%s/%d", p.name, p.life), Lease: lease, Drift: 0.03, Cordon: jobtest.CordonBound},
-		runner.Parts{Worker: s.worker[i], Leader: runner.NewLeaderClient(directory, client), Logger: s.logger.With().Str("agent", p.name).Logger(), Metrics: tally.NoopScope},
+		runner.Settings{Name: p.name, Agent: fmt.Sprintf("%s/%d", p.name, p.life), Lease: lease, Drift: 0.03, CordonWithin: jobtest.CordonBound},
+		runner.Dependencies{Worker: s.worker[i], Leader: runner.NewLeaderClient(directory, client), Logger: s.logger.With().Str("agent", p.name).Logger(), Metrics: tally.NoopScope},
 	)
 	go directory.Run(ctx)
 	go p.runner.Run(ctx)
@@ -273,7 +273,7 @@
 		if err == nil {
 			copied := *j
 			err = in.Submit(ctx, a, &copied)
-			j.Service, j.Attempts = copied.Service, copied.Attempts
+			j.Service, j.MaxAttempts = copied.Service, copied.MaxAttempts
 		}
 		cancel()
 		switch {
@@ -306,34 +306,34 @@
 	s.number++
 	queue := s.random.IntN(3)
 	j := &job.Job{
-		ID: job.ID(fmt.Sprintf("%016x", s.number)), Spec: fmt.Sprintf("spec %d", s.number), Service: service, Attempts: 4, Priority: queue,
+		ID: job.ID(fmt.Sprintf("%016x", s.number)), Spec: fmt.Sprintf("spec %d", s.number), Service: service, MaxAttempts: 4, Priority: queue,
 	}
 	for n := range 1 + s.random.IntN(2) {
 		step := job.Step{
-			Tasks: 1 + s.random.IntN(5), Need: job.Need{CPU: 2000, Memory: 4000, Accelerators: 1 + s.random.IntN(4)},
+			Tasks: 1 + s.random.IntN(5), Resources: job.Resources{CPU: 2000, Memory: 4000, Accelerators: 1 + s.random.IntN(4)},
 			Estimate: 2 * time.Second, Gang: s.random.IntN(2) == 0, Checkpoint: s.random.IntN(2) == 0,
 		}
 		step.SameRack = step.Gang && s.random.IntN(2) == 0
 		if !step.Gang && s.random.IntN(3) == 0 {
-			step.PerWorker = 1
+			step.MaxPerWorker = 1
 		}
 		if n > 0 {
-			step.After = []int{0}
+			step.DependsOn = []int{0}
 		}
 		if s.random.IntN(4) == 0 {
-			step.Label = "a"
+			step.RequiredLabel = "a"
 		}
 		j.Steps = append(j.Steps, step)
 	}
 	switch s.random.IntN(8) {
 	case 0:
-		j.Times, j.First, j.Every = 2, time.Now().Add(time.Second), 3*time.Second
+		j.RoundCount, j.FirstRound, j.RoundInterval = 2, time.Now().Add(time.Second), 3*time.Second
 	case 1:
 		j.Steps = []job.Step{s.drawServing()}
 		s.lasting = append(s.lasting, j)
 	case 2:
 		for i := range j.Steps {
-			j.Steps[i].Fills, j.Steps[i].Gang, j.Steps[i].SameRack = true, false, false
+			j.Steps[i].BestEffort, j.Steps[i].Gang, j.Steps[i].SameRack = true, false, false
 		}
 	}
 	return j, queue
@@ -342,8 +342,8 @@
 // drawServing draws a step that lasts until it is cancelled, and serves users.
 func (s *system) drawServing() job.Step {
 	return job.Step{
-		Tasks: 1 + s.random.IntN(3), Need: job.Need{CPU: 1000, Memory: 1000, Accelerators: s.random.IntN(2)}, Estimate: 2 * time.Second,
-		Lasts: true, Image: "serve", Target: 100 * time.Millisecond, Bounded: true, MayMiss: 1,
+		Tasks: 1 + s.random.IntN(3), Resources: job.Resources{CPU: 1000, Memory: 1000, Accelerators: s.random.IntN(2)}, Estimate: 2 * time.Second,
+		LongRunning: true, Image: "serve", LatencyTarget: 100 * time.Millisecond, HasMaxUnavailable: true, MaxUnavailable: 1,
 	}
 }
 
--- a/jobs/jobtest/workers.go
+++ b/jobs/jobtest/workers.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
 
@@ -91,7 +91,7 @@
 type Worker struct {
 	all  *Workers
 	name string
-	life assignment.Life
+	life assignment.WorkerState
 	// leaves is when it goes, if it leaves.
 	leaves time.Time
 	born   time.Time
@@ -127,7 +127,7 @@
 // run is a run on a worker.
 type run struct {
 	id       assignment.RunID
-	need     job.Need
+	need     job.Resources
 	begun    time.Time
 	arrived  time.Time
 	work     time.Duration
@@ -159,9 +159,9 @@
 }
 
 // Add adds a worker of an availability zone, and its first life.
-func (ws *Workers) Add(name, service, zone, rack string, room job.Need, labels ...string) *Worker {
+func (ws *Workers) Add(name, service, zone, rack string, room job.Resources, labels ...string) *Worker {
 	w := &Worker{all: ws, name: name}
-	w.life = assignment.Life{Service: service, Zone: zone, Rack: rack, Labels: append(labels, rack), Room: room}
+	w.life = assignment.WorkerState{Service: service, Zone: zone, Rack: rack, Labels: append(labels, rack), Capacity: room}
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
 	ws.workers[name] = w
@@ -172,21 +172,21 @@
 // reborn begins a new life. The lock must be held.
 func (w *Worker) reborn() {
 	w.life.ID = w.nextID()
-	w.life.Leaving, w.life.LeavesIn = false, 0
+	w.life.Draining, w.life.DrainMillis = false, 0
 	w.born, w.up, w.refusing, w.fence, w.until, w.ends, w.numbers = time.Now(), true, false, 0, 0, nil, 0
 	w.endedAt, w.lapsed = map[int64]time.Time{}, time.Time{}
 	w.runs, w.highest = map[job.TaskName]*run{}, map[job.TaskName]int{}
 }
 
 // nextID is the id of the next life. The lock must be held.
-func (w *Worker) nextID() life.ID {
+func (w *Worker) nextID() incarnation.ID {
 	id := w.life.ID
 	if id.IsZero() || w.all.Unborn || w.all.SameID == 0 || w.all.random.Float64() >= w.all.SameID {
 		w.lives++
 		id.Instance = fmt.Sprintf("%s-life-%d", w.name, w.lives)
 	}
 	if !w.all.Unborn {
-		id.Born = time.Now().UnixMilli()
+		id.StartMillis = time.Now().UnixMilli()
 	}
 	return id
 }
@@ -215,7 +215,7 @@
 // Leave announces that the worker goes after a while, and then comes back in a new life.
 func (w *Worker) Leave(after time.Duration) {
 	w.all.mu.Lock()
-	w.life.Leaving, w.leaves = true, time.Now().Add(after)
+	w.life.Draining, w.leaves = true, time.Now().Add(after)
 	w.all.mu.Unlock()
 	time.AfterFunc(after, func() { w.Crash(time.Second) })
 }
@@ -228,12 +228,12 @@
 }
 
 // Beat returns what the worker says of itself, and false while it is away.
-func (w *Worker) Beat() (assignment.Life, bool) {
+func (w *Worker) Beat() (assignment.WorkerState, bool) {
 	w.all.mu.Lock()
 	defer w.all.mu.Unlock()
 	said := w.life
-	if said.Leaving {
-		said.LeavesIn = time.Until(w.leaves).Milliseconds()
+	if said.Draining {
+		said.DrainMillis = time.Until(w.leaves).Milliseconds()
 	}
 	return said, w.up && !w.unreachable
 }
@@ -267,12 +267,12 @@
 		w.checkHarm(r, now)
 		switch {
 		case w.clock(now) >= w.until:
-			w.end(r, job.EndLapsed, now)
+			w.end(r, job.EndLeaseExpired, now)
 		case !r.stopping.IsZero() && now.After(r.stopping):
 			w.end(r, job.EndStopped, now)
 		case r.begun.IsZero():
 			w.gather(r, now)
-		case !w.all.stepOf(r.id.Task).Lasts && r.worked(now) >= r.work:
+		case !w.all.stepOf(r.id.Task).LongRunning && r.worked(now) >= r.work:
 			w.finish(r, now)
 		}
 	}
@@ -288,7 +288,7 @@
 		return
 	}
 	if now.Sub(r.arrived) > gangTimeout {
-		w.end(r, job.EndAlone, now)
+		w.end(r, job.EndGangIncomplete, now)
 	}
 }
 
@@ -333,7 +333,7 @@
 }
 
 // end ends a run; the other members of its gang break.
-func (w *Worker) end(r *run, how job.Ending, now time.Time) {
+func (w *Worker) end(r *run, how job.EndReason, now time.Time) {
 	gang := w.all.stepOf(r.id.Task).Gang
 	w.list(r, how)
 	if !gang || how == job.EndDone {
@@ -341,18 +341,18 @@
 	}
 	for _, m := range w.all.members(r.id) {
 		if !m.run.begun.IsZero() {
-			m.worker.list(m.run, job.EndBroken)
+			m.worker.list(m.run, job.EndGangBroken)
 		}
 	}
 }
 
 // list puts an end into the worker's list.
-func (w *Worker) list(r *run, how job.Ending) {
+func (w *Worker) list(r *run, how job.EndReason) {
 	delete(w.runs, r.id.Task)
 	w.highest[r.id.Task] = max(w.highest[r.id.Task], r.id.Run)
 	w.numbers++
 	w.endedAt[w.numbers] = time.Now()
-	w.ends = append(w.ends, assignment.End{RunID: r.id, Number: w.numbers, How: how, Saved: w.saved(r)})
+	w.ends = append(w.ends, assignment.End{RunID: r.id, Number: w.numbers, Reason: how, Checkpoint: w.saved(r)})
 }
 
 // saved is the newest checkpoint of a run.
--- a/jobs/leader/counts_test.go
+++ b/jobs/leader/counts_test.go
@@ -16,10 +16,10 @@
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
 	"yarrowgrade.example/yarrowgrade/jobs/directory"
 	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // counter is a tally.Counter that tests read.
@@ -32,11 +32,11 @@
 
 // agentPoll is a poll of the i-th of many agents, whose worker runs what is wanted of it.
 func agentPoll(i int, sequence int64, percent int) assignment.Poll {
-	l := life.ID{Instance: fmt.Sprintf("life-%d", i), Born: 1}
+	l := incarnation.ID{Instance: fmt.Sprintf("life-%d", i), StartMillis: 1}
 	return assignment.Poll{
-		Worker: fmt.Sprintf("w-%d", i), Agent: "a", Sequence: sequence, Term: 3, Listed: true, Wait: true,
-		Life: &assignment.Life{ID: l, Service: "roster", Labels: []string{"a"}},
-		Runs: []assignment.Run{{RunID: runOf(i), Percent: percent}},
+		Worker: fmt.Sprintf("w-%d", i), Agent: "a", Sequence: sequence, Term: 3, Complete: true, Wait: true,
+		State: &assignment.WorkerState{ID: l, Service: "roster", Labels: []string{"a"}},
+		Runs:  []assignment.Run{{RunID: runOf(i), Percent: percent}},
 	}
 }
 
@@ -45,9 +45,9 @@
 }
 
 // wantOf is that the i-th worker runs what it runs, and that ends up to that number are read.
-func wantOf(i int, seen int64) dispatch.Want {
+func wantOf(i int, seen int64) dispatch.DesiredState {
 	p := agentPoll(i, 1, 0)
-	return dispatch.Want{Life: p.Life.ID, Seen: seen, Runs: map[job.TaskName]dispatch.WantedRun{runOf(i).Task: {Start: assignment.Start{RunID: runOf(i)}}}}
+	return dispatch.DesiredState{Incarnation: p.State.ID, AckedEnd: seen, Runs: map[job.TaskName]dispatch.DesiredRun{runOf(i).Task: {Start: assignment.Start{RunID: runOf(i)}}}}
 }
 
 // withFleet runs a test with n agents that have polled, and whose workers run what is wanted of them.
@@ -57,7 +57,7 @@
 		open := func() (catalog.Cordons, time.Time) { return nil, time.Now() }
 		l := newLeases(DefaultTiming(6*time.Second), suspend.Clock(nil), open, looks)
 		l.open(3, l.clock.Now())
-		all := map[string]dispatch.Want{}
+		all := map[string]dispatch.DesiredState{}
 		for i := range n {
 			p := agentPoll(i, 1, 0)
 			p.Wait = false
@@ -83,12 +83,12 @@
 			synctest.Wait()
 			before := looks.n.Load()
 			l.take()
-			l.publish(map[string]dispatch.Want{"w-7": wantOf(7, 1)})
+			l.publish(map[string]dispatch.DesiredState{"w-7": wantOf(7, 1)})
 			synctest.Wait()
 			if got := looks.n.Load() - before; got != 1 {
 				t.Errorf("%d polls of %d were looked at for one worker, want 1", got, n)
 			}
-			time.Sleep(l.timing.Hold)
+			time.Sleep(l.timing.PollWait)
 			synctest.Wait()
 		})
 	}
@@ -135,24 +135,26 @@
 		decides bool
 	}{
 		{"nothing new", func(*assignment.Poll) {}, false},
-		{"a run has come on", func(p *assignment.Poll) { p.Runs[0].Percent, p.Runs[0].Saved = 70, "x" }, false},
+		{"a run has come on", func(p *assignment.Poll) { p.Runs[0].Percent, p.Runs[0].Checkpoint = 70, "x" }, false},
 		{"an end", func(p *assignment.Poll) {
-			p.Runs, p.Ends = nil, []assignment.End{{RunID: runOf(0), Number: 1, How: job.EndDone}}
+			p.Runs, p.Ends = nil, []assignment.End{{RunID: runOf(0), Number: 1, Reason: job.EndDone}}
 		}, true},
 		{"a refusal", func(p *assignment.Poll) { p.Runs, p.Refused = nil, []assignment.Refusal{{RunID: runOf(0)}} }, true},
 		{"a run that is not wanted", func(p *assignment.Poll) { p.Runs = append(p.Runs, assignment.Run{RunID: other}) }, true},
 		{"a wanted run in another start", func(p *assignment.Poll) { p.Runs[0].Run = 2 }, true},
 		{"a run that is gone", func(p *assignment.Poll) { p.Runs = nil }, true},
-		{"another life", func(p *assignment.Poll) { p.Life.ID.Born = 2 }, true},
-		{"no life", func(p *assignment.Poll) { p.Life = nil }, true},
-		{"less room", func(p *assignment.Poll) { p.Life.Room.Memory-- }, true},
-		{"it leaves", func(p *assignment.Poll) { p.Life.Leaving, p.Life.LeavesIn = true, 4000 }, true},
-		{"other labels", func(p *assignment.Poll) { p.Life.Labels = []string{"b"} }, true},
-		{"a life that is over", func(p *assignment.Poll) { p.Over = []assignment.LifeEnd{{ID: life.ID{Instance: "x"}}} }, true},
-		{"a life that is closing", func(p *assignment.Poll) { p.Closing = []life.ID{p.Life.ID} }, true},
-		{"silence", func(p *assignment.Poll) { p.Silent = true }, true},
+		{"another life", func(p *assignment.Poll) { p.State.ID.StartMillis = 2 }, true},
+		{"no life", func(p *assignment.Poll) { p.State = nil }, true},
+		{"less room", func(p *assignment.Poll) { p.State.Capacity.Memory-- }, true},
+		{"it leaves", func(p *assignment.Poll) { p.State.Draining, p.State.DrainMillis = true, 4000 }, true},
+		{"other labels", func(p *assignment.Poll) { p.State.Labels = []string{"b"} }, true},
+		{"a life that is over", func(p *assignment.Poll) {
+			p.EndedIncarnations = []assignment.IncarnationEnd{{ID: incarnation.ID{Instance: "x"}}}
+		}, true},
+		{"a life that is closing", func(p *assignment.Poll) { p.ClosingIncarnations = []incarnation.ID{p.State.ID} }, true},
+		{"silence", func(p *assignment.Poll) { p.Unresponsive = true }, true},
 		{"failing", func(p *assignment.Poll) { p.FailingMillis = 300 }, true},
-		{"not listed", func(p *assignment.Poll) { p.Listed, p.Runs = false, nil }, true},
+		{"not listed", func(p *assignment.Poll) { p.Complete, p.Runs = false, nil }, true},
 		{"another agent", func(p *assignment.Poll) { p.Agent, p.Sequence = "b", 1 }, true},
 	}
 	for _, test := range tests {
@@ -174,7 +176,7 @@
 // been held for long enough.
 func TestLapsedLeaseWakes(t *testing.T) {
 	withFleet(t, 1, func(t *testing.T, l *leases, _ *counter) {
-		time.Sleep(l.timing.Proof + time.Millisecond)
+		time.Sleep(l.timing.MaxProofAge + time.Millisecond)
 		p := agentPoll(0, 2, 0)
 		p.Runs = nil
 		began := time.Now()
@@ -199,9 +201,9 @@
 		directory := directory.NewDirectory(announced, zerolog.Nop())
 		replica := jobstore.NewReplica(log.Client("e"), func() int { return 1 }, zerolog.Nop())
 		follower := catalog.NewFollower(config.Client("e"), catalog.Format{ConfigKey: "config"}, zerolog.Nop())
-		settings := Settings{Entry: "e", Name: "e/1", Address: "e", Timing: DefaultTiming(6 * time.Second), Dispatch: dispatch.DefaultSettings()}
-		c := New(settings, Parts{
-			Log: log.Client("e"), Replica: replica, Catalog: follower, Announced: announced, Directory: directory, Latency: replica.Latency(),
+		settings := Settings{Entry: "e", Incarnation: "e/1", Address: "e", Timing: DefaultTiming(6 * time.Second), Dispatch: dispatch.DefaultSettings()}
+		c := New(settings, Dependencies{
+			Log: log.Client("e"), Replica: replica, Catalog: follower, DirectoryLog: announced, Directory: directory, Latency: replica.Latency(),
 			Logger: zerolog.Nop(), Metrics: scope,
 		})
 		go replica.Run(ctx)
@@ -213,7 +215,7 @@
 		const watched = 10 * time.Second
 		time.Sleep(watched)
 		// One when a decision is due by itself, and one when a sign of life is.
-		most := int(watched/settings.Dispatch.Every) + int(watched/settings.Timing.Renew) + 1
+		most := int(watched/settings.Dispatch.MaxInterval) + int(watched/settings.Timing.HeartbeatInterval) + 1
 		if got := roundsIn(scope) - before; got == 0 || got > most {
 			t.Errorf("%d rounds in %v without any news, want at most %d", got, watched, most)
 		}
@@ -254,16 +256,16 @@
 func TestPollsBuildOnOthers(t *testing.T) {
 	withFleet(t, 1, func(t *testing.T, l *leases, _ *counter) {
 		brief := agentPoll(0, 2, 0)
-		brief.Wait, brief.Life, brief.Runs, brief.Listed = false, nil, nil, false
-		brief.Since = &assignment.Since{Sequence: 1, Percents: []int{30}}
-		if a := ask(t, l, brief); a.LeaseMillis == 0 || len(a.Start)+len(a.Stop) != 0 || a.Base != 1 {
+		brief.Wait, brief.State, brief.Runs, brief.Complete = false, nil, nil, false
+		brief.Delta = &assignment.Delta{Sequence: 1, Percents: []int{30}}
+		if a := ask(t, l, brief); a.LeaseMillis == 0 || len(a.Start)+len(a.Stop) != 0 || a.BasePoll != 1 {
 			t.Errorf("it is answered with %+v", a)
 		}
 		if got := l.take()["w-0"].poll; len(got.Runs) != 1 || got.Runs[0].Percent != 30 || got.Sequence != 2 {
 			t.Errorf("the decision gets %+v", got)
 		}
-		brief.Sequence, brief.Since = 3, &assignment.Since{Sequence: 2, Percents: []int{40}}
-		if a := ask(t, l, brief); a.LeaseMillis != 0 || len(a.Start)+len(a.Stop) != 0 || a.Base != 1 || !a.Life.IsZero() {
+		brief.Sequence, brief.Delta = 3, &assignment.Delta{Sequence: 2, Percents: []int{40}}
+		if a := ask(t, l, brief); a.LeaseMillis != 0 || len(a.Start)+len(a.Stop) != 0 || a.BasePoll != 1 || !a.Incarnation.IsZero() {
 			t.Errorf("on a poll that is not known here it is answered with %+v", a)
 		}
 		if got := len(l.take()); got != 0 {
--- a/jobs/leader/election.go
+++ b/jobs/leader/election.go
@@ -16,7 +16,7 @@
 
 // await returns when this entry leads in a term above the one that it has lost. It claims none before the end of the rest.
 func (c *Candidate) await(ctx context.Context, lost int64, rest time.Time) (directory.Leader, bool) {
-	drawn := c.settings.Timing.Patience + rand.N(c.settings.Timing.Patience/5)
+	drawn := c.settings.Timing.ElectionTimeout + rand.N(c.settings.Timing.ElectionTimeout/5)
 	began := time.Now()
 	var claimed, asked time.Time
 	answers := make(chan directory.Leader, 1)
@@ -28,24 +28,24 @@
 		}
 		changed := c.parts.Replica.Changed()
 		leader, sign, next := c.parts.Replica.Leader()
-		if leader.Name == c.settings.Name && leader.Term > lost {
+		if leader.Incarnation == c.settings.Incarnation && leader.Term > lost {
 			return leader, true
 		}
-		known := !c.parts.Replica.Proof().IsZero()
+		known := !c.parts.Replica.SyncedAt().IsZero()
 		// After a gap in this entry's own reads the leader gets its time to show itself.
-		if watching := time.Now().Add(-min(c.parts.Replica.Watched(), time.Since(began))); sign.Before(watching) {
+		if watching := time.Now().Add(-min(c.parts.Replica.SyncedFor(), time.Since(began))); sign.Before(watching) {
 			sign = watching
 		}
 		// Those that are not in line read less often, and leave the others time to take over.
 		deference := time.Duration(0)
-		if !c.parts.Directory.InLine(c.settings.Entry) {
-			deference = c.settings.Timing.Deference
+		if !c.parts.Directory.IsStandby(c.settings.Entry) {
+			deference = c.settings.Timing.NonStandbyDelay
 		}
 		// While the log is slow, so are the signs.
-		patience := max(drawn, 2*c.parts.Latency.Patience(0)) + deference
+		patience := max(drawn, 2*c.parts.Latency.HedgeDelay(0)) + deference
 		offered := leader.Term == c.offered.Load()
 		lapsed := time.Since(sign) > patience
-		vacant := leader.Name == "" || offered || leader == gone || lapsed
+		vacant := leader.Incarnation == "" || offered || leader == gone || lapsed
 		switch {
 		case !vacant:
 			vacated = time.Time{}
@@ -57,9 +57,9 @@
 			asked = time.Now()
 			go c.askLeader(ctx, leader, answers)
 		}
-		if vacant || time.Since(sign) > c.settings.Timing.Doubt+deference-awaitTick {
+		if vacant || time.Since(sign) > c.settings.Timing.SuspicionTimeout+deference-awaitTick {
 			// Signs may have come that are not read yet.
-			c.parts.Replica.Hurry()
+			c.parts.Replica.ReadNow()
 		}
 		if vacant && known && !deferring && time.Now().After(rest) && time.Since(claimed) > patience/2 {
 			claimed = time.Now()
@@ -87,7 +87,7 @@
 	if time.Since(asked) < askTimeout {
 		return false
 	}
-	return asked.IsZero() && deference == 0 || time.Since(sign) > c.settings.Timing.Doubt+deference
+	return asked.IsZero() && deference == 0 || time.Since(sign) > c.settings.Timing.SuspicionTimeout+deference
 }
 
 // askLeader asks the leader whether it is still there, and passes it on as one that is gone if it is not.
@@ -115,7 +115,7 @@
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	return r.Self != leader.Name
+	return r.Self != leader.Incarnation
 }
 
 // askTimeout bounds the question to a leader.
@@ -127,13 +127,13 @@
 // claim writes the claim of a term. Whether it counts is seen in the topic alone: the log takes the claims of several
 // entries for doubles of one call, because they carry the same term and number, and answers all of them with success.
 func (c *Candidate) claim(ctx context.Context, term, next int64) error {
-	record, err := directory.LeaderRecord(directory.Leader{Term: term, Name: c.settings.Name, Address: c.settings.Address})
+	record, err := directory.LeaderRecord(directory.Leader{Term: term, Incarnation: c.settings.Incarnation, Address: c.settings.Address})
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	condition := topic.Condition{At: next, Exact: true, Producer: directory.TermOf(term, 0)}
+	condition := topic.Condition{At: next, Exact: true, Producer: directory.TermProducer(term, 0)}
 	offset, err := c.parts.Log.Append(ctx, []topic.Record{record}, condition)
 	c.parts.Logger.Info().Str("step", "leader.claim").Int64("term", term).Int64("offset", offset).Err(err).Msg("leadership claimed")
 	return err
--- a/jobs/leader/golden_test.go
+++ b/jobs/leader/golden_test.go
@@ -21,30 +21,30 @@
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
 	"yarrowgrade.example/yarrowgrade/jobs/directory"
 	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // Values of the golden messages.
 var (
-	goldenLife  = life.ID{Instance: "i-7f3a91c2", Born: 1764722812345}
+	goldenLife  = incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722812345}
 	goldenRun   = assignment.RunID{Task: job.TaskName{Job: "0000000000000001", Round: 2, Step: 3, Index: 4}, Run: 5}
 	goldenOther = assignment.RunID{Task: job.TaskName{Job: "0000000000000006", Round: 7, Step: 8, Index: 9}, Run: 10}
 )
 
-func goldenPresent() *assignment.Life {
-	return &assignment.Life{
-		ID:      goldenLife,
-		Machine: "m-17",
-		Service: "roster",
-		Zone:    "zone-1",
-		Rack:    "rack-3",
-		Labels:  []string{"a", "b"},
-		Room:    job.Need{CPU: 4000, Memory: 8192, Accelerators: 2},
-		Leaving: true, LeavesIn: 4000,
+func goldenPresent() *assignment.WorkerState {
+	return &assignment.WorkerState{
+		ID:       goldenLife,
+		Machine:  "m-17",
+		Service:  "roster",
+		Zone:     "zone-1",
+		Rack:     "rack-3",
+		Labels:   []string{"a", "b"},
+		Capacity: job.Resources{CPU: 4000, Memory: 8192, Accelerators: 2},
+		Draining: true, DrainMillis: 4000,
 	}
 }
 
@@ -54,25 +54,25 @@
 		Agent:    "agent-1/7",
 		Sequence: 12,
 		Term:     3,
-		Life:     goldenPresent(),
-		Listed:   true,
+		State:    goldenPresent(),
+		Complete: true,
 		Runs:     []assignment.Run{{RunID: goldenRun, Percent: 40, AgeMillis: 1500, ListedMillis: 1400}},
-		Ends:     []assignment.End{{RunID: goldenOther, Number: 6, How: job.EndStopped, Saved: "checkpoint-4", TookMillis: 2500}},
-		Refused:  []assignment.Refusal{{RunID: goldenOther, Reason: "no room", Silent: true, Begun: true}},
-		Over: []assignment.LifeEnd{{
-			ID:          life.ID{Instance: "i-7f3a91c2", Born: 1764722800000},
-			Left:        true,
-			Leaving:     true,
-			Runs:        []assignment.CutRun{{RunID: goldenOther, Begun: true, AgeMillis: 900}},
-			Listed:      true,
+		Ends:     []assignment.End{{RunID: goldenOther, Number: 6, Reason: job.EndStopped, Checkpoint: "checkpoint-4", TookMillis: 2500}},
+		Refused:  []assignment.Refusal{{RunID: goldenOther, Reason: "no room", Uncertain: true, Started: true}},
+		EndedIncarnations: []assignment.IncarnationEnd{{
+			ID:          incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722800000},
+			Drained:     true,
+			Draining:    true,
+			Runs:        []assignment.InterruptedRun{{RunID: goldenOther, Started: true, AgeMillis: 900}},
+			Complete:    true,
 			SinceMillis: 700,
 		}},
-		Closing:       []life.ID{{Instance: "i-0", Born: 1764722700000}},
-		Silent:        true,
-		FailingMillis: 350,
-		Seen:          5,
-		Wait:          true,
-		Since:         &assignment.Since{Sequence: 11, Millis: 500, ListedMillis: 450, Percents: []int{45}},
+		ClosingIncarnations: []incarnation.ID{{Instance: "i-0", StartMillis: 1764722700000}},
+		Unresponsive:        true,
+		FailingMillis:       350,
+		AckedEnd:            5,
+		Wait:                true,
+		Delta:               &assignment.Delta{Sequence: 11, Millis: 500, ListedMillis: 450, Percents: []int{45}},
 	}
 }
 
@@ -82,20 +82,20 @@
 // TestGoldenAnswer holds what agents are told.
 func TestGoldenAnswer(t *testing.T) {
 	goldentest.JSON(t, "answer", assignment.Answer{
-		Term:        3,
-		Fence:       3145729,
-		HeldMillis:  120,
-		LeaseMillis: 6000,
-		Start:       []assignment.Start{{RunID: goldenRun, Spec: "{}", Saved: "checkpoint-4", Ticket: "ticket-8"}},
-		Stop:        []assignment.RunID{goldenRun},
-		Settle:      []assignment.RunID{goldenOther},
-		Open:        true,
-		OpenMillis:  410,
-		Roles:       []assignment.Role{{RunID: goldenRun, TargetMillis: 80, Fills: true}},
-		Life:        goldenLife,
-		Seen:        6,
-		Heard:       12,
-		Base:        11,
+		Term:            3,
+		Fence:           3145729,
+		HeldMillis:      120,
+		LeaseMillis:     6000,
+		Start:           []assignment.Start{{RunID: goldenRun, Spec: "{}", Checkpoint: "checkpoint-4", Permit: "ticket-8"}},
+		Stop:            []assignment.RunID{goldenRun},
+		StopUnlisted:    []assignment.RunID{goldenOther},
+		ZoneOpen:        true,
+		ZoneProofMillis: 410,
+		Roles:           []assignment.Role{{RunID: goldenRun, LatencyTargetMillis: 80, BestEffort: true}},
+		Incarnation:     goldenLife,
+		AckedEnd:        6,
+		AckedPoll:       12,
+		BasePoll:        11,
 	})
 }
 
@@ -112,17 +112,17 @@
 // TestGoldenWorkerStatus holds what operators read of a worker.
 func TestGoldenWorkerStatus(t *testing.T) {
 	goldentest.JSON(t, "worker-status", WorkerStatus{
-		Worker:  "worker-1",
-		Life:    goldenLife,
-		Zone:    "zone-1",
-		Rack:    "rack-3",
-		Service: "roster",
-		Leaving: true,
-		Silent:  true,
-		Room:    job.Need{CPU: 4000, Memory: 8192, Accelerators: 2},
-		Runs:    3,
-		Cordon:  &catalog.Cordon{Zone: "zone-1", Revision: 7, Since: time.Date(2026, 3, 4, 5, 6, 7, 0, time.UTC)},
-		Former:  []life.ID{{Instance: "i-7f3a91c2", Born: 1764722800000}},
+		Worker:   "worker-1",
+		Life:     goldenLife,
+		Zone:     "zone-1",
+		Rack:     "rack-3",
+		Service:  "roster",
+		Draining: true,
+		Silent:   true,
+		Capacity: job.Resources{CPU: 4000, Memory: 8192, Accelerators: 2},
+		Runs:     3,
+		Cordon:   &catalog.Cordon{Zone: "zone-1", Revision: 7, Since: time.Date(2026, 3, 4, 5, 6, 7, 0, time.UTC)},
+		Former:   []incarnation.ID{{Instance: "i-7f3a91c2", StartMillis: 1764722800000}},
 	})
 }
 
@@ -135,7 +135,7 @@
 		log := jobtest.NewLog(1)
 		replica := jobstore.NewReplica(log.Client("e"), func() int { return 1 }, zerolog.Nop())
 		go replica.Run(ctx)
-		c := New(Settings{Entry: "entry-1", Name: "entry-1/4", Address: "10.1.0.18:7000", Timing: l.timing}, Parts{
+		c := New(Settings{Entry: "entry-1", Incarnation: "entry-1/4", Address: "10.1.0.18:7000", Timing: l.timing}, Dependencies{
 			Log:       log.Client("e"),
 			Replica:   replica,
 			Catalog:   catalog.NewFollower(jobtest.NewLog(2).Client("e"), catalog.Format{}, zerolog.Nop()),
@@ -153,11 +153,11 @@
 // recordLeader has another entry lead in a term.
 func recordLeader(t *testing.T, c *Candidate, term int64) {
 	t.Helper()
-	record, err := directory.LeaderRecord(directory.Leader{Term: term, Name: "entry-2/5", Address: "10.1.0.19:7000"})
+	record, err := directory.LeaderRecord(directory.Leader{Term: term, Incarnation: "entry-2/5", Address: "10.1.0.19:7000"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.parts.Log.Append(t.Context(), []topic.Record{record}, topic.Condition{Producer: directory.TermOf(term, 0)}); err != nil {
+	if _, err := c.parts.Log.Append(t.Context(), []topic.Record{record}, topic.Condition{Producer: directory.TermProducer(term, 0)}); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(time.Second)
@@ -174,7 +174,7 @@
 func TestGoldenServePoll(t *testing.T) {
 	withCandidate(t, func(t *testing.T, c *Candidate, _ *bytes.Buffer) {
 		described := goldenPoll()
-		described.Since, described.Silent, described.Wait = nil, false, false
+		described.Delta, described.Unresponsive, described.Wait = nil, false, false
 		body, err := json.Marshal(described)
 		if err != nil {
 			t.Fatal(err)
@@ -188,11 +188,11 @@
 		}
 		settled := assignment.RunID{Task: job.TaskName{Job: "000000000000000b", Round: 1, Step: 1, Index: 1}, Run: 1}
 		started := assignment.RunID{Task: job.TaskName{Job: "000000000000000c", Round: 1, Step: 1, Index: 1}, Run: 2}
-		c.leases.publish(map[string]dispatch.Want{"worker-1": {Life: goldenLife, Seen: 6, Runs: map[job.TaskName]dispatch.WantedRun{
+		c.leases.publish(map[string]dispatch.DesiredState{"worker-1": {Incarnation: goldenLife, AckedEnd: 6, Runs: map[job.TaskName]dispatch.DesiredRun{
 			settled.Task: {Start: assignment.Start{RunID: settled}, Stopping: true},
 			started.Task: {
-				Start: assignment.Start{RunID: started, Spec: "{}", Saved: "checkpoint-4", Ticket: "ticket-8"},
-				Role:  &assignment.Role{RunID: started, TargetMillis: 80},
+				Start: assignment.Start{RunID: started, Spec: "{}", Checkpoint: "checkpoint-4", Permit: "ticket-8"},
+				Role:  &assignment.Role{RunID: started, LatencyTargetMillis: 80},
 			},
 		}}})
 		goldentest.Bytes(t, "served-orders.txt", served(c.ServePoll, http.MethodPost, assignment.Path, string(body)))
@@ -232,11 +232,11 @@
 	withCandidate(t, func(t *testing.T, c *Candidate, _ *bytes.Buffer) {
 		goldentest.Bytes(t, "served-workers-none.txt", served(c.ServeWorkers, http.MethodGet, WorkersPath, ""))
 		described := goldenPoll()
-		described.Since = nil
+		described.Delta = nil
 		ask(t, c.leases, described)
-		next := *described.Life
-		next.ID.Born++
-		described.Sequence, described.Life = 13, &next
+		next := *described.State
+		next.ID.StartMillis++
+		described.Sequence, described.State = 13, &next
 		ask(t, c.leases, described)
 		cordons = catalog.Cordons{}.With(catalog.Cordon{Zone: "zone-1", Revision: 7, Since: time.Date(2026, 3, 4, 5, 6, 7, 0, time.UTC)})
 		goldentest.Bytes(t, "served-workers.txt", served(c.ServeWorkers, http.MethodGet, WorkersPath, ""))
@@ -255,7 +255,7 @@
 	withCandidate(t, func(t *testing.T, c *Candidate, log *bytes.Buffer) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); time.Sleep(10 * time.Second) }()
-		c.parts.Announced = jobtest.NewLog(3).Client("e")
+		c.parts.DirectoryLog = jobtest.NewLog(3).Client("e")
 		c.settings.Dispatch = dispatch.DefaultSettings()
 		go c.Run(ctx)
 		time.Sleep(5 * time.Second)
@@ -283,7 +283,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		tm := &term{leader: directory.Leader{Term: 4, Name: "entry-1/4", Address: "10.1.0.18:7000"}, parts: c.parts, leases: c.leases}
+		tm := &term{leader: directory.Leader{Term: 4, Incarnation: "entry-1/4", Address: "10.1.0.18:7000"}, parts: c.parts, leases: c.leases}
 		if err := tm.renew(t.Context()); err != nil {
 			t.Fatal(err)
 		}
--- a/jobs/leader/handover.go
+++ b/jobs/leader/handover.go
@@ -39,9 +39,9 @@
 // until one will or ctx ends. It calls handed once one will.
 func (t *term) handOver(ctx context.Context, handed func()) {
 	began := time.Now()
-	wait := max(handOverAfter, 2*t.parts.Latency.Patience(0))
+	wait := max(handOverAfter, 2*t.parts.Latency.HedgeDelay(0))
 	// Those that should lead are asked first; if none of them will, anybody is.
-	for others := t.parts.Directory.Able; pause.For(ctx, wait); others = t.parts.Directory.Entries {
+	for others := t.parts.Directory.EligibleAddresses; pause.For(ctx, wait); others = t.parts.Directory.Addresses {
 		if t.offer(ctx, others(), time.Since(began)) {
 			handed()
 			return
@@ -91,7 +91,7 @@
 // it.
 func (t *term) yieldToLarger(ctx context.Context, cores float64) {
 	for pause.For(ctx, yieldEvery) {
-		for _, address := range sample.Draw(t.parts.Directory.Larger(cores), yieldAsked) {
+		for _, address := range sample.Draw(t.parts.Directory.LargerThan(cores), yieldAsked) {
 			if t.offerTo(ctx, address, 0) {
 				break
 			}
@@ -103,7 +103,7 @@
 func (t *term) offerTo(ctx context.Context, address string, failing time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
-	offer := assignment.Handover{Term: t.leader.Term, Name: t.leader.Name, FailingMillis: failing.Milliseconds()}
+	offer := assignment.Handover{Term: t.leader.Term, Name: t.leader.Incarnation, FailingMillis: failing.Milliseconds()}
 	var none struct{}
 	err := jsonhttp.Call(ctx, t.parts.Client, "leader.offer", http.MethodPost, "http://"+address, assignment.HandoverPath, offer, &none)
 	return err == nil
@@ -130,20 +130,20 @@
 	if c.resigned() {
 		return errResigned
 	}
-	if leader, _, _ := c.parts.Replica.Leader(); leader.Term != offer.Term || leader.Name != offer.Name {
+	if leader, _, _ := c.parts.Replica.Leader(); leader.Term != offer.Term || leader.Incarnation != offer.Name {
 		return errSucceeded
 	}
 	failing := time.Duration(offer.FailingMillis) * time.Millisecond
-	if failing < c.settings.Timing.Deference && len(c.parts.Directory.Larger(c.settings.Processor)) > 0 {
+	if failing < c.settings.Timing.NonStandbyDelay && len(c.parts.Directory.LargerThan(c.settings.Cores)) > 0 {
 		return errLarger
 	}
-	if watched := c.parts.Replica.Watched(); watched < failing {
+	if watched := c.parts.Replica.SyncedFor(); watched < failing {
 		return fmt.Errorf("the log was away here too, until %v ago", watched)
 	}
 	ctx, cancel := context.WithTimeout(ctx, reachTimeout)
 	defer cancel()
 	_, _, next := c.parts.Replica.Leader()
-	if _, err := c.parts.Log.Read(ctx, topic.Query{From: next, Brief: true}); err != nil && !errors.Is(err, topic.ErrExpired) {
+	if _, err := c.parts.Log.Read(ctx, topic.Query{From: next, Probe: true}); err != nil && !errors.Is(err, topic.ErrExpired) {
 		return err
 	}
 	c.offered.Store(offer.Term)
--- a/jobs/leader/handover_test.go
+++ b/jobs/leader/handover_test.go
@@ -51,14 +51,14 @@
 		defer func() { cancel(); time.Sleep(30 * time.Second) }()
 		log := jobtest.NewLog(1)
 		for i := range n {
-			directory.AnnounceEntry(ctx, log.Client("e"), fmt.Sprintf("entry-%d", i), addressOf(i), 0.2+0.8*float64(i%2))
+			directory.RegisterEntry(ctx, log.Client("e"), fmt.Sprintf("entry-%d", i), addressOf(i), 0.2+0.8*float64(i%2))
 		}
 		entries := directory.NewDirectory(log.Client("e"), zerolog.Nop())
 		go entries.Run(ctx)
 		time.Sleep(time.Second)
 		calls := &countingTransport{gone: map[string]bool{}}
-		f(t, ctx, &term{leader: directory.Leader{Term: 1, Name: "e", Address: addressOf(1)}, parts: Parts{
-			Client: &http.Client{Transport: calls}, Latency: hedge.NewLatency(), Announced: log.Client("e"), Directory: entries, Logger: zerolog.Nop(),
+		f(t, ctx, &term{leader: directory.Leader{Term: 1, Incarnation: "e", Address: addressOf(1)}, parts: Dependencies{
+			Client: &http.Client{Transport: calls}, Latency: hedge.NewLatency(), DirectoryLog: log.Client("e"), Directory: entries, Logger: zerolog.Nop(),
 		}}, calls)
 	})
 }
@@ -73,7 +73,7 @@
 	for _, n := range []int{20, 40} {
 		withTerm(t, n, func(t *testing.T, ctx context.Context, tm *term, calls *countingTransport) {
 			calls.refusing = true
-			able := tm.parts.Directory.Able()
+			able := tm.parts.Directory.EligibleAddresses()
 			ctx, cancel := context.WithTimeout(ctx, watched)
 			defer cancel()
 			tm.handOver(ctx, func() { t.Error("it was handed over") })
@@ -97,16 +97,16 @@
 func TestGoneEntriesArePruned(t *testing.T) {
 	for _, n := range []int{20, 40} {
 		withTerm(t, n, func(t *testing.T, ctx context.Context, tm *term, calls *countingTransport) {
-			gone := tm.parts.Directory.Line()[0]
-			calls.gone[tm.parts.Directory.Listed()[gone]] = true
+			gone := tm.parts.Directory.Standbys()[0]
+			calls.gone[tm.parts.Directory.AddressesByName()[gone]] = true
 			const watched = 20 * time.Second
 			go tm.prune(ctx)
 			time.Sleep(watched)
-			listed := tm.parts.Directory.Listed()
+			listed := tm.parts.Directory.AddressesByName()
 			if _, ok := listed[gone]; ok || len(listed) != n-1 {
 				t.Errorf("%d of %d are listed, want all but %s", len(listed), n, gone)
 			}
-			if line := tm.parts.Directory.Line(); len(line) != 5 || slices.Contains(line, gone) {
+			if line := tm.parts.Directory.Standbys(); len(line) != 5 || slices.Contains(line, gone) {
 				t.Errorf("in line are %v, want five that are there", line)
 			}
 			// Five in line and three others in each round, and one that is missed.
@@ -121,13 +121,13 @@
 func TestEntryAnnouncesItselfAgain(t *testing.T) {
 	withTerm(t, 4, func(t *testing.T, ctx context.Context, tm *term, _ *countingTransport) {
 		d := tm.parts.Directory
-		go d.KeepAnnounced(ctx, tm.parts.Announced, "entry-9", addressOf(9), 1)
+		go d.KeepRegistered(ctx, tm.parts.DirectoryLog, "entry-9", addressOf(9), 1)
 		time.Sleep(10 * time.Second)
-		if err := directory.RemoveEntries(ctx, tm.parts.Announced, []string{"entry-9", "entry-2"}); err != nil {
+		if err := directory.DeregisterEntries(ctx, tm.parts.DirectoryLog, []string{"entry-9", "entry-2"}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		if listed := d.Listed(); listed["entry-9"] != addressOf(9) || listed["entry-2"] != "" {
+		if listed := d.AddressesByName(); listed["entry-9"] != addressOf(9) || listed["entry-2"] != "" {
 			t.Errorf("listed are %v, want entry-9 and not entry-2", listed)
 		}
 	})
--- a/jobs/leader/leader.go
+++ b/jobs/leader/leader.go
@@ -46,65 +46,65 @@
 type Timing struct {
 	// Lease is how long from an answer on a worker's runs may be kept alive; Proof bounds the age of the proof
 	// of leadership with which one is given.
-	Lease time.Duration
-	Proof time.Duration
-	// Drift is the most that a worker's clock may add to a lease, as a share, and Margin a fixed time on top.
-	Drift  float64
-	Margin time.Duration
-	// Hold is how long a poll is held when there is nothing to say.
-	Hold time.Duration
-	// Renew is how often a leader that writes nothing else shows that it lives. Patience is how long the others wait
+	Lease       time.Duration
+	MaxProofAge time.Duration
+	// MaxClockDrift is the most that a worker's clock may add to a lease, as a share, and Margin a fixed time on top.
+	MaxClockDrift float64
+	LeaseMargin   time.Duration
+	// PollWait is how long a poll is held when there is nothing to say.
+	PollWait time.Duration
+	// HeartbeatInterval is how often a leader that writes nothing else shows that it lives. Patience is how long the others wait
 	// without a sign.
-	Renew    time.Duration
-	Patience time.Duration
-	// Doubt is how long without a sign the others wait before they ask the leader whether it is still there.
-	Doubt time.Duration
-	// Deference is how much longer an entry that is not in line waits before it claims leadership, and how long a small one declines offers of
+	HeartbeatInterval time.Duration
+	ElectionTimeout   time.Duration
+	// SuspicionTimeout is how long without a sign the others wait before they ask the leader whether it is still there.
+	SuspicionTimeout time.Duration
+	// NonStandbyDelay is how much longer an entry that is not in line waits before it claims leadership, and how long a small one declines offers of
 	// it while larger ones may lead: with 0.2 cores, 240 workers to lead made each start 0.3 s late and half of the urgent jobs too late
 	// (one day of 34 s). It is longer than the gap between two reads of those that are not in line and two signs of the leader's life.
-	Deference time.Duration
-	// Unreached is how long a leader with work to do goes on without hearing from any agent: one that is cut off from the
+	NonStandbyDelay time.Duration
+	// IsolationTimeout is how long a leader with work to do goes on without hearing from any agent: one that is cut off from the
 	// agents, but not from the log, must let another one try.
-	Unreached time.Duration
+	IsolationTimeout time.Duration
 }
 
 // DefaultTiming is the pace with a lease of the given length.
 func DefaultTiming(lease time.Duration) Timing {
 	return Timing{
-		Lease: lease, Proof: 3 * time.Second, Drift: 0.03, Margin: 300 * time.Millisecond,
-		Hold: 500 * time.Millisecond, Renew: 400 * time.Millisecond, Patience: time.Second, Doubt: 600 * time.Millisecond,
-		Deference: time.Second, Unreached: 3 * time.Second,
+		Lease: lease, MaxProofAge: 3 * time.Second, MaxClockDrift: 0.03, LeaseMargin: 300 * time.Millisecond,
+		PollWait: 500 * time.Millisecond, HeartbeatInterval: 400 * time.Millisecond, ElectionTimeout: time.Second, SuspicionTimeout: 600 * time.Millisecond,
+		NonStandbyDelay: time.Second, IsolationTimeout: 3 * time.Second,
 	}
 }
 
 // over is how long after an answer with a lease nothing of it runs any more.
 func (t Timing) over() time.Duration {
-	return time.Duration(float64(t.Lease)*(1+t.Drift)) + t.Margin
+	return time.Duration(float64(t.Lease)*(1+t.MaxClockDrift)) + t.LeaseMargin
 }
 
 // Settings of a candidate.
 type Settings struct {
 	// Entry is the entry's name in the directory, Name names this life of it, and Address is where agents reach it.
-	Entry   string
-	Name    string
-	Address string
-	// Processor is how much processor time it has, in cores; zero if that is not known.
-	Processor float64
-	Timing    Timing
+	Entry       string
+	Incarnation string
+	Address     string
+	// Cores is how much processor time it has, in cores; zero if that is not known.
+	Cores  float64
+	Timing Timing
 	// Dispatch is how it decides when it leads.
 	Dispatch dispatch.Settings
 }
 
-// Parts are what a candidate works with.
-type Parts struct {
+// Dependencies are what a candidate works with.
+type Dependencies struct {
 	Log     topic.Log
 	Replica *jobstore.Replica
 	Catalog *catalog.Follower
-	// Announced is the topic in which agents look for the leader, and Directory what this process has read of it.
-	Announced topic.Log
-	Directory *directory.Directory
-	// Adviser may be nil where no queue needs advice.
-	Adviser dispatch.Adviser
+	// DirectoryLog is the topic in which agents look for the leader, and Directory what this process has read of it.
+	DirectoryLog topic.Log
+	Directory    *directory.Directory
+	// Permits may be nil where no queue needs advice.
+	Permits dispatch.PermitIssuer
 	// Latency is that of the log's appends, as all of this process learn it.
 	Latency *hedge.Latency
 	// Client calls other entries.
@@ -118,7 +118,7 @@
 // Candidate waits until its turn to lead comes, and leads.
 type Candidate struct {
 	settings Settings
-	parts    Parts
+	parts    Dependencies
 	metrics  metrics
 	leases   *leases
 	resign   chan struct{}
@@ -127,7 +127,7 @@
 }
 
 // New returns a candidate. Run starts it.
-func New(s Settings, p Parts) *Candidate {
+func New(s Settings, p Dependencies) *Candidate {
 	m := newMetrics(p.Metrics)
 	return &Candidate{settings: s, parts: p, metrics: m, leases: newLeases(s.Timing, p.Suspension, p.Catalog.Cordons, m.looks), resign: make(chan struct{})}
 }
@@ -159,7 +159,7 @@
 		c.metrics.terms.Inc(endOfTerm(err))
 		lost = leader.Term
 		if errors.Is(err, errUnreached) {
-			rest = time.Now().Add(c.settings.Timing.Unreached)
+			rest = time.Now().Add(c.settings.Timing.IsolationTimeout)
 		}
 		c.parts.Logger.Warn().Str("step", "leader.hold").Int64("term", leader.Term).Err(err).Msg("leadership lost")
 	}
@@ -187,33 +187,33 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	t := &term{leader: leader, parts: c.parts, leases: c.leases, written: time.Now()}
-	d := dispatch.New(c.settings.Dispatch, dispatch.Parts{
-		Catalog: c.parts.Catalog, Adviser: c.parts.Adviser, Logger: c.parts.Logger, Metrics: c.metrics.dispatch,
+	d := dispatch.New(c.settings.Dispatch, dispatch.Dependencies{
+		Catalog: c.parts.Catalog, Permits: c.parts.Permits, Logger: c.parts.Logger, Metrics: c.metrics.dispatch,
 	})
-	for _, v := range c.parts.Replica.All() {
-		d.Take(v)
+	for _, v := range c.parts.Replica.Jobs() {
+		d.ApplyJob(v)
 	}
 	// The claim was acknowledged or read back; the first write proves leadership from now on.
-	c.parts.Replica.Lead(true)
-	defer c.parts.Replica.Lead(false)
-	c.leases.open(leader.Term, suspend.Mark{})
+	c.parts.Replica.SetLeading(true)
+	defer c.parts.Replica.SetLeading(false)
+	c.leases.open(leader.Term, suspend.Instant{})
 	defer c.leases.close()
 	began := time.Now()
 	c.parts.Logger.Info().Str("step", "leader.lead").Int64("term", leader.Term).Int("jobs", d.Jobs()).Msg("leadership taken")
 	if err := t.renew(ctx); err != nil {
 		return err
 	}
-	go directory.AnnounceLeader(ctx, c.parts.Announced, leader)
-	go t.yieldToLarger(ctx, c.settings.Processor)
+	go directory.AnnounceLeader(ctx, c.parts.DirectoryLog, leader)
+	go t.yieldToLarger(ctx, c.settings.Cores)
 	go t.prune(ctx)
 	for {
-		handedIn, ruled := c.parts.Replica.News(), c.parts.Catalog.Changed()
+		handedIn, ruled := c.parts.Replica.JobsChanged(), c.parts.Catalog.Changed()
 		worked, err := c.pass(ctx, t, d, began)
 		if err != nil {
 			return err
 		}
 		pause.For(ctx, restAfter(worked))
-		if time.Since(t.written) >= c.settings.Timing.Renew {
+		if time.Since(t.written) >= c.settings.Timing.HeartbeatInterval {
 			if err := t.renew(ctx); err != nil {
 				return err
 			}
@@ -223,8 +223,8 @@
 		case <-handedIn:
 		case <-ruled:
 		case <-c.leases.news:
-		case answer := <-d.Advice():
-			d.TakeAdvice(answer)
+		case answer := <-d.Permits():
+			d.ApplyPermits(answer)
 		case <-timer.C:
 		case <-c.resign:
 			return c.giveUp(ctx, t)
@@ -235,7 +235,7 @@
 		if current, _, _ := c.parts.Replica.Leader(); current.Term > leader.Term {
 			return errSucceeded
 		}
-		if c.leases.silence(time.Now()) > c.settings.Timing.Unreached && d.Busy() {
+		if c.leases.silence(time.Now()) > c.settings.Timing.IsolationTimeout && d.Busy() {
 			return errors.Join(errUnreached, c.giveUp(ctx, t))
 		}
 	}
@@ -265,15 +265,15 @@
 func (c *Candidate) pass(ctx context.Context, t *term, d *dispatch.Controller, began time.Time) (worked time.Duration, err error) {
 	now := time.Now()
 	for _, a := range c.leases.take() {
-		d.Report(a.at, a.poll)
+		d.ApplyPoll(a.at, a.poll)
 	}
-	for _, v := range c.parts.Replica.Take() {
-		d.Take(v)
+	for _, v := range c.parts.Replica.TakeChanged() {
+		d.ApplyJob(v)
 	}
 	// A former leader may have given a lease with a proof from just before this one began to lead.
-	d.LeaseOver(c.leases.expire(d.Placed(), now, began.Add(c.settings.Timing.Proof)))
+	d.ExpireLeases(c.leases.expire(d.WorkersInUse(), now, began.Add(c.settings.Timing.MaxProofAge)))
 	d.Plan(ctx, now)
-	records, err := d.Changes(now)
+	records, err := d.TakeRecords(now)
 	if err != nil {
 		return 0, err
 	}
@@ -284,8 +284,8 @@
 		}
 	}
 	kept := time.Now()
-	c.leases.publish(d.Wants(now))
-	d.Observe(now)
+	c.leases.publish(d.TakeDesired(now))
+	d.UpdateMetrics(now)
 	worked += time.Since(kept)
 	c.metrics.passTime.RecordDuration(time.Since(now))
 	c.metrics.workTime.RecordDuration(worked)
@@ -294,13 +294,13 @@
 
 // untilNext is how long the leading goroutine may wait for news.
 func (c *Candidate) untilNext(t *term, d *dispatch.Controller) time.Duration {
-	wait := min(time.Until(t.written.Add(c.settings.Timing.Renew)), time.Until(d.Next()))
+	wait := min(time.Until(t.written.Add(c.settings.Timing.HeartbeatInterval)), time.Until(d.Next()))
 	return max(wait, time.Millisecond)
 }
 
 // giveUp tells the others that there is no leader.
 func (c *Candidate) giveUp(ctx context.Context, t *term) error {
-	t.leader.Name = ""
+	t.leader.Incarnation = ""
 	if err := t.renew(ctx); err != nil {
 		return err
 	}
--- a/jobs/leader/leases.go
+++ b/jobs/leader/leases.go
@@ -11,7 +11,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
 	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 )
 
 // agentLease is what is known of one worker and its agent.
@@ -28,8 +28,8 @@
 	// base is the newest poll that described the worker: later ones say only what has changed since.
 	base assignment.Poll
 	// life is the newest that a poll has listed, formerLives those before it, the newest first.
-	life        life.ID
-	formerLives []life.ID
+	life        incarnation.ID
+	formerLives []incarnation.ID
 	// granted is when the newest answer with a lease was sent.
 	granted time.Time
 	// expired says that the leading goroutine counts on the last lease being over: until it has published what follows from
@@ -38,7 +38,7 @@
 
 	// want is what the leading goroutine has published for a life of the worker. Published is closed and replaced when it publishes something
 	// new for it.
-	want      dispatch.Want
+	want      dispatch.DesiredState
 	published chan struct{}
 	// taken is the sequence number of the poll that the leading goroutine took last, heard that of the one whose news it
 	// has kept.
@@ -64,7 +64,7 @@
 	// term is that in which this entry leads; zero if it does not.
 	term   int64
 	fences int64
-	proof  suspend.Mark
+	proof  suspend.Instant
 	clock  suspend.Clock
 	synced bool
 	// heard is when any agent polled last.
@@ -81,7 +81,7 @@
 }
 
 // open begins a term.
-func (l *leases) open(term int64, proof suspend.Mark) {
+func (l *leases) open(term int64, proof suspend.Instant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.term, l.fences, l.proof, l.synced, l.heard = term, 0, proof, false, time.Now()
@@ -97,7 +97,7 @@
 }
 
 // prove notes that this entry led when a write that has been acknowledged was sent.
-func (l *leases) prove(sent suspend.Mark) {
+func (l *leases) prove(sent suspend.Instant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	lapsed := l.lease() == 0
@@ -126,7 +126,7 @@
 // lease is how long runs may be kept alive from now on: nothing once the proof of leadership is too old, because a
 // successor counts on it. What this machine was suspended counts: the successor's did not stand still.
 func (l *leases) lease() time.Duration {
-	if l.clock.Since(l.proof) > l.timing.Proof {
+	if l.clock.Since(l.proof) > l.timing.MaxProofAge {
 		return 0
 	}
 	return l.timing.Lease
@@ -139,10 +139,10 @@
 	if !ok {
 		return assignment.Answer{}, false
 	}
-	if poll.Since != nil {
+	if poll.Delta != nil {
 		return l.askAnew(poll)
 	}
-	deadline := time.NewTimer(l.timing.Hold)
+	deadline := time.NewTimer(l.timing.PollWait)
 	defer deadline.Stop()
 	for held := true; ; {
 		answer, urgent, published, ok := l.answer(poll, arrived)
@@ -180,10 +180,10 @@
 		l.fences++
 		p.fence = l.term<<fenceBits + l.fences
 	}
-	described := poll.Since == nil
+	described := poll.Delta == nil
 	if !described {
 		var known bool
-		if poll, known = poll.On(p.base); !known {
+		if poll, known = poll.Expand(p.base); !known {
 			return poll, true
 		}
 	}
@@ -217,7 +217,7 @@
 	if l.term == 0 || p == nil || p.agent != poll.Agent {
 		return assignment.Answer{}, false
 	}
-	return assignment.Answer{Term: l.term, Fence: p.fence, Heard: p.heard, Base: p.base.Sequence}, true
+	return assignment.Answer{Term: l.term, Fence: p.fence, AckedPoll: p.heard, BasePoll: p.base.Sequence}, true
 }
 
 // agentOf returns what is known of a worker. The lock must be held.
@@ -269,30 +269,30 @@
 	l.looks.Inc(1)
 	now := time.Now()
 	lease := l.lease()
-	if poll.Life == nil || poll.Silent || p.expired {
+	if poll.State == nil || poll.Unresponsive || p.expired {
 		// An agent that does not reach a worker has nothing to extend; what an earlier agent left there runs out.
 		lease = 0
 	}
 	a = assignment.Answer{
 		Term: l.term, Fence: p.fence,
-		HeldMillis: now.Sub(arrived).Milliseconds(), LeaseMillis: lease.Milliseconds(), Heard: p.heard, Base: p.base.Sequence,
+		HeldMillis: now.Sub(arrived).Milliseconds(), LeaseMillis: lease.Milliseconds(), AckedPoll: p.heard, BasePoll: p.base.Sequence,
 	}
 	if lease > 0 {
 		p.granted = now
 	}
-	if poll.Life != nil {
-		a.Open, a.OpenMillis = l.openZone(poll.Life.Zone, now)
+	if poll.State != nil {
+		a.ZoneOpen, a.ZoneProofMillis = l.openZone(poll.State.Zone, now)
 	}
-	if !poll.Listed || poll.Life == nil {
+	if !poll.Complete || poll.State == nil {
 		// The agent needs its fence before it can list anything.
-		return a, !poll.Listed && poll.Life != nil, p.published, true
+		return a, !poll.Complete && poll.State != nil, p.published, true
 	}
-	if !l.synced || p.expired || poll.Life.ID != p.want.Life {
+	if !l.synced || p.expired || poll.State.ID != p.want.Incarnation {
 		return a, false, p.published, true
 	}
-	a.Life, a.Seen = p.want.Life, p.want.Seen
+	a.Incarnation, a.AckedEnd = p.want.Incarnation, p.want.AckedEnd
 	p.compare(poll, &a)
-	urgent = len(a.Start) > 0 || len(a.Stop) > 0 || len(a.Settle) > 0 || a.Seen > poll.Seen
+	urgent = len(a.Start) > 0 || len(a.Stop) > 0 || len(a.StopUnlisted) > 0 || a.AckedEnd > poll.AckedEnd
 	return a, urgent, p.published, true
 }
 
@@ -328,7 +328,7 @@
 		switch {
 		case have[w.Start.RunID]:
 		case w.Stopping:
-			a.Settle = append(a.Settle, w.Start.RunID)
+			a.StopUnlisted = append(a.StopUnlisted, w.Start.RunID)
 		case a.LeaseMillis > 0:
 			a.Start = append(a.Start, w.Start)
 		}
@@ -359,7 +359,7 @@
 // publish puts what has been kept in force for the agents: what is wanted of the workers for which that has changed. Only their polls are
 // looked at again, and those of agents that are no longer expired: waking all held polls at each decision is work that grows with the
 // square of the workers.
-func (l *leases) publish(changed map[string]dispatch.Want) {
+func (l *leases) publish(changed map[string]dispatch.DesiredState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for p := range l.decided {
--- a/jobs/leader/leases_test.go
+++ b/jobs/leader/leases_test.go
@@ -10,8 +10,8 @@
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
 	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // cordons are what operators have cordoned, as the leader knows, and cordonsProof is when that was proved.
@@ -33,18 +33,18 @@
 	})
 }
 
-var present = assignment.Life{ID: life.ID{Instance: "life-1", Born: 1}, Service: "roster"}
+var present = assignment.WorkerState{ID: incarnation.ID{Instance: "life-1", StartMillis: 1}, Service: "roster"}
 
 func poll(sequence int64) assignment.Poll {
-	return assignment.Poll{Worker: "w", Agent: "a", Sequence: sequence, Term: 3, Life: &present, Listed: true}
+	return assignment.Poll{Worker: "w", Agent: "a", Sequence: sequence, Term: 3, State: &present, Complete: true}
 }
 
 var wantedRun = assignment.RunID{Task: job.TaskName{Job: "0000000000000001"}, Run: 1}
 
 // publishOne publishes that one run is wanted.
 func publishOne(l *leases) {
-	l.publish(map[string]dispatch.Want{"w": {
-		Life: present.ID, Runs: map[job.TaskName]dispatch.WantedRun{wantedRun.Task: {Start: assignment.Start{RunID: wantedRun}}},
+	l.publish(map[string]dispatch.DesiredState{"w": {
+		Incarnation: present.ID, Runs: map[job.TaskName]dispatch.DesiredRun{wantedRun.Task: {Start: assignment.Start{RunID: wantedRun}}},
 	}})
 }
 
@@ -71,14 +71,14 @@
 		if a := ask(t, l, p); len(a.Start) != 0 || len(a.Stop) != 1 || a.Stop[0].Run != 4 {
 			t.Errorf("want only a stop of what is not wanted, got %+v", a)
 		}
-		l.publish(map[string]dispatch.Want{"w": {Life: present.ID, Held: map[job.ID]bool{"0000000000000002": true}}})
+		l.publish(map[string]dispatch.DesiredState{"w": {Incarnation: present.ID, Held: map[job.ID]bool{"0000000000000002": true}}})
 		p.Sequence = 4
 		if a := ask(t, l, p); len(a.Stop) != 1 || a.Stop[0] != wantedRun {
 			t.Errorf("want only a stop of what is not wanted and not held, got %+v", a.Stop)
 		}
-		other := assignment.Life{ID: life.ID{Instance: "life-1", Born: 2}}
+		other := assignment.WorkerState{ID: incarnation.ID{Instance: "life-1", StartMillis: 2}}
 		p = poll(5)
-		p.Life = &other
+		p.State = &other
 		if a := ask(t, l, p); len(a.Start)+len(a.Stop) != 0 {
 			t.Errorf("another life gets %+v", a)
 		}
@@ -90,7 +90,7 @@
 	withLeases(t, func(t *testing.T, l *leases) {
 		ask(t, l, poll(1))
 		publishOne(l)
-		time.Sleep(l.timing.Proof + time.Millisecond)
+		time.Sleep(l.timing.MaxProofAge + time.Millisecond)
 		if a := ask(t, l, poll(2)); a.LeaseMillis != 0 || len(a.Start) != 0 {
 			t.Errorf("with an old proof: %+v", a)
 		}
@@ -107,7 +107,7 @@
 	withLeases(t, func(t *testing.T, l *leases) {
 		ask(t, l, poll(1))
 		publishOne(l)
-		suspended += l.timing.Proof
+		suspended += l.timing.MaxProofAge
 		if a := ask(t, l, poll(2)); a.LeaseMillis == 0 {
 			t.Errorf("with a proof that is just good enough: %+v", a)
 		}
@@ -116,7 +116,7 @@
 		if a := ask(t, l, poll(3)); a.LeaseMillis != 0 || len(a.Start) != 0 {
 			t.Errorf("after a suspension: %+v", a)
 		}
-		suspended += l.timing.Proof
+		suspended += l.timing.MaxProofAge
 		l.prove(written)
 		if a := ask(t, l, poll(4)); a.LeaseMillis != 0 {
 			t.Errorf("with a write that was under way while the machine was suspended: %+v", a)
@@ -143,7 +143,7 @@
 		if a := ask(t, l, poll(2)); a.LeaseMillis != 0 || len(a.Start) != 0 {
 			t.Errorf("an expired worker gets %+v", a)
 		}
-		l.publish(map[string]dispatch.Want{"w": {Life: present.ID}})
+		l.publish(map[string]dispatch.DesiredState{"w": {Incarnation: present.ID}})
 		if a := ask(t, l, poll(3)); a.LeaseMillis == 0 || len(a.Start) != 0 {
 			t.Errorf("after the publication it gets %+v", a)
 		}
@@ -158,7 +158,7 @@
 	withLeases(t, func(t *testing.T, l *leases) {
 		publishOne(l)
 		silent, none := poll(1), poll(2)
-		silent.Silent, none.Life = true, nil
+		silent.Unresponsive, none.State = true, nil
 		for _, p := range []assignment.Poll{silent, none} {
 			if a := ask(t, l, p); a.LeaseMillis != 0 {
 				t.Errorf("%+v gets a lease", p)
@@ -179,12 +179,12 @@
 		if taken.Sequence != 3 {
 			t.Errorf("the poll %d was taken over", taken.Sequence)
 		}
-		if a := ask(t, l, poll(4)); a.Heard != 0 {
-			t.Errorf("%d was heard before anything was kept", a.Heard)
+		if a := ask(t, l, poll(4)); a.AckedPoll != 0 {
+			t.Errorf("%d was heard before anything was kept", a.AckedPoll)
 		}
-		l.publish(map[string]dispatch.Want{"w": {Life: present.ID}})
-		if a := ask(t, l, poll(5)); a.Heard != 3 {
-			t.Errorf("%d was heard, want 3", a.Heard)
+		l.publish(map[string]dispatch.DesiredState{"w": {Incarnation: present.ID}})
+		if a := ask(t, l, poll(5)); a.AckedPoll != 3 {
+			t.Errorf("%d was heard, want 3", a.AckedPoll)
 		}
 	})
 }
@@ -195,18 +195,18 @@
 func TestLeasesOvertakenOnUnknownBase(t *testing.T) {
 	withLeases(t, func(t *testing.T, l *leases) {
 		ask(t, l, poll(1))
-		unknown := assignment.Poll{Worker: "w", Agent: "a", Sequence: 2, Term: 3, Since: &assignment.Since{Sequence: 99}}
+		unknown := assignment.Poll{Worker: "w", Agent: "a", Sequence: 2, Term: 3, Delta: &assignment.Delta{Sequence: 99}}
 		unknown.Refused = []assignment.Refusal{{RunID: wantedRun}}
-		if a := ask(t, l, unknown); a.Heard != 0 || a.Base != 1 {
-			t.Errorf("%d was heard before anything was kept, on base %d, want 0 on 1", a.Heard, a.Base)
+		if a := ask(t, l, unknown); a.AckedPoll != 0 || a.BasePoll != 1 {
+			t.Errorf("%d was heard before anything was kept, on base %d, want 0 on 1", a.AckedPoll, a.BasePoll)
 		}
 		if taken := l.take()["w"].poll; taken.Sequence != 1 || len(taken.Refused) != 0 {
 			t.Errorf("the poll %d was taken over with %v", taken.Sequence, taken.Refused)
 		}
-		l.publish(map[string]dispatch.Want{"w": {Life: present.ID}})
+		l.publish(map[string]dispatch.DesiredState{"w": {Incarnation: present.ID}})
 		unknown.Sequence = 3
-		if a := ask(t, l, unknown); a.Heard != 1 || a.Base != 1 {
-			t.Errorf("%d was heard on base %d, want 1 on 1", a.Heard, a.Base)
+		if a := ask(t, l, unknown); a.AckedPoll != 1 || a.BasePoll != 1 {
+			t.Errorf("%d was heard on base %d, want 1 on 1", a.AckedPoll, a.BasePoll)
 		}
 	})
 }
@@ -240,12 +240,12 @@
 func TestLeasesHolds(t *testing.T) {
 	withLeases(t, func(t *testing.T, l *leases) {
 		ask(t, l, poll(1))
-		l.publish(map[string]dispatch.Want{"w": {Life: present.ID}})
+		l.publish(map[string]dispatch.DesiredState{"w": {Incarnation: present.ID}})
 		p := poll(2)
 		p.Wait = true
 		began := time.Now()
-		if a := ask(t, l, p); time.Since(began) != l.timing.Hold || a.Held() != l.timing.Hold {
-			t.Errorf("held for %v, told %v, want %v", time.Since(began), a.Held(), l.timing.Hold)
+		if a := ask(t, l, p); time.Since(began) != l.timing.PollWait || a.Held() != l.timing.PollWait {
+			t.Errorf("held for %v, told %v, want %v", time.Since(began), a.Held(), l.timing.PollWait)
 		}
 		began = time.Now()
 		go func() {
@@ -279,19 +279,19 @@
 		t.Run(test.name, func(t *testing.T) {
 			withLeases(t, func(t *testing.T, l *leases) {
 				p := poll(1)
-				p.Life = &inZone
+				p.State = &inZone
 				ask(t, l, p)
 				publishOne(l)
 				cordons = test.cordons
 				time.Sleep(test.age)
 				p.Sequence = 2
 				a := ask(t, l, p)
-				if a.Open != test.open || test.open && time.Duration(a.OpenMillis)*time.Millisecond < test.age {
-					t.Errorf("open is %v with a proof of %d ms, want %v with at least %v", a.Open, a.OpenMillis, test.open, test.age)
+				if a.ZoneOpen != test.open || test.open && time.Duration(a.ZoneProofMillis)*time.Millisecond < test.age {
+					t.Errorf("open is %v with a proof of %d ms, want %v with at least %v", a.ZoneOpen, a.ZoneProofMillis, test.open, test.age)
 				}
 				cordonsProof = time.Time{}
 				p.Sequence = 3
-				if a := ask(t, l, p); a.Open {
+				if a := ask(t, l, p); a.ZoneOpen {
 					t.Error("the zone is said to be open without a proof")
 				}
 			})
@@ -305,7 +305,7 @@
 		inZone := present
 		inZone.Zone = "zone-1"
 		p := poll(1)
-		p.Life, p.Runs = &inZone, []assignment.Run{{RunID: wantedRun}}
+		p.State, p.Runs = &inZone, []assignment.Run{{RunID: wantedRun}}
 		ask(t, l, p)
 		cordons = catalog.Cordons{}.With(catalog.Cordon{Zone: "zone-1", Revision: 7})
 		list, ok := l.workers()
@@ -313,8 +313,8 @@
 			t.Errorf("got %+v, %v", list, ok)
 		}
 		next := inZone
-		next.ID.Born++
-		p.Sequence, p.Life = 2, &next
+		next.ID.StartMillis++
+		p.Sequence, p.State = 2, &next
 		ask(t, l, p)
 		if list, _ := l.workers(); list[0].Life != next.ID || len(list[0].Former) != 1 || list[0].Former[0] != inZone.ID {
 			t.Errorf("after a new start under the same id: %+v", list)
--- a/jobs/leader/news.go
+++ b/jobs/leader/news.go
@@ -12,22 +12,22 @@
 func (p *agentLease) decides(poll assignment.Poll) bool {
 	before := p.poll
 	switch {
-	case poll.Listed != before.Listed, poll.Silent != before.Silent, (poll.FailingMillis > 0) != (before.FailingMillis > 0):
+	case poll.Complete != before.Complete, poll.Unresponsive != before.Unresponsive, (poll.FailingMillis > 0) != (before.FailingMillis > 0):
 		return true
-	case !sameLife(poll.Life, before.Life), !slices.Equal(poll.Closing, before.Closing):
+	case !sameLife(poll.State, before.State), !slices.Equal(poll.ClosingIncarnations, before.ClosingIncarnations):
 		return true
-	case len(poll.Over) > 0 && !slices.EqualFunc(poll.Over, before.Over, func(a, b assignment.LifeEnd) bool { return a.ID == b.ID }):
+	case len(poll.EndedIncarnations) > 0 && !slices.EqualFunc(poll.EndedIncarnations, before.EndedIncarnations, func(a, b assignment.IncarnationEnd) bool { return a.ID == b.ID }):
 		return true
 	}
 	return lastEnd(poll) > lastEnd(before) || p.brings(poll)
 }
 
 // sameLife reports whether two lives are one, with the same room and place, and leave alike.
-func sameLife(a, b *assignment.Life) bool {
+func sameLife(a, b *assignment.WorkerState) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
-	return a.ID == b.ID && a.Leaving == b.Leaving && a.Room == b.Room && a.Service == b.Service && a.Zone == b.Zone && a.Rack == b.Rack &&
+	return a.ID == b.ID && a.Draining == b.Draining && a.Capacity == b.Capacity && a.Service == b.Service && a.Zone == b.Zone && a.Rack == b.Rack &&
 		slices.Equal(a.Labels, b.Labels)
 }
 
--- a/jobs/leader/prune.go
+++ b/jobs/leader/prune.go
@@ -40,7 +40,7 @@
 		if len(gone) == 0 {
 			continue
 		}
-		if err := directory.RemoveEntries(ctx, t.parts.Announced, gone); err != nil {
+		if err := directory.DeregisterEntries(ctx, t.parts.DirectoryLog, gone); err != nil {
 			t.parts.Logger.Warn().Str("step", "leader.prune").Strs("entries", gone).Err(err).Msg("entries that are gone could not be taken off the directory")
 			continue
 		}
@@ -53,9 +53,9 @@
 
 // missing looks at some entries, counts in how many looks in a row each was missed, and returns those that are gone.
 func (t *term) missing(ctx context.Context, missed map[string]int) []string {
-	listed := t.parts.Directory.Listed()
+	listed := t.parts.Directory.AddressesByName()
 	// Whoever was missed is looked at again, so that three looks do not take until it is drawn three times.
-	names := slices.Concat(t.parts.Directory.Line(), slices.Collect(maps.Keys(missed)), sample.Draw(slices.Collect(maps.Keys(listed)), prunedAtOnce))
+	names := slices.Concat(t.parts.Directory.Standbys(), slices.Collect(maps.Keys(missed)), sample.Draw(slices.Collect(maps.Keys(listed)), prunedAtOnce))
 	looks := map[string]string{}
 	for _, name := range names {
 		if address, ok := listed[name]; ok {
--- a/jobs/leader/term.go
+++ b/jobs/leader/term.go
@@ -22,7 +22,7 @@
 // term is the writing side of a term in which this entry leads: it numbers the appends and repeats those without an answer.
 type term struct {
 	leader   directory.Leader
-	parts    Parts
+	parts    Dependencies
 	leases   *leases
 	sequence int64
 	written  time.Time
@@ -31,14 +31,14 @@
 // write appends records for sure, or returns errSucceeded, or the context's error.
 func (t *term) write(ctx context.Context, records []topic.Record) error {
 	t.sequence++
-	condition := topic.Condition{Producer: directory.TermOf(t.leader.Term, t.sequence)}
+	condition := topic.Condition{Producer: directory.TermProducer(t.leader.Term, t.sequence)}
 	began := t.parts.Suspension.Now()
-	calls := hedge.Calls[int64]{
-		Way:   func(ctx context.Context, try int) (int64, error) { return t.append(ctx, try, records, condition) },
-		After: t.parts.Latency.Patience,
-		Pause: appendPause,
-		Limit: appendLimit,
-		Final: func(err error) bool { return errors.Is(err, topic.ErrFenced) || errors.Is(err, errSucceeded) },
+	calls := hedge.Call[int64]{
+		Attempt:     func(ctx context.Context, try int) (int64, error) { return t.append(ctx, try, records, condition) },
+		HedgeAfter:  t.parts.Latency.HedgeDelay,
+		RetryDelay:  appendPause,
+		Timeout:     appendLimit,
+		IsPermanent: func(err error) bool { return errors.Is(err, topic.ErrFenced) || errors.Is(err, errSucceeded) },
 	}
 	ctx, end := context.WithCancelCause(ctx)
 	defer end(nil)
@@ -55,9 +55,9 @@
 			Int("records", len(records)).Dur("took_ms", took).Msg("append took long")
 	}
 	// Which of the tries was carried out is not known, only that it was after the first one was sent.
-	t.written = t.parts.Suspension.Steady(began)
+	t.written = t.parts.Suspension.Monotonic(began)
 	t.leases.prove(began)
-	t.parts.Replica.Note(records, offset)
+	t.parts.Replica.ApplyLocal(records, offset)
 	return nil
 }
 
@@ -72,7 +72,7 @@
 	sent := time.Now()
 	offset, err := t.parts.Log.Append(ctx, records, c)
 	if err == nil {
-		t.parts.Latency.Note(time.Since(sent))
+		t.parts.Latency.Observe(time.Since(sent))
 	}
 	return offset, err
 }
--- a/jobs/leader/workers.go
+++ b/jobs/leader/workers.go
@@ -8,8 +8,8 @@
 	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // WorkersPath is where the leader lists the workers that it knows.
@@ -17,22 +17,22 @@
 
 // WorkerStatus is a worker as the leader knows it.
 type WorkerStatus struct {
-	Worker  string  `json:"worker"`
-	Life    life.ID `json:"life"`
-	Zone    string  `json:"zone"`
-	Rack    string  `json:"rack"`
-	Service string  `json:"service"`
-	// Leaving says that the worker takes no new work, Silent that its agent gets no answer from it.
-	Leaving bool `json:"leaving"`
-	Silent  bool `json:"silent"`
-	// Room is what it says it has; it may shrink and grow while it runs.
-	Room job.Need `json:"room"`
+	Worker  string         `json:"worker"`
+	Life    incarnation.ID `json:"life"`
+	Zone    string         `json:"zone"`
+	Rack    string         `json:"rack"`
+	Service string         `json:"service"`
+	// Draining says that the worker takes no new work, Silent that its agent gets no answer from it.
+	Draining bool `json:"leaving"`
+	Silent   bool `json:"silent"`
+	// Capacity is what it says it has; it may shrink and grow while it runs.
+	Capacity job.Resources `json:"room"`
 	// Runs is how many runs its agent lists. In a cordoned zone they go on, and none is added.
 	Runs int `json:"runs"`
 	// Cordon is that of its zone, nil if the zone is open.
 	Cordon *catalog.Cordon `json:"cordon,omitempty"`
 	// Former are lives of the worker that are over, the newest first, as far as this leader has seen them.
-	Former []life.ID `json:"former,omitempty"`
+	Former []incarnation.ID `json:"former,omitempty"`
 }
 
 // mostFormer is how many former lives of a worker are remembered for operators.
@@ -40,14 +40,14 @@
 
 // noteLife keeps the life that a poll lists for operators. The lock must be held.
 func (p *agentLease) noteLife(poll assignment.Poll) {
-	if poll.Life == nil || !poll.Listed || p.life == poll.Life.ID {
+	if poll.State == nil || !poll.Complete || p.life == poll.State.ID {
 		return
 	}
 	if !p.life.IsZero() {
 		p.formerLives = slices.Insert(p.formerLives, 0, p.life)
 		p.formerLives = p.formerLives[:min(len(p.formerLives), mostFormer)]
 	}
-	p.life = poll.Life.ID
+	p.life = poll.State.ID
 }
 
 // ServeWorkers lists the workers, or says where the leader is.
@@ -69,13 +69,13 @@
 	cordons, _ := l.cordons()
 	list = []WorkerStatus{}
 	for name, p := range l.agents {
-		present := p.poll.Life
+		present := p.poll.State
 		if present == nil {
 			continue
 		}
 		s := WorkerStatus{
 			Worker: name, Life: present.ID, Zone: present.Zone, Rack: present.Rack, Service: present.Service,
-			Leaving: present.Leaving, Silent: p.poll.Silent, Room: present.Room, Runs: len(p.poll.Runs), Former: slices.Clone(p.formerLives),
+			Draining: present.Draining, Silent: p.poll.Unresponsive, Capacity: present.Capacity, Runs: len(p.poll.Runs), Former: slices.Clone(p.formerLives),
 		}
 		if cordon, cordoned := cordons[present.Zone]; cordoned {
 			s.Cordon = &cordon
--- a/jobs/runner/golden_test.go
+++ b/jobs/runner/golden_test.go
@@ -22,9 +22,9 @@
 	"yarrowgrade.example/yarrowgrade/internal/goldentest"
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 	"yarrowgrade.example/yarrowgrade/jobs/directory"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
 
@@ -65,7 +65,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); time.Sleep(10 * time.Second) }()
 		log := jobtest.NewLog(1)
-		directory.AnnounceEntry(ctx, log.Client("e"), "entry-1", "10.0.0.1:7000", 1)
+		directory.RegisterEntry(ctx, log.Client("e"), "entry-1", "10.0.0.1:7000", 1)
 		directory := directory.NewDirectory(log.Client("a"), zerolog.Nop())
 		go directory.Run(ctx)
 		time.Sleep(time.Second)
@@ -117,13 +117,13 @@
 	return 1000, w.err
 }
 
-func (w *scripted) Pace(context.Context, runner.Order, assignment.RunID, int) (int64, error) {
+func (w *scripted) Throttle(context.Context, runner.Order, assignment.RunID, int) (int64, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return 1000, w.err
 }
 
-func (w *scripted) Hold(
+func (w *scripted) Sync(
 	_ context.Context, _ runner.Order, _, _ int64, wait time.Duration,
 ) (runner.Listing, int64, error) {
 	time.Sleep(wait)
@@ -163,8 +163,8 @@
 		w := &scripted{starts: map[assignment.RunID]error{}}
 		o := &leader{answer: assignment.Answer{Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds()}}
 		r := runner.New(
-			runner.Settings{Name: "w", Agent: "1", Lease: lease, Cordon: jobtest.CordonBound, Service: "s", Zone: "z"},
-			runner.Parts{
+			runner.Settings{Name: "w", Agent: "1", Lease: lease, CordonWithin: jobtest.CordonBound, Service: "s", Zone: "z"},
+			runner.Dependencies{
 				Worker:     w,
 				Leader:     o,
 				Logger:     zerolog.New(zerolog.SyncWriter(&lines)),
@@ -173,8 +173,8 @@
 			},
 		)
 		go r.Run(ctx)
-		said := assignment.Life{ID: life.ID{Instance: "i-1"}, Service: "s", Zone: "z", Room: job.Need{Accelerators: 8}}
-		beat := func(change func(l *assignment.Life)) {
+		said := assignment.WorkerState{ID: incarnation.ID{Instance: "i-1"}, Service: "s", Zone: "z", Capacity: job.Resources{Accelerators: 8}}
+		beat := func(change func(l *assignment.WorkerState)) {
 			changed := said
 			change(&changed)
 			r.Heartbeat(ctx, changed)
@@ -194,38 +194,38 @@
 		}
 
 		start(1)
-		o.set(func(a *assignment.Answer) { a.Open = true })
+		o.set(func(a *assignment.Answer) { a.ZoneOpen = true })
 		w.set(func(w *scripted) { w.listing.Runs = listed(1) })
 		start(1)
 		w.set(func(w *scripted) { w.listing.Runs = listed(1) })
-		beat(func(l *assignment.Life) { l.Zone = "y" })
-		beat(func(l *assignment.Life) { l.Room.Accelerators = 4 })
+		beat(func(l *assignment.WorkerState) { l.Zone = "y" })
+		beat(func(l *assignment.WorkerState) { l.Capacity.Accelerators = 4 })
 		o.set(func(a *assignment.Answer) {
-			a.Roles = []assignment.Role{{RunID: id(1), Fills: true}, {RunID: id(2), TargetMillis: 100}}
+			a.Roles = []assignment.Role{{RunID: id(1), BestEffort: true}, {RunID: id(2), LatencyTargetMillis: 100}}
 		})
 		w.set(func(w *scripted) { w.listing.Runs = listed(1, 2) })
 		o.set(func(a *assignment.Answer) { a.Roles, a.Stop = nil, []assignment.RunID{id(2)} })
 		w.set(func(w *scripted) { w.listing.Unreadable = []error{errors.New("unreadable")} })
 		w.set(func(w *scripted) {
-			w.listing = runner.Listing{Runs: listed(2), Ends: []assignment.End{{RunID: id(1), Number: 1, How: job.EndDone}}}
+			w.listing = runner.Listing{Runs: listed(2), Ends: []assignment.End{{RunID: id(1), Number: 1, Reason: job.EndDone}}}
 		})
-		o.set(func(a *assignment.Answer) { a.Stop, a.Seen = nil, 3 })
+		o.set(func(a *assignment.Answer) { a.Stop, a.AckedEnd = nil, 3 })
 		time.Sleep(time.Second)
 		w.set(func(w *scripted) {
-			w.listing = runner.Listing{Ends: []assignment.End{{RunID: id(9), Number: 2, How: job.EndDone}}}
+			w.listing = runner.Listing{Ends: []assignment.End{{RunID: id(9), Number: 2, Reason: job.EndDone}}}
 		})
 		w.set(func(w *scripted) { w.listing = runner.Listing{Runs: listed(10)} })
 		w.set(func(w *scripted) { w.err = errors.New("no answer") })
 		time.Sleep(3 * lease)
 		w.set(func(w *scripted) { w.err, w.listing = nil, runner.Listing{Runs: listed(11)} })
-		beat(func(l *assignment.Life) { l.ID.Instance = "i-0" })
-		beat(func(l *assignment.Life) { l.Leaving, l.LeavesIn = true, 900 })
-		r.Gone("i-1")
-		said.ID.Born = 1764722812345
+		beat(func(l *assignment.WorkerState) { l.ID.Instance = "i-0" })
+		beat(func(l *assignment.WorkerState) { l.Draining, l.DrainMillis = true, 900 })
+		r.Deregister("i-1")
+		said.ID.StartMillis = 1764722812345
 		r.Heartbeat(ctx, said)
-		w.set(func(w *scripted) { w.listing.Born, w.listing.Runs = said.ID.Born, listed(12) })
-		r.Gone("i-1")
-		w.set(func(w *scripted) { w.err = runner.ErrOtherLife })
+		w.set(func(w *scripted) { w.listing.StartMillis, w.listing.Runs = said.ID.StartMillis, listed(12) })
+		r.Deregister("i-1")
+		w.set(func(w *scripted) { w.err = runner.ErrOtherIncarnation })
 		cancel()
 		time.Sleep(20 * time.Second)
 		goldentest.Bytes(t, "log-lines.txt", lineShapes(t, lines.Bytes()))
--- a/jobs/runner/leader.go
+++ b/jobs/runner/leader.go
@@ -89,13 +89,13 @@
 	if early {
 		return
 	}
-	for _, address := range sample.Draw(l.directory.Entries(), askedAtOnce) {
+	for _, address := range sample.Draw(l.directory.Addresses(), askedAtOnce) {
 		go func() {
 			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), askTimeout)
 			defer cancel()
 			var r assignment.Redirect
 			if status, err := l.exchange(ctx, http.MethodGet, address, assignment.LeaderPath, nil, &r); err == nil && status == http.StatusOK {
-				l.directory.Learn(directory.Leader{Term: r.Term, Address: r.Address})
+				l.directory.ObserveLeader(directory.Leader{Term: r.Term, Address: r.Address})
 			}
 		}()
 	}
@@ -126,7 +126,7 @@
 	if response.StatusCode == http.StatusConflict {
 		var r assignment.Redirect
 		if json.Unmarshal(answer, &r) == nil {
-			l.directory.Learn(directory.Leader{Term: r.Term, Address: r.Address})
+			l.directory.ObserveLeader(directory.Leader{Term: r.Term, Address: r.Address})
 		}
 		return response.StatusCode, nil
 	}
--- a/jobs/runner/leader_test.go
+++ b/jobs/runner/leader_test.go
@@ -37,7 +37,7 @@
 			defer func() { cancel(); time.Sleep(10 * time.Second) }()
 			log := jobtest.NewLog(1)
 			for i := range n {
-				directory.AnnounceEntry(ctx, log.Client("e"), fmt.Sprintf("entry-%d", i), fmt.Sprintf("10.0.0.%d:7000", i), 1)
+				directory.RegisterEntry(ctx, log.Client("e"), fmt.Sprintf("entry-%d", i), fmt.Sprintf("10.0.0.%d:7000", i), 1)
 			}
 			directory := directory.NewDirectory(log.Client("a"), zerolog.Nop())
 			go directory.Run(ctx)
--- a/jobs/runner/listing.go
+++ b/jobs/runner/listing.go
@@ -73,7 +73,7 @@
 		return true
 	}
 	switch {
-	case errors.Is(err, ErrOtherLife):
+	case errors.Is(err, ErrOtherIncarnation):
 		r.endLife(err)
 		return false
 	case err != nil:
@@ -142,7 +142,7 @@
 			r.runs[run.RunID] = k
 			news = true
 		}
-		k.phase, k.percent, k.saved, k.gauge, k.listed = there, run.Percent, run.Saved, run.Gauge, time.Now()
+		k.phase, k.percent, k.saved, k.gauge, k.listed = there, run.Percent, run.Checkpoint, run.LatencyMillis, time.Now()
 	}
 	for _, e := range l.Ends {
 		if e.Number <= r.seen {
@@ -154,9 +154,9 @@
 				e.TookMillis = k.age().Milliseconds()
 			}
 			r.ends[e.Number] = e
-			r.metrics.ends.Inc(e.How)
+			r.metrics.ends.Inc(e.Reason)
 			news = true
-			r.parts.Logger.Info().Str("step", "runner.list").Stringer("task", e.Task).Int("run", e.Run).Str("how", string(e.How)).
+			r.parts.Logger.Info().Str("step", "runner.list").Stringer("task", e.Task).Int("run", e.Run).Str("how", string(e.Reason)).
 				Int64("number", e.Number).Msg("run ended")
 		}
 		r.noteEnded(e.RunID)
@@ -188,14 +188,14 @@
 		return
 	}
 	r.metrics.passedOver.Inc(1)
-	r.parts.Logger.Warn().Str("step", "runner.list").Stringer("task", e.Task).Int("run", e.Run).Str("how", string(e.How)).Int64("number", e.Number).
+	r.parts.Logger.Warn().Str("step", "runner.list").Stringer("task", e.Task).Int("run", e.Run).Str("how", string(e.Reason)).Int64("number", e.Number).
 		Int64("read_up_to", r.seen).Msg("end is passed over: its number counts as read")
 }
 
 // noteGone says that a run is gone from a worker's list. Its end is told in the same list, or nobody will read it. The lock must be held.
 func (r *Runner) noteGone(id assignment.RunID, l Listing) {
 	r.metrics.gone.Inc(1)
-	r.parts.Logger.Warn().Str("step", "runner.list").Stringer("task", id.Task).Int("run", id.Run).Int64("born", l.Born).Int64("read_up_to", r.seen).
+	r.parts.Logger.Warn().Str("step", "runner.list").Stringer("task", id.Task).Int("run", id.Run).Int64("born", l.StartMillis).Int64("read_up_to", r.seen).
 		Int("ends", len(l.Ends)).Msg("run is gone from the list without an end")
 }
 
@@ -223,7 +223,7 @@
 			r.givenUp[id] = k.phase == there
 		}
 		r.refuse(assignment.Refusal{
-			RunID: id, Reason: "the worker is silent and its lease is over", Silent: k.phase == there || k.ordered, Begun: k.phase == there,
+			RunID: id, Reason: "the worker is silent and its lease is over", Uncertain: k.phase == there || k.ordered, Started: k.phase == there,
 		})
 	}
 }
--- a/jobs/runner/lives.go
+++ b/jobs/runner/lives.go
@@ -11,12 +11,12 @@
 
 	"yarrowgrade.example/yarrowgrade/internal/fault"
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 )
 
 // lifeEnd is a life that is over. It is told until a poll that told it has been heard.
 type lifeEnd struct {
-	assignment.LifeEnd
+	assignment.IncarnationEnd
 	// since is the number of the poll since which all polls have told it; zero if the newest did not.
 	since int64
 	// settled says that no order for this life has any effect any more; until then it is not told, since what was placed there would be placed again.
@@ -26,7 +26,7 @@
 }
 
 // Heartbeat takes over what the worker says of itself. It returns false for a life that is over, or that may be.
-func (r *Runner) Heartbeat(ctx context.Context, l assignment.Life) bool {
+func (r *Runner) Heartbeat(ctx context.Context, l assignment.WorkerState) bool {
 	r.mu.Lock()
 	consistent := r.consistent(l)
 	r.mu.Unlock()
@@ -43,19 +43,19 @@
 	if contested && !r.settleContest(current, l, err) || r.former[l.ID] {
 		return false
 	}
-	news := r.life == nil || r.life.ID != l.ID || r.life.Leaving != l.Leaving || r.life.Room != l.Room
+	news := r.life == nil || r.life.ID != l.ID || r.life.Draining != l.Draining || r.life.Capacity != l.Capacity
 	if r.life == nil {
 		r.parts.Logger.Info().Str("step", "runner.heartbeat").Stringer("life", l.ID).Msg("worker reports")
-	} else if r.life.Leaving != l.Leaving {
-		r.parts.Logger.Info().Str("step", "runner.heartbeat").Stringer("life", l.ID).Int64("leaves_in_ms", l.LeavesIn).Msg("worker leaves")
+	} else if r.life.Draining != l.Draining {
+		r.parts.Logger.Info().Str("step", "runner.heartbeat").Stringer("life", l.ID).Int64("leaves_in_ms", l.DrainMillis).Msg("worker leaves")
 	}
 	if r.life == nil {
 		r.answers = time.Now()
 	}
-	r.noteRoom(l.Room)
-	r.life, r.awaited = &l, life.ID{}
-	if l.Leaving {
-		r.leaves = time.Now().Add(time.Duration(l.LeavesIn) * time.Millisecond)
+	r.noteRoom(l.Capacity)
+	r.life, r.awaited = &l, incarnation.ID{}
+	if l.Draining {
+		r.leaves = time.Now().Add(time.Duration(l.DrainMillis) * time.Millisecond)
 	}
 	if news {
 		signal(r.report)
@@ -66,14 +66,14 @@
 
 // contested reports whether a heartbeat is of another life than the present one. Such a heartbeat need not be newer: one that was held up
 // may come after the next life has registered, and this process may have begun in between and know nothing of the former one.
-func (r *Runner) contested(l assignment.Life) (current Order, contested bool) {
+func (r *Runner) contested(l assignment.WorkerState) (current Order, contested bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.life == nil || r.life.ID == l.ID || r.former[l.ID] {
 		return Order{}, false
 	}
 	current, _ = r.order()
-	return Order{Life: r.life.ID, Fence: current.Fence}, true
+	return Order{Incarnation: r.life.ID, Fence: current.Fence}, true
 }
 
 // probe asks the worker whether it is still in a life; nil says that it is.
@@ -86,37 +86,39 @@
 
 // settleContest decides by the worker's answer which of two lives it is in, and reports whether that is the one of the heartbeat. Without
 // an answer nothing changes: the next heartbeat asks again. The lock must be held.
-func (r *Runner) settleContest(current Order, l assignment.Life, answer error) bool {
+func (r *Runner) settleContest(current Order, l assignment.WorkerState, answer error) bool {
 	switch {
-	case errors.Is(answer, ErrOtherLife):
-		if r.life != nil && r.life.ID == current.Life {
+	case errors.Is(answer, ErrOtherIncarnation):
+		if r.life != nil && r.life.ID == current.Incarnation {
 			r.endLife(answer)
 		}
 		return r.life == nil || r.life.ID == l.ID
-	case answer == nil, refused(answer) && !l.ID.SharesInstance(current.Life):
+	case answer == nil, refused(answer) && !l.ID.SharesInstance(current.Incarnation):
 		// The worker answered as the life that is known: the heartbeat is of one that has crashed. A refusal names no start, only the id.
 		r.former[l.ID] = true
-		r.parts.Logger.Info().Str("step", "runner.heartbeat").Stringer("life", l.ID).Stringer("current", current.Life).Msg("late heartbeat of a former life")
+		r.parts.Logger.Info().Str("step", "runner.heartbeat").Stringer("life", l.ID).Stringer("current", current.Incarnation).Msg("late heartbeat of a former life")
 	}
 	return false
 }
 
 // refused reports whether a worker with the id that was meant has answered, and refused the call.
-func refused(answer error) bool { return errors.Is(answer, ErrFenced) || errors.Is(answer, ErrBusy) }
+func refused(answer error) bool {
+	return errors.Is(answer, ErrFenced) || errors.Is(answer, ErrUnavailable)
+}
 
 // errLeft is why the life ends of a worker that has said that it goes.
 var errLeft = errors.New("the worker has left")
 
-// Gone takes note of a worker that says it ends. It does not say which start: where several may share an id, only one that had told that it would go is taken at its
+// Deregister takes note of a worker that says it ends. It does not say which start: where several may share an id, only one that had told that it would go is taken at its
 // word. A word of a former start that comes late would end a life that goes on, and what runs there would run twice.
-func (r *Runner) Gone(instance string) {
+func (r *Runner) Deregister(instance string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.life == nil || r.life.ID.Instance != instance {
-		r.goneBefore(life.ID{Instance: instance})
+		r.goneBefore(incarnation.ID{Instance: instance})
 		return
 	}
-	if r.life.ID.Born != 0 && !r.life.Leaving {
+	if r.life.ID.StartMillis != 0 && !r.life.Draining {
 		r.parts.Logger.Warn().Str("step", "runner.gone").Stringer("life", r.life.ID).Msg("a worker ends that has not said that it leaves; the life known goes on")
 		return
 	}
@@ -125,19 +127,19 @@
 }
 
 // goneBefore takes note of the end of a life that is not the present one. The lock must be held.
-func (r *Runner) goneBefore(id life.ID) {
+func (r *Runner) goneBefore(id incarnation.ID) {
 	if _, known := r.over[id]; !known {
-		r.former[id], r.over[id] = true, lifeEnd{LifeEnd: assignment.LifeEnd{ID: id, Left: true}, settled: true}
+		r.former[id], r.over[id] = true, lifeEnd{IncarnationEnd: assignment.IncarnationEnd{ID: id, Drained: true}, settled: true}
 	}
 }
 
 // endLife ends the present life. The lock must be held.
 func (r *Runner) endLife(why error) {
-	left := errors.Is(why, errLeft) || r.life.Leaving && !r.lastSign().Before(r.leaves)
-	end := assignment.LifeEnd{ID: r.life.ID, Left: left, Leaving: !left && r.life.Leaving, Runs: r.cutRuns(), Listed: r.listed}
+	left := errors.Is(why, errLeft) || r.life.Draining && !r.lastSign().Before(r.leaves)
+	end := assignment.IncarnationEnd{ID: r.life.ID, Drained: left, Draining: !left && r.life.Draining, Runs: r.cutRuns(), Complete: r.listed}
 	r.logLifeEnd(end, why)
 	r.metrics.lives.Inc(lifeOutcomeOf(end))
-	r.former[r.life.ID], r.over[r.life.ID] = true, lifeEnd{LifeEnd: end, at: r.lastSign(), settled: r.ordersVoid(why)}
+	r.former[r.life.ID], r.over[r.life.ID] = true, lifeEnd{IncarnationEnd: end, at: r.lastSign(), settled: r.ordersVoid(why)}
 	r.life = nil
 	r.reset()
 	var other *otherStartError
@@ -152,7 +154,7 @@
 // and started again, and a run began there that had been placed elsewhere meanwhile.
 func (r *Runner) fenceAwaited(ctx context.Context) {
 	r.mu.Lock()
-	order, generation := Order{Life: r.awaited, Fence: r.fenceOfLife()}, r.generation
+	order, generation := Order{Incarnation: r.awaited, Fence: r.fenceOfLife()}, r.generation
 	known := r.life != nil || r.awaited.IsZero() || r.fence == 0
 	r.mu.Unlock()
 	if known {
@@ -169,8 +171,8 @@
 	case errors.As(err, &other):
 		// It has started once more, and has heard the fence by this call.
 		r.awaited = other.present
-	case errors.Is(err, ErrOtherLife):
-		r.awaited = life.ID{}
+	case errors.Is(err, ErrOtherIncarnation):
+		r.awaited = incarnation.ID{}
 	}
 }
 
@@ -179,7 +181,7 @@
 // such an order out. The lock must be held.
 func (r *Runner) ordersVoid(why error) bool {
 	switch {
-	case r.life.ID.Born == 0:
+	case r.life.ID.StartMillis == 0:
 		return true
 	case errors.Is(why, errLeft):
 		return !r.doubted()
@@ -211,17 +213,17 @@
 }
 
 // cutRuns lists what is there, or may be, as far as the agent knows. The lock must be held.
-func (r *Runner) cutRuns() []assignment.CutRun {
-	var cut []assignment.CutRun
+func (r *Runner) cutRuns() []assignment.InterruptedRun {
+	var cut []assignment.InterruptedRun
 	for id, k := range r.runs {
 		if k.phase == there || k.ordered {
-			cut = append(cut, assignment.CutRun{RunID: id, Begun: k.phase == there, AgeMillis: k.ageAt(r.lastSign()).Milliseconds()})
+			cut = append(cut, assignment.InterruptedRun{RunID: id, Started: k.phase == there, AgeMillis: k.ageAt(r.lastSign()).Milliseconds()})
 		}
 	}
 	for id, begun := range r.givenUp {
-		cut = append(cut, assignment.CutRun{RunID: id, Begun: begun})
+		cut = append(cut, assignment.InterruptedRun{RunID: id, Started: begun})
 	}
-	slices.SortFunc(cut, func(a, b assignment.CutRun) int { return cmp.Compare(a.Task.String(), b.Task.String()) })
+	slices.SortFunc(cut, func(a, b assignment.InterruptedRun) int { return cmp.Compare(a.Task.String(), b.Task.String()) })
 	return cut
 }
 
@@ -235,12 +237,12 @@
 
 // logLifeEnd says how a life ended and what was there: a task that crashes its worker has begun a moment before, on each worker anew. The
 // lock must be held.
-func (r *Runner) logLifeEnd(end assignment.LifeEnd, why error) {
-	r.parts.Logger.Info().Str("step", "runner.endLife").Stringer("life", end.ID).AnErr("why", why).Bool("left", end.Left).Int("runs", len(end.Runs)).
+func (r *Runner) logLifeEnd(end assignment.IncarnationEnd, why error) {
+	r.parts.Logger.Info().Str("step", "runner.endLife").Stringer("life", end.ID).AnErr("why", why).Bool("left", end.Drained).Int("runs", len(end.Runs)).
 		Int64("silent_ms", time.Since(r.lastSign()).Milliseconds()).Msg("life is over")
 	for _, cut := range end.Runs {
-		r.parts.Logger.Info().Str("step", "runner.endLife").Stringer("life", end.ID).Bool("left", end.Left).Stringer("task", cut.Task).Int("run", cut.Run).
-			Bool("begun", cut.Begun).Int64("age_ms", cut.AgeMillis).Msg("run ended with its worker")
+		r.parts.Logger.Info().Str("step", "runner.endLife").Stringer("life", end.ID).Bool("left", end.Drained).Stringer("task", cut.Task).Int("run", cut.Run).
+			Bool("begun", cut.Started).Int64("age_ms", cut.AgeMillis).Msg("run ended with its worker")
 	}
 }
 
@@ -255,9 +257,9 @@
 
 // livesOver lists the lives whose end the present poll tells. That of a former start under the present id is told only beside the present one's list: orders
 // for the former one may have been carried out by the present one, and the leader has to see both at once. The lock must be held.
-func (r *Runner) livesOver() []assignment.LifeEnd {
-	var ends []assignment.LifeEnd
-	byName := func(a, b life.ID) int { return cmp.Compare(a.String(), b.String()) }
+func (r *Runner) livesOver() []assignment.IncarnationEnd {
+	var ends []assignment.IncarnationEnd
+	byName := func(a, b incarnation.ID) int { return cmp.Compare(a.String(), b.String()) }
 	for _, id := range slices.SortedFunc(maps.Keys(r.over), byName) {
 		e := r.over[id]
 		if !e.settled || !r.listed && r.life != nil && r.life.ID.SharesInstance(id) {
@@ -270,14 +272,14 @@
 		if !e.at.IsZero() {
 			e.SinceMillis = time.Since(e.at).Milliseconds()
 		}
-		ends = append(ends, e.LifeEnd)
+		ends = append(ends, e.IncarnationEnd)
 	}
 	return ends
 }
 
 // livesClosing lists those that are over and that the present poll does not tell. The lock must be held.
-func (r *Runner) livesClosing() []life.ID {
-	var closing []life.ID
+func (r *Runner) livesClosing() []incarnation.ID {
+	var closing []incarnation.ID
 	for id, e := range r.over {
 		if e.since == 0 {
 			closing = append(closing, id)
@@ -299,7 +301,7 @@
 
 // didNothing reports whether a start that failed surely was not carried out.
 func didNothing(err error) bool {
-	refusals := []error{ErrOtherLife, ErrFenced, ErrLate, ErrNoRoom, ErrBusy, ErrRejected}
+	refusals := []error{ErrOtherIncarnation, ErrFenced, ErrLeaseOver, ErrNoCapacity, ErrUnavailable, ErrRejected}
 	return fault.NotReached(err) || slices.ContainsFunc(refusals, func(refusal error) bool { return errors.Is(err, refusal) })
 }
 
@@ -308,13 +310,13 @@
 	service, zone, rack, labels, machine string
 }
 
-func constantsOf(l assignment.Life) constants {
+func constantsOf(l assignment.WorkerState) constants {
 	return constants{service: l.Service, zone: l.Zone, rack: l.Rack, labels: strings.Join(l.Labels, "\n"), machine: l.Machine}
 }
 
 // consistent reports whether a heartbeat says what was known before of what can't change: of the present life, and for any other one what the settings say of the
 // worker. Others than the worker may write there too; what differs is taken only once it is said twice in a row. The lock must be held.
-func (r *Runner) consistent(l assignment.Life) bool {
+func (r *Runner) consistent(l assignment.WorkerState) bool {
 	said := constantsOf(l)
 	known := r.life != nil && r.life.ID == l.ID && constantsOf(*r.life) == said
 	expected := (r.life == nil || r.life.ID != l.ID) && isOrUnknown(r.settings.Service, l.Service) && isOrUnknown(r.settings.Zone, l.Zone)
--- a/jobs/runner/metrics.go
+++ b/jobs/runner/metrics.go
@@ -25,11 +25,11 @@
 	switch {
 	case err == nil:
 		return outcomeDone
-	case errors.Is(err, ErrOtherLife):
+	case errors.Is(err, ErrOtherIncarnation):
 		return outcomeOtherLife
 	case errors.Is(err, ErrFenced):
 		return outcomeFenced
-	case errors.Is(err, ErrOld), errors.Is(err, ErrLate), errors.Is(err, ErrNoRoom), errors.Is(err, ErrBusy), errors.Is(err, ErrRejected):
+	case errors.Is(err, ErrAlreadyRan), errors.Is(err, ErrLeaseOver), errors.Is(err, ErrNoCapacity), errors.Is(err, ErrUnavailable), errors.Is(err, ErrRejected):
 		return outcomeRefused
 	}
 	return outcomeNone
@@ -43,8 +43,8 @@
 	lifeCrashed lifeOutcome = "crashed"
 )
 
-func lifeOutcomeOf(end assignment.LifeEnd) lifeOutcome {
-	if end.Left {
+func lifeOutcomeOf(end assignment.IncarnationEnd) lifeOutcome {
+	if end.Drained {
 		return lifeLeft
 	}
 	return lifeCrashed
@@ -54,7 +54,7 @@
 type metrics struct {
 	lives                       telemetry.Counters[lifeOutcome]
 	starts, stops, holds, polls telemetry.Counters[outcome]
-	ends                        telemetry.Counters[job.Ending]
+	ends                        telemetry.Counters[job.EndReason]
 	// cordoned counts starts that had to wait until it was known that the zone is not cordoned.
 	cordoned tally.Counter
 	// passedOver counts ends that count as read by their number and were not read, gone the runs that went from a list without an end.
@@ -76,7 +76,7 @@
 		unreadable: scope.Counter("rows_unreadable"),
 		passedOver: scope.Counter("ends_passed_over"), gone: scope.Counter("runs_gone_without_end"),
 		starts: counters("starts_ordered"), stops: counters("stops_ordered"), holds: counters("holds"), polls: counters("polls"),
-		ends: telemetry.NewCounters(scope, "ends_listed", "how", job.EndDone, job.EndFailed, job.EndStopped, job.EndLapsed, job.EndBroken,
-			job.EndAlone),
+		ends: telemetry.NewCounters(scope, "ends_listed", "how", job.EndDone, job.EndFailed, job.EndStopped, job.EndLeaseExpired, job.EndGangBroken,
+			job.EndGangIncomplete),
 	}
 }
--- a/jobs/runner/orders.go
+++ b/jobs/runner/orders.go
@@ -21,7 +21,7 @@
 		r.insist(s.RunID)
 		return
 	}
-	if r.life.Leaving {
+	if r.life.Draining {
 		r.refuse(assignment.Refusal{RunID: s.RunID, Reason: "the worker leaves"})
 		return
 	}
@@ -78,7 +78,7 @@
 // next one would reach the new start under the same id, again and again, and be counted by nobody. So the worker's list is asked first whether it is
 // still in the same life. Where each start has an id of its own, the order itself does that. The lock must be held.
 func (r *Runner) looked(k *known) bool {
-	if k.doubted.IsZero() || r.life == nil || r.life.ID.Born == 0 || r.listedAt.After(k.doubted) {
+	if k.doubted.IsZero() || r.life == nil || r.life.ID.StartMillis == 0 || r.listedAt.After(k.doubted) {
 		return true
 	}
 	signal(r.extend)
@@ -111,20 +111,20 @@
 	case err == nil:
 		k.phase, k.percent, k.began = there, 0, time.Now()
 		return true
-	case errors.Is(err, ErrOtherLife):
+	case errors.Is(err, ErrOtherIncarnation):
 		r.endLife(err)
 		return true
-	case errors.Is(err, ErrOld):
+	case errors.Is(err, ErrAlreadyRan):
 		// It may have been there, started by a call without an answer, and have ended: only a listing can tell.
 		r.beginStop(ctx, s.RunID, "old")
 		return true
-	case errors.Is(err, ErrNoRoom):
+	case errors.Is(err, ErrNoCapacity):
 		r.beginStop(ctx, s.RunID, "room")
 		return true
 	case errors.Is(err, ErrRejected):
 		r.beginStop(ctx, s.RunID, "rejected")
 		return true
-	case errors.Is(err, ErrBusy):
+	case errors.Is(err, ErrUnavailable):
 		if *busy++; *busy >= maxBusy {
 			r.beginStop(ctx, s.RunID, "busy")
 			return true
@@ -199,7 +199,7 @@
 		}
 		r.noteAnswer(clock, err)
 		r.parts.Logger.Info().Str("step", "runner.stop").Stringer("task", id.Task).Int("run", id.Run).Err(err).Msg("stop ordered")
-		if errors.Is(err, ErrOtherLife) {
+		if errors.Is(err, ErrOtherIncarnation) {
 			r.endLife(err)
 		}
 		r.mu.Unlock()
@@ -227,7 +227,7 @@
 	if generation != r.generation || r.runs[id] == nil {
 		return true
 	}
-	if errors.Is(err, ErrOtherLife) {
+	if errors.Is(err, ErrOtherIncarnation) {
 		r.endLife(err)
 		return true
 	}
--- a/jobs/runner/pace.go
+++ b/jobs/runner/pace.go
@@ -49,8 +49,8 @@
 	serves, fills := false, false
 	for id := range runs {
 		role := p.roles[id]
-		serves = serves || role.TargetMillis > 0
-		fills = fills || role.Fills
+		serves = serves || role.LatencyTargetMillis > 0
+		fills = fills || role.BestEffort
 	}
 	return serves && fills
 }
@@ -63,7 +63,7 @@
 	}
 	worst := 0.0
 	for id, k := range runs {
-		if target := p.roles[id].TargetMillis; target > 0 {
+		if target := p.roles[id].LatencyTargetMillis; target > 0 {
 			worst = max(worst, float64(k.gauge)/float64(target))
 		}
 	}
@@ -89,7 +89,7 @@
 		if !ok {
 			told = 100
 		}
-		if k.phase == there && p.roles[id].Fills && told != want {
+		if k.phase == there && p.roles[id].BestEffort && told != want {
 			orders[id] = want
 		}
 	}
@@ -142,7 +142,7 @@
 func (r *Runner) pace(ctx context.Context, order Order, id assignment.RunID, percent, generation int) {
 	attempt, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	clock, err := r.parts.Worker.Pace(attempt, order, id, percent)
+	clock, err := r.parts.Worker.Throttle(attempt, order, id, percent)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if generation != r.generation {
--- a/jobs/runner/reports_test.go
+++ b/jobs/runner/reports_test.go
@@ -17,11 +17,11 @@
 	within(t, func(t *testing.T, a *agent) {
 		sound, _ := a.worker.Beat()
 		odd := sound
-		odd.Service, odd.Leaving = "another", true
+		odd.Service, odd.Draining = "another", true
 		other := odd
 		other.Service = "a third"
 		for i, said := range []struct {
-			life  assignment.Life
+			life  assignment.WorkerState
 			taken bool
 		}{{odd, false}, {sound, true}, {odd, false}, {other, false}, {sound, true}, {odd, false}, {odd, true}, {sound, false}, {sound, true}} {
 			if got := a.runner.Heartbeat(t.Context(), said.life); got != said.taken {
@@ -29,8 +29,8 @@
 			}
 		}
 		time.Sleep(time.Second)
-		if p := a.leader.last(); p.Life == nil || p.Life.Service != sound.Service || p.Life.Leaving {
-			t.Errorf("after them the agent says %+v", p.Life)
+		if p := a.leader.last(); p.State == nil || p.State.Service != sound.Service || p.State.Draining {
+			t.Errorf("after them the agent says %+v", p.State)
 		}
 	})
 }
@@ -48,8 +48,8 @@
 	w.lost = lost
 }
 
-func (w *garbling) Hold(ctx context.Context, o runner.Order, until, seen int64, wait time.Duration) (runner.Listing, int64, error) {
-	l, clock, err := w.Worker.Hold(ctx, o, until, seen, wait)
+func (w *garbling) Sync(ctx context.Context, o runner.Order, until, seen int64, wait time.Duration) (runner.Listing, int64, error) {
+	l, clock, err := w.Worker.Sync(ctx, o, until, seen, wait)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.lost && err == nil && len(l.Runs) > 0 {
--- a/jobs/runner/room.go
+++ b/jobs/runner/room.go
@@ -20,14 +20,14 @@
 }
 
 // noteRoom takes note of what the worker says of its room. The lock must be held.
-func (r *Runner) noteRoom(room job.Need) {
+func (r *Runner) noteRoom(room job.Resources) {
 	r.room.told = time.Now()
-	if r.life == nil || r.life.Room == room {
+	if r.life == nil || r.life.Capacity == room {
 		return
 	}
 	r.parts.Logger.Info().Str("step", "runner.heartbeat").Stringer("life", r.life.ID).Int("cpu", room.CPU).Int("memory_mb", room.Memory).
 		Int("accelerators", room.Accelerators).Msg("worker's room has changed")
-	if !r.life.Room.Fits(room) {
+	if !r.life.Capacity.FitsIn(room) {
 		r.room.shrunk = r.sequence + 1
 	}
 }
--- a/jobs/runner/runner.go
+++ b/jobs/runner/runner.go
@@ -15,8 +15,8 @@
 	"yarrowgrade.example/yarrowgrade/internal/pause"
 	"yarrowgrade.example/yarrowgrade/internal/suspend"
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 )
 
 // Settings of a runner.
@@ -30,15 +30,15 @@
 	Lease time.Duration
 	// Drift is the most by which the worker's clock may be slow, as a share.
 	Drift float64
-	// Cordon is how long after operators cordoned the worker's availability zone something may still start.
-	Cordon time.Duration
+	// CordonWithin is how long after operators cordoned the worker's availability zone something may still start.
+	CordonWithin time.Duration
 }
 
 // startWithin is how old the proof that the zone is open may be when a start is sent. Who cordons the zone is told no sooner than the proof
 // was taken, and the start is carried out no later than its call ends, so both together stay under Cordon, less what clocks
 // and wake-ups may take.
 func (s Settings) startWithin() time.Duration {
-	return time.Duration(float64(s.Cordon)*(1-s.Drift)) - callTimeout - wakeMargin
+	return time.Duration(float64(s.CordonWithin)*(1-s.Drift)) - callTimeout - wakeMargin
 }
 
 // Leader finds the leader and carries polls to it.
@@ -47,8 +47,8 @@
 	Poll(ctx context.Context, p assignment.Poll) (assignment.Answer, error)
 }
 
-// Parts are what a runner works with.
-type Parts struct {
+// Dependencies are what a runner works with.
+type Dependencies struct {
 	Worker  Worker
 	Leader  Leader
 	Logger  zerolog.Logger
@@ -131,26 +131,26 @@
 // Runner keeps one worker running what the leader wants.
 type Runner struct {
 	settings Settings
-	parts    Parts
+	parts    Dependencies
 	metrics  metrics
 
 	mu   sync.Mutex
-	life *assignment.Life
+	life *assignment.WorkerState
 	// leaves is the earliest time at which a worker goes that leaves.
 	leaves time.Time
 	// awaited is a start of the worker that a list has told of, and that has not reported yet.
-	awaited life.ID
+	awaited incarnation.ID
 	// former are lives that are over; over are those of which the leader has not heard it yet.
-	former map[life.ID]bool
-	over   map[life.ID]lifeEnd
+	former map[incarnation.ID]bool
+	over   map[incarnation.ID]lifeEnd
 	term   int64
 	fence  int64
 	// until is the end of the lease that the leader gave.
-	until suspend.Mark
+	until suspend.Instant
 	// room is what is known of the worker's room.
 	room roomNews
 	// open is the time of the newest proof that the worker's zone is not cordoned.
-	open suspend.Mark
+	open suspend.Instant
 	// clock is the worker's clock at the time read.
 	clock  int64
 	readAt time.Time
@@ -191,9 +191,9 @@
 }
 
 // New returns a runner. Run starts it.
-func New(s Settings, p Parts) *Runner {
+func New(s Settings, p Dependencies) *Runner {
 	r := &Runner{
-		settings: s, parts: p, metrics: newMetrics(p.Metrics), former: map[life.ID]bool{}, over: map[life.ID]lifeEnd{},
+		settings: s, parts: p, metrics: newMetrics(p.Metrics), former: map[incarnation.ID]bool{}, over: map[incarnation.ID]lifeEnd{},
 		report: make(chan struct{}, 1), extend: make(chan struct{}, 1), sharing: make(chan struct{}, 1), work: conc.NewWaitGroup(),
 	}
 	r.reset()
@@ -205,7 +205,7 @@
 	r.runs, r.ends = map[assignment.RunID]*known{}, map[int64]assignment.End{}
 	r.refused, r.ended, r.givenUp = map[assignment.RunID]refusal{}, map[job.TaskName]int{}, map[assignment.RunID]bool{}
 	r.seen, r.forgotten, r.listed, r.pacer, r.room = 0, 0, false, newPacer(), roomNews{}
-	r.readAt, r.told, r.open, r.failing, r.listedAt = time.Time{}, time.Time{}, suspend.Mark{}, time.Time{}, time.Time{}
+	r.readAt, r.told, r.open, r.failing, r.listedAt = time.Time{}, time.Time{}, suspend.Instant{}, time.Time{}, time.Time{}
 	r.generation++
 }
 
@@ -265,13 +265,13 @@
 	defer r.mu.Unlock()
 	r.sequence++
 	p := assignment.Poll{
-		Worker: r.settings.Name, Agent: r.settings.Agent, Sequence: r.sequence, Term: r.term, Listed: r.listed,
-		Seen: r.seen, Wait: wait, Silent: r.life != nil && time.Since(r.answers) > silentAfter, Over: r.livesOver(), Closing: r.livesClosing(),
+		Worker: r.settings.Name, Agent: r.settings.Agent, Sequence: r.sequence, Term: r.term, Complete: r.listed,
+		AckedEnd: r.seen, Wait: wait, Unresponsive: r.life != nil && time.Since(r.answers) > silentAfter, EndedIncarnations: r.livesOver(), ClosingIncarnations: r.livesClosing(),
 		FailingMillis: r.failingFor().Milliseconds(),
 	}
 	if r.life != nil {
 		present := *r.life
-		p.Life = &present
+		p.State = &present
 	}
 	if !r.listed {
 		return p, r.generation
@@ -289,7 +289,7 @@
 }
 
 // obey takes over a leader's answer to a poll.
-func (r *Runner) obey(ctx context.Context, a assignment.Answer, sent suspend.Mark, generation int) {
+func (r *Runner) obey(ctx context.Context, a assignment.Answer, sent suspend.Instant, generation int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if a.Term < r.term {
@@ -300,26 +300,26 @@
 		// What was refused or listed under the old term is told again; the fence must reach the worker first.
 		r.term, r.room.heard = a.Term, 0
 	}
-	r.room.heard, r.base = max(r.room.heard, a.Heard), a.Base
+	r.room.heard, r.base = max(r.room.heard, a.AckedPoll), a.BasePoll
 	if a.Fence > r.fence {
 		r.fence, r.listed = a.Fence, false
 		signal(r.extend)
 	}
-	maps.DeleteFunc(r.over, func(_ life.ID, e lifeEnd) bool { return e.heardBy(a.Heard) })
+	maps.DeleteFunc(r.over, func(_ incarnation.ID, e lifeEnd) bool { return e.heardBy(a.AckedPoll) })
 	if until := sent.Add(a.Held() + a.Lease()); a.LeaseMillis > 0 && r.clockOf(until).After(r.clockOf(r.until)) {
 		r.until = until
 		signal(r.extend)
 	}
-	if generation == r.generation && a.Open {
-		r.open = r.parts.Suspension.Later(sent.Add(a.OpenAfter()), r.open)
+	if generation == r.generation && a.ZoneOpen {
+		r.open = r.parts.Suspension.Later(sent.Add(a.ZoneProofAfter()), r.open)
 	}
-	if generation != r.generation || r.life == nil || a.Life != r.life.ID {
+	if generation != r.generation || r.life == nil || a.Incarnation != r.life.ID {
 		return
 	}
-	maps.DeleteFunc(r.refused, func(_ assignment.RunID, f refusal) bool { return f.told < a.Heard })
-	if a.Seen > r.seen {
-		r.seen = a.Seen
-		maps.DeleteFunc(r.ends, func(n int64, _ assignment.End) bool { return n <= a.Seen })
+	maps.DeleteFunc(r.refused, func(_ assignment.RunID, f refusal) bool { return f.told < a.AckedPoll })
+	if a.AckedEnd > r.seen {
+		r.seen = a.AckedEnd
+		maps.DeleteFunc(r.ends, func(n int64, _ assignment.End) bool { return n <= a.AckedEnd })
 		signal(r.extend)
 	}
 	if r.pacer.assign(a.Roles); len(a.Roles) > 0 {
@@ -330,7 +330,7 @@
 			r.beginStop(ctx, id, "stopped")
 		}
 	}
-	for _, id := range a.Settle {
+	for _, id := range a.StopUnlisted {
 		if r.endedTask(id.Task, id.Run) {
 			r.insist(id)
 			continue
@@ -347,7 +347,7 @@
 	if r.life == nil || r.fence == 0 {
 		return Order{}, false
 	}
-	return Order{Life: r.life.ID, Fence: r.fenceOfLife()}, true
+	return Order{Incarnation: r.life.ID, Fence: r.fenceOfLife()}, true
 }
 
 // fenceLives is how many lives of its worker one life of an agent tells apart by fences, as a power of two. With it fences stay below 2^53, the
@@ -384,12 +384,12 @@
 }
 
 // clockOf is a moment on the steady clock of this process, less what the machine was suspended since it was marked: the leader's clock went on.
-func (r *Runner) clockOf(m suspend.Mark) time.Time { return r.parts.Suspension.Steady(m) }
+func (r *Runner) clockOf(m suspend.Instant) time.Time { return r.parts.Suspension.Monotonic(m) }
 
 // noteAnswer keeps what an answer to an order tells of the clock. One of another life is no sign of this one: a worker that had crashed before it was to
 // leave was taken for one that had left. The lock must be held.
 func (r *Runner) noteAnswer(clock int64, err error) {
-	if !errors.Is(err, ErrOtherLife) {
+	if !errors.Is(err, ErrOtherIncarnation) {
 		r.noteClock(clock)
 	}
 }
--- a/jobs/runner/runner_test.go
+++ b/jobs/runner/runner_test.go
@@ -13,9 +13,9 @@
 	"github.com/uber-go/tally/v4"
 
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
 	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
 
@@ -52,18 +52,18 @@
 		return assignment.Answer{}, context.DeadlineExceeded
 	}
 	a := o.answer
-	if o.keeps && p.Since == nil {
+	if o.keeps && p.Delta == nil {
 		o.base = max(o.base, p.Sequence)
 	}
-	a.Base = o.base
+	a.BasePoll = o.base
 	if p.Wait {
 		a.HeldMillis = 300
 	}
-	if p.Life != nil {
-		a.Life = p.Life.ID
+	if p.State != nil {
+		a.Incarnation = p.State.ID
 	}
 	if o.heard {
-		a.Heard = p.Sequence
+		a.AckedPoll = p.Sequence
 	}
 	return a, nil
 }
@@ -105,10 +105,10 @@
 // startAgent starts a runner beside a worker of two accelerators.
 func startAgent(ctx context.Context, t *testing.T, o *leader) *agent {
 	a := &agent{workers: jobtest.NewWorkers(1), leader: o}
-	a.workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{{Tasks: 1, Need: job.Need{Accelerators: 1}}}})
-	a.worker = a.workers.Add("w", "s", "z", "r", job.Need{Accelerators: 2})
-	a.runner = runner.New(runner.Settings{Name: "w", Agent: "1", Lease: lease, Drift: 0.03, Cordon: jobtest.CordonBound},
-		runner.Parts{Worker: a.worker, Leader: a.leader, Logger: zerolog.Nop(), Metrics: tally.NoopScope, Suspension: func() time.Duration { return time.Duration(suspended.Load()) }})
+	a.workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{{Tasks: 1, Resources: job.Resources{Accelerators: 1}}}})
+	a.worker = a.workers.Add("w", "s", "z", "r", job.Resources{Accelerators: 2})
+	a.runner = runner.New(runner.Settings{Name: "w", Agent: "1", Lease: lease, Drift: 0.03, CordonWithin: jobtest.CordonBound},
+		runner.Dependencies{Worker: a.worker, Leader: a.leader, Logger: zerolog.Nop(), Metrics: tally.NoopScope, Suspension: func() time.Duration { return time.Duration(suspended.Load()) }})
 	go a.workers.Run(ctx)
 	go a.runner.Run(ctx)
 	first, _ := a.worker.Beat()
@@ -119,7 +119,7 @@
 func within(t *testing.T, f func(t *testing.T, a *agent)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		a := startAgent(ctx, t, &leader{answer: assignment.Answer{Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds(), Open: true}})
+		a := startAgent(ctx, t, &leader{answer: assignment.Answer{Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds(), ZoneOpen: true}})
 		time.Sleep(time.Second)
 		f(t, a)
 		for _, b := range a.workers.Report() {
@@ -140,16 +140,16 @@
 		a.leader.set(func(answer *assignment.Answer) { answer.Start = nil })
 		time.Sleep(4 * time.Second)
 		p := a.leader.last()
-		if len(p.Runs) != 0 || len(p.Ends) != 1 || p.Ends[0].How != job.EndDone {
+		if len(p.Runs) != 0 || len(p.Ends) != 1 || p.Ends[0].Reason != job.EndDone {
 			t.Errorf("after its work: runs %+v, ends %+v", p.Runs, p.Ends)
 		}
 		time.Sleep(3 * time.Second)
 		if a.workers.AllDone(task.Job) && len(a.leader.last().Ends) != 1 {
 			t.Error("an end that is not kept was forgotten")
 		}
-		a.leader.set(func(answer *assignment.Answer) { answer.Seen = 1 })
+		a.leader.set(func(answer *assignment.Answer) { answer.AckedEnd = 1 })
 		time.Sleep(time.Second)
-		if p := a.leader.last(); len(p.Ends) != 0 || p.Seen != 1 {
+		if p := a.leader.last(); len(p.Ends) != 0 || p.AckedEnd != 1 {
 			t.Errorf("a kept end is still told: %+v", p.Ends)
 		}
 	})
@@ -184,8 +184,8 @@
 		a.leader.set(func(answer *assignment.Answer) { answer.Start = nil })
 		a.worker.SetUnreachable(true)
 		time.Sleep(4 * time.Second)
-		if p := a.leader.last(); len(p.Refused) != 0 || !p.Silent {
-			t.Errorf("after 4 s: refused %+v, silent %v", p.Refused, p.Silent)
+		if p := a.leader.last(); len(p.Refused) != 0 || !p.Unresponsive {
+			t.Errorf("after 4 s: refused %+v, silent %v", p.Refused, p.Unresponsive)
 		}
 		time.Sleep(6 * time.Second)
 		if p := a.leader.last(); len(p.Refused) != 1 || p.Refused[0].RunID != id(1) || len(p.Runs) != 0 {
@@ -205,16 +205,16 @@
 func TestRefusals(t *testing.T) {
 	tests := []struct {
 		name   string
-		room   job.Need
+		room   job.Resources
 		answer func(a *assignment.Answer)
 	}{
-		{"no room", job.Need{Accelerators: 9}, func(a *assignment.Answer) { a.Start = []assignment.Start{{RunID: id(1)}} }},
-		{"stopped before it came", job.Need{Accelerators: 1}, func(a *assignment.Answer) { a.Settle = []assignment.RunID{id(1)} }},
+		{"no room", job.Resources{Accelerators: 9}, func(a *assignment.Answer) { a.Start = []assignment.Start{{RunID: id(1)}} }},
+		{"stopped before it came", job.Resources{Accelerators: 1}, func(a *assignment.Answer) { a.StopUnlisted = []assignment.RunID{id(1)} }},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			within(t, func(t *testing.T, a *agent) {
-				a.workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{{Tasks: 1, Need: test.room}}})
+				a.workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{{Tasks: 1, Resources: test.room}}})
 				a.leader.set(test.answer)
 				time.Sleep(2 * time.Second)
 				if p := a.leader.last(); len(p.Refused) != 1 || p.Refused[0].RunID != id(1) {
@@ -255,8 +255,8 @@
 	return clock, err
 }
 
-func (l *lossy) Hold(ctx context.Context, o runner.Order, until, seen int64, wait time.Duration) (runner.Listing, int64, error) {
-	listing, clock, err := l.Worker.Hold(ctx, o, until, seen, wait)
+func (l *lossy) Sync(ctx context.Context, o runner.Order, until, seen int64, wait time.Duration) (runner.Listing, int64, error) {
+	listing, clock, err := l.Worker.Sync(ctx, o, until, seen, wait)
 	l.mu.Lock()
 	deaf := time.Now().Before(l.deaf)
 	l.mu.Unlock()
@@ -274,10 +274,10 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		workers := jobtest.NewWorkers(1)
 		workers.Work, workers.FailureShare = 200*time.Millisecond, 0
-		workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{{Tasks: 1, Need: job.Need{Accelerators: 1}}}})
-		worker := workers.Add("w", "s", "z", "r", job.Need{Accelerators: 2})
-		o := &leader{answer: assignment.Answer{Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds(), Open: true, Start: []assignment.Start{{RunID: id(1)}}}}
-		r := runner.New(runner.Settings{Name: "w", Agent: "1", Lease: lease, Drift: 0.03, Cordon: jobtest.CordonBound}, runner.Parts{
+		workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{{Tasks: 1, Resources: job.Resources{Accelerators: 1}}}})
+		worker := workers.Add("w", "s", "z", "r", job.Resources{Accelerators: 2})
+		o := &leader{answer: assignment.Answer{Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds(), ZoneOpen: true, Start: []assignment.Start{{RunID: id(1)}}}}
+		r := runner.New(runner.Settings{Name: "w", Agent: "1", Lease: lease, Drift: 0.03, CordonWithin: jobtest.CordonBound}, runner.Dependencies{
 			Worker: &lossy{Worker: worker, started: map[assignment.RunID]bool{}}, Leader: o, Logger: zerolog.Nop(), Metrics: tally.NoopScope,
 		})
 		go workers.Run(ctx)
@@ -287,7 +287,7 @@
 		time.Sleep(5 * time.Second)
 		ended := false
 		for _, p := range o.polls {
-			ended = ended || len(p.Ends) == 1 && p.Ends[0].How == job.EndDone
+			ended = ended || len(p.Ends) == 1 && p.Ends[0].Reason == job.EndDone
 			if !ended && len(p.Refused) > 0 {
 				t.Errorf("poll %d says that it did not start: %+v", p.Sequence, p.Refused)
 				break
@@ -331,8 +331,8 @@
 			t.Error("the new life must be taken and the old one not")
 		}
 		time.Sleep(time.Second)
-		if p := a.leader.last(); p.Life.ID != next.ID || len(p.Runs) != 0 || len(p.Over) != 1 || p.Over[0].ID != old.ID {
-			t.Errorf("life %v, runs %+v, over %v", p.Life.ID, p.Runs, p.Over)
+		if p := a.leader.last(); p.State.ID != next.ID || len(p.Runs) != 0 || len(p.EndedIncarnations) != 1 || p.EndedIncarnations[0].ID != old.ID {
+			t.Errorf("life %v, runs %+v, over %v", p.State.ID, p.Runs, p.EndedIncarnations)
 		}
 	})
 }
@@ -340,29 +340,29 @@
 // TestLifeEnd: where a worker goes, the agent says how, and what was there: a run that had begun with its age, one whose start got no answer, and
 // none that was never sent.
 func TestLifeEnd(t *testing.T) {
-	begun := assignment.CutRun{RunID: id(1), Begun: true, AgeMillis: 400}
+	begun := assignment.InterruptedRun{RunID: id(1), Started: true, AgeMillis: 400}
 	tests := []struct {
 		name   string
 		strike func(a *agent, instance string)
-		want   assignment.LifeEnd
+		want   assignment.IncarnationEnd
 	}{
-		{"a run crashes it", func(a *agent, _ string) { a.workers.CrashOn(task, 400*time.Millisecond, 3*time.Second) }, assignment.LifeEnd{Runs: []assignment.CutRun{begun}}},
-		{"a start crashes it", func(a *agent, _ string) { a.workers.CrashOn(task, 0, 3*time.Second) }, assignment.LifeEnd{Runs: []assignment.CutRun{{RunID: id(1)}}}},
+		{"a run crashes it", func(a *agent, _ string) { a.workers.CrashOn(task, 400*time.Millisecond, 3*time.Second) }, assignment.IncarnationEnd{Runs: []assignment.InterruptedRun{begun}}},
+		{"a start crashes it", func(a *agent, _ string) { a.workers.CrashOn(task, 0, 3*time.Second) }, assignment.IncarnationEnd{Runs: []assignment.InterruptedRun{{RunID: id(1)}}}},
 		{"it leaves", func(a *agent, instance string) {
 			time.AfterFunc(600*time.Millisecond, func() {
 				a.worker.Leave(time.Minute)
 				leaving, _ := a.worker.Beat()
 				a.runner.Heartbeat(context.Background(), leaving)
 			})
-			time.AfterFunc(700*time.Millisecond, func() { a.runner.Gone(instance); a.worker.Crash(3 * time.Second) })
-		}, assignment.LifeEnd{Left: true, Runs: []assignment.CutRun{begun}}},
-		{"it is away before the start", func(a *agent, _ string) { a.worker.CrashProcess(3 * time.Second) }, assignment.LifeEnd{}},
+			time.AfterFunc(700*time.Millisecond, func() { a.runner.Deregister(instance); a.worker.Crash(3 * time.Second) })
+		}, assignment.IncarnationEnd{Drained: true, Runs: []assignment.InterruptedRun{begun}}},
+		{"it is away before the start", func(a *agent, _ string) { a.worker.CrashProcess(3 * time.Second) }, assignment.IncarnationEnd{}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			within(t, func(t *testing.T, a *agent) {
 				present, _ := a.worker.Beat()
-				test.want.ID, test.want.Listed = present.ID, true
+				test.want.ID, test.want.Complete = present.ID, true
 				test.strike(a, present.ID.Instance)
 				a.leader.set(func(answer *assignment.Answer) { answer.Start = []assignment.Start{{RunID: id(1)}} })
 				time.Sleep(3500 * time.Millisecond)
@@ -370,15 +370,15 @@
 				a.runner.Heartbeat(t.Context(), next)
 				time.Sleep(300 * time.Millisecond)
 				p := a.leader.last()
-				if len(p.Over) != 1 {
-					t.Fatalf("the lives that are over are %+v, want %+v", p.Over, test.want)
+				if len(p.EndedIncarnations) != 1 {
+					t.Fatalf("the lives that are over are %+v, want %+v", p.EndedIncarnations, test.want)
 				}
-				p.Over[0].SinceMillis = 0
-				for i, cut := range p.Over[0].Runs {
-					p.Over[0].Runs[i].AgeMillis = cut.AgeMillis / 100 * 100
+				p.EndedIncarnations[0].SinceMillis = 0
+				for i, cut := range p.EndedIncarnations[0].Runs {
+					p.EndedIncarnations[0].Runs[i].AgeMillis = cut.AgeMillis / 100 * 100
 				}
-				if !reflect.DeepEqual(p.Over[0], test.want) {
-					t.Errorf("the life ended as %+v, want %+v", p.Over[0], test.want)
+				if !reflect.DeepEqual(p.EndedIncarnations[0], test.want) {
+					t.Errorf("the life ended as %+v, want %+v", p.EndedIncarnations[0], test.want)
 				}
 			})
 		})
@@ -394,12 +394,12 @@
 		time.Sleep(500 * time.Millisecond)
 		present, _ := a.worker.Beat()
 		late := present
-		late.ID = life.ID{Instance: "a life that the agent never knew"}
+		late.ID = incarnation.ID{Instance: "a life that the agent never knew"}
 		if a.runner.Heartbeat(t.Context(), late) {
 			t.Error("the late heartbeat was taken")
 		}
 		time.Sleep(time.Second)
-		if p := a.leader.last(); p.Life == nil || p.Life.ID != present.ID || len(p.Runs) != 1 || len(p.Over) != 0 {
+		if p := a.leader.last(); p.State == nil || p.State.ID != present.ID || len(p.Runs) != 1 || len(p.EndedIncarnations) != 0 {
 			t.Errorf("after it the agent says %+v", p)
 		}
 		if !a.runner.Heartbeat(t.Context(), present) {
@@ -412,19 +412,19 @@
 // again once it is alone.
 func TestPace(t *testing.T) {
 	within(t, func(t *testing.T, a *agent) {
-		serves := &job.Job{ID: "0000000000000011", Service: "s", Steps: []job.Step{{Tasks: 1, Lasts: true, Target: 100 * time.Millisecond}}}
-		fills := &job.Job{ID: "0000000000000012", Service: "s", Steps: []job.Step{{Tasks: 3, Fills: true}}}
+		serves := &job.Job{ID: "0000000000000011", Service: "s", Steps: []job.Step{{Tasks: 1, LongRunning: true, LatencyTarget: 100 * time.Millisecond}}}
+		fills := &job.Job{ID: "0000000000000012", Service: "s", Steps: []job.Step{{Tasks: 3, BestEffort: true}}}
 		a.workers.Work = time.Minute
 		a.workers.Expect(serves)
 		a.workers.Expect(fills)
 		var starts []assignment.Start
 		serving := assignment.RunID{Task: job.TaskName{Job: serves.ID}, Run: 1}
 		starts = append(starts, assignment.Start{RunID: serving})
-		roles := []assignment.Role{{RunID: serving, TargetMillis: 100}}
+		roles := []assignment.Role{{RunID: serving, LatencyTargetMillis: 100}}
 		for i := range 3 {
 			filling := assignment.RunID{Task: job.TaskName{Job: fills.ID, Index: i}, Run: 1}
 			starts = append(starts, assignment.Start{RunID: filling})
-			roles = append(roles, assignment.Role{RunID: filling, Fills: true})
+			roles = append(roles, assignment.Role{RunID: filling, BestEffort: true})
 		}
 		a.leader.set(func(answer *assignment.Answer) { answer.Start, answer.Roles = starts, roles })
 		time.Sleep(10 * time.Second)
@@ -484,14 +484,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				a := startAgent(ctx, t, &leader{answer: assignment.Answer{
-					Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds(), Open: test.open, OpenMillis: test.age.Milliseconds(),
+					Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds(), ZoneOpen: test.open, ZoneProofMillis: test.age.Milliseconds(),
 					Start: []assignment.Start{{RunID: id(1)}},
 				}})
 				time.Sleep(time.Second)
 				if started := a.workers.Starts > 0; started != test.started {
 					t.Errorf("started is %v, want %v", started, test.started)
 				}
-				a.leader.set(func(answer *assignment.Answer) { answer.Open, answer.OpenMillis = true, 0 })
+				a.leader.set(func(answer *assignment.Answer) { answer.ZoneOpen, answer.ZoneProofMillis = true, 0 })
 				time.Sleep(time.Second)
 				if a.workers.Starts != 1 {
 					t.Errorf("%d starts a second after the zone is known to be open, want 1", a.workers.Starts)
@@ -579,7 +579,7 @@
 		time.Sleep(500 * time.Millisecond)
 		a.worker.SetUnreachable(false)
 		life, _ := a.worker.Beat()
-		life.Room.Accelerators--
+		life.Capacity.Accelerators--
 		for range 3 {
 			a.runner.Heartbeat(t.Context(), life)
 			time.Sleep(time.Second)
--- a/jobs/runner/since.go
+++ b/jobs/runner/since.go
@@ -23,17 +23,17 @@
 		r.described = described{poll: p, at: now}
 		return p
 	}
-	return assignment.Poll{Worker: p.Worker, Agent: p.Agent, Sequence: p.Sequence, Term: p.Term, Wait: p.Wait, Since: &since}
+	return assignment.Poll{Worker: p.Worker, Agent: p.Agent, Sequence: p.Sequence, Term: p.Term, Wait: p.Wait, Delta: &since}
 }
 
 // since says how far runs have come since the newest poll that described the worker; false if more has changed, or if the leader does not have that poll. The
 // lock must be held.
-func (r *Runner) since(p assignment.Poll, now time.Time) (assignment.Since, bool) {
+func (r *Runner) since(p assignment.Poll, now time.Time) (assignment.Delta, bool) {
 	base := r.described.poll
 	if base.Sequence == 0 || base.Sequence != r.base || base.Term != p.Term || !sameButRuns(p, base) || len(p.Runs) != len(base.Runs) {
-		return assignment.Since{}, false
+		return assignment.Delta{}, false
 	}
-	s := assignment.Since{Sequence: base.Sequence, Millis: now.Sub(r.described.at).Milliseconds()}
+	s := assignment.Delta{Sequence: base.Sequence, Millis: now.Sub(r.described.at).Milliseconds()}
 	for _, b := range base.Runs {
 		i := slices.IndexFunc(p.Runs, func(run assignment.Run) bool { return run.RunID == b.RunID })
 		if i < 0 || b.Percent < 0 != (p.Runs[i].Percent < 0) || b.ListedMillis == 0 != (p.Runs[i].ListedMillis == 0) {
@@ -49,10 +49,10 @@
 
 // sameButRuns reports whether two polls say the same of a worker that stays, but for how its runs come on: what comes and goes is told in full.
 func sameButRuns(a, b assignment.Poll) bool {
-	return a.Life != nil && !a.Life.Leaving && reflect.DeepEqual(a.Life, b.Life) && a.Listed == b.Listed && a.Seen == b.Seen && plain(a) && plain(b)
+	return a.State != nil && !a.State.Draining && reflect.DeepEqual(a.State, b.State) && a.Complete == b.Complete && a.AckedEnd == b.AckedEnd && plain(a) && plain(b)
 }
 
 // plain reports whether a poll tells of no ends, refusals, ended lives or silence.
 func plain(p assignment.Poll) bool {
-	return len(p.Ends)+len(p.Refused)+len(p.Over)+len(p.Closing) == 0 && !p.Silent && p.FailingMillis == 0
+	return len(p.Ends)+len(p.Refused)+len(p.EndedIncarnations)+len(p.ClosingIncarnations) == 0 && !p.Unresponsive && p.FailingMillis == 0
 }
--- a/jobs/runner/since_test.go
+++ b/jobs/runner/since_test.go
@@ -38,16 +38,16 @@
 					t.Fatal(err)
 				}
 				// Who polls, when, and on what it builds take some 150 bytes, a percentage and its comma up to four.
-				if p.Since == nil || len(data) > 150+4*n {
+				if p.Delta == nil || len(data) > 150+4*n {
 					t.Errorf("with %d runs of which nothing but percentages changes a poll has %d bytes: %s", n, len(data), data)
 				}
 			}
-			full, ok := last.On(a.leader.described(last.Since.Sequence))
-			if !ok || len(full.Runs) != n || full.Runs[0].Percent <= 0 || full.Runs[0].Percent >= 100 || full.Life == nil || !full.Listed {
+			full, ok := last.Expand(a.leader.described(last.Delta.Sequence))
+			if !ok || len(full.Runs) != n || full.Runs[0].Percent <= 0 || full.Runs[0].Percent >= 100 || full.State == nil || !full.Complete {
 				t.Errorf("the leader understands %+v", full)
 			}
 			time.Sleep(3 * time.Second)
-			if p := a.leader.last(); p.Since != nil || len(p.Ends) != n {
+			if p := a.leader.last(); p.Delta != nil || len(p.Ends) != n {
 				t.Errorf("after %d runs have ended it is told %+v", n, p)
 			}
 		})
--- a/jobs/runner/starts_test.go
+++ b/jobs/runner/starts_test.go
@@ -36,17 +36,17 @@
 	starts []time.Time
 }
 
-func (w *recorder) Hold(ctx context.Context, o runner.Order, until, seen int64, wait time.Duration) (runner.Listing, int64, error) {
+func (w *recorder) Sync(ctx context.Context, o runner.Order, until, seen int64, wait time.Duration) (runner.Listing, int64, error) {
 	at := time.Now()
 	w.mu.Lock()
-	hold := w.Worker.Hold
+	hold := w.Worker.Sync
 	if w.garbles != nil {
-		hold = w.garbles.Hold
+		hold = w.garbles.Sync
 	}
 	busy := w.busy
 	w.mu.Unlock()
 	if busy {
-		return runner.Listing{}, 0, runner.ErrBusy
+		return runner.Listing{}, 0, runner.ErrUnavailable
 	}
 	listing, clock, err := hold(ctx, o, until, seen, wait)
 	w.mu.Lock()
@@ -87,14 +87,14 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		workers := jobtest.NewWorkers(1)
 		workers.SameID = 1
-		workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{{Tasks: 9, Need: job.Need{Accelerators: 1}}}})
+		workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{{Tasks: 9, Resources: job.Resources{Accelerators: 1}}}})
 		a := &restarting{agent: &agent{workers: workers, leader: &leader{
-			answer: assignment.Answer{Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds(), Open: true}, heard: true,
+			answer: assignment.Answer{Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds(), ZoneOpen: true}, heard: true,
 		}}}
-		a.worker = workers.Add("w", "s", "z", "r", job.Need{Accelerators: 2})
+		a.worker = workers.Add("w", "s", "z", "r", job.Resources{Accelerators: 2})
 		a.recorder = &recorder{Worker: a.worker}
-		a.runner = runner.New(runner.Settings{Name: "w", Agent: "1", Lease: lease, Drift: 0.03, Cordon: jobtest.CordonBound},
-			runner.Parts{Worker: a.recorder, Leader: a.leader, Logger: zerolog.Nop(), Metrics: tally.NoopScope})
+		a.runner = runner.New(runner.Settings{Name: "w", Agent: "1", Lease: lease, Drift: 0.03, CordonWithin: jobtest.CordonBound},
+			runner.Dependencies{Worker: a.recorder, Leader: a.leader, Logger: zerolog.Nop(), Metrics: tally.NoopScope})
 		go workers.Run(ctx)
 		go a.runner.Run(ctx)
 		a.beat(t)
@@ -106,7 +106,7 @@
 }
 
 // beat lets the worker report, and returns what it says.
-func (a *restarting) beat(t *testing.T) assignment.Life {
+func (a *restarting) beat(t *testing.T) assignment.WorkerState {
 	t.Helper()
 	said, _ := a.worker.Beat()
 	a.runner.Heartbeat(t.Context(), said)
@@ -128,7 +128,7 @@
 		a.want()
 		// The leader has kept the end, but the worker is gone before it can be told to forget it.
 		a.worker.CrashProcess(500 * time.Millisecond)
-		a.leader.set(func(answer *assignment.Answer) { answer.Seen = 1 })
+		a.leader.set(func(answer *assignment.Answer) { answer.AckedEnd = 1 })
 		crashed := time.Now()
 		time.Sleep(1200 * time.Millisecond)
 		highest := int64(0)
@@ -157,32 +157,32 @@
 		a.want(assignment.Start{RunID: id(1)})
 		time.Sleep(500 * time.Millisecond)
 		a.want()
-		a.leader.set(func(answer *assignment.Answer) { answer.Heard = 0 })
+		a.leader.set(func(answer *assignment.Answer) { answer.AckedPoll = 0 })
 		a.leader.mu.Lock()
 		a.leader.heard = false
 		a.leader.mu.Unlock()
 		former := a.beat(t)
 		a.worker.CrashProcess(200 * time.Millisecond)
 		time.Sleep(500 * time.Millisecond)
-		if p := a.leader.last(); len(p.Over) != 0 || len(p.Closing) != 1 || p.Closing[0] != former.ID {
-			t.Errorf("before the next start reports, the ends %+v are told, and closing %v", p.Over, p.Closing)
+		if p := a.leader.last(); len(p.EndedIncarnations) != 0 || len(p.ClosingIncarnations) != 1 || p.ClosingIncarnations[0] != former.ID {
+			t.Errorf("before the next start reports, the ends %+v are told, and closing %v", p.EndedIncarnations, p.ClosingIncarnations)
 		}
 		a.beat(t)
 		time.Sleep(500 * time.Millisecond)
-		if p := a.leader.last(); len(p.Over) != 1 || p.Over[0].ID != former.ID || !p.Listed {
-			t.Errorf("after it has listed, the ends %+v are told, listed %v", p.Over, p.Listed)
+		if p := a.leader.last(); len(p.EndedIncarnations) != 1 || p.EndedIncarnations[0].ID != former.ID || !p.Complete {
+			t.Errorf("after it has listed, the ends %+v are told, listed %v", p.EndedIncarnations, p.Complete)
 		}
 		// A new leader's fence has to reach the worker first; the worker gives no answer meanwhile.
 		a.worker.SetUnreachable(true)
 		a.leader.set(func(answer *assignment.Answer) { answer.Term, answer.Fence = 2, 2 })
 		time.Sleep(time.Second)
-		if p := a.leader.last(); p.Listed || len(p.Over) != 0 {
-			t.Errorf("without a list, the ends %+v are told, listed %v", p.Over, p.Listed)
+		if p := a.leader.last(); p.Complete || len(p.EndedIncarnations) != 0 {
+			t.Errorf("without a list, the ends %+v are told, listed %v", p.EndedIncarnations, p.Complete)
 		}
 		a.worker.SetUnreachable(false)
 		time.Sleep(2 * time.Second)
-		if p := a.leader.last(); len(p.Over) != 1 {
-			t.Errorf("beside the next list, the ends %+v are told, want one", p.Over)
+		if p := a.leader.last(); len(p.EndedIncarnations) != 1 {
+			t.Errorf("beside the next list, the ends %+v are told, want one", p.EndedIncarnations)
 		}
 	})
 }
@@ -217,15 +217,15 @@
 		}
 		time.Sleep(500 * time.Millisecond)
 		unborn, madeUp, back := present, present, present
-		unborn.ID.Born, madeUp.ID.Born, back.ID.Born = 0, present.ID.Born+7, former.ID.Born-7
-		for _, said := range []assignment.Life{former, unborn, madeUp, back} {
-			said.Room = job.Need{Accelerators: 1}
+		unborn.ID.StartMillis, madeUp.ID.StartMillis, back.ID.StartMillis = 0, present.ID.StartMillis+7, former.ID.StartMillis-7
+		for _, said := range []assignment.WorkerState{former, unborn, madeUp, back} {
+			said.Capacity = job.Resources{Accelerators: 1}
 			if a.runner.Heartbeat(t.Context(), said) {
 				t.Errorf("a report of %v was taken", said.ID)
 			}
 		}
 		time.Sleep(500 * time.Millisecond)
-		if p := a.leader.last(); p.Life == nil || p.Life.ID != present.ID || p.Life.Room != present.Room || !p.Listed {
+		if p := a.leader.last(); p.State == nil || p.State.ID != present.ID || p.State.Capacity != present.Capacity || !p.Complete {
 			t.Errorf("after them the agent says %+v", p)
 		}
 	})
@@ -257,8 +257,8 @@
 		former := a.beat(t)
 		a.worker.CrashProcess(100 * time.Millisecond)
 		time.Sleep(300 * time.Millisecond)
-		fresh := runner.New(runner.Settings{Name: "w", Agent: "2", Lease: lease, Drift: 0.03, Cordon: jobtest.CordonBound},
-			runner.Parts{Worker: a.recorder, Leader: &leader{answer: assignment.Answer{Term: 1, Fence: 9, LeaseMillis: lease.Milliseconds(), Open: true}}, Logger: zerolog.Nop(), Metrics: tally.NoopScope})
+		fresh := runner.New(runner.Settings{Name: "w", Agent: "2", Lease: lease, Drift: 0.03, CordonWithin: jobtest.CordonBound},
+			runner.Dependencies{Worker: a.recorder, Leader: &leader{answer: assignment.Answer{Term: 1, Fence: 9, LeaseMillis: lease.Milliseconds(), ZoneOpen: true}}, Logger: zerolog.Nop(), Metrics: tally.NoopScope})
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go fresh.Run(ctx)
@@ -278,20 +278,20 @@
 func TestGoneOfAFormerStart(t *testing.T) {
 	withRestarts(t, func(t *testing.T, a *restarting) {
 		present := a.beat(t)
-		a.runner.Gone(present.ID.Instance)
+		a.runner.Deregister(present.ID.Instance)
 		time.Sleep(500 * time.Millisecond)
-		if p := a.leader.last(); p.Life == nil || p.Life.ID != present.ID || len(p.Over) != 0 {
-			t.Errorf("after a word of a former start the agent says life %+v, over %+v", p.Life, p.Over)
+		if p := a.leader.last(); p.State == nil || p.State.ID != present.ID || len(p.EndedIncarnations) != 0 {
+			t.Errorf("after a word of a former start the agent says life %+v, over %+v", p.State, p.EndedIncarnations)
 		}
 		a.worker.Leave(time.Minute)
 		a.beat(t)
 		a.leader.mu.Lock()
 		a.leader.heard = false
 		a.leader.mu.Unlock()
-		a.runner.Gone(present.ID.Instance)
+		a.runner.Deregister(present.ID.Instance)
 		time.Sleep(500 * time.Millisecond)
-		if p := a.leader.last(); p.Life != nil || len(p.Over) != 1 || !p.Over[0].Left || p.Over[0].ID != present.ID {
-			t.Errorf("after it has left the agent says life %+v, over %+v", p.Life, p.Over)
+		if p := a.leader.last(); p.State != nil || len(p.EndedIncarnations) != 1 || !p.EndedIncarnations[0].Drained || p.EndedIncarnations[0].ID != present.ID {
+			t.Errorf("after it has left the agent says life %+v, over %+v", p.State, p.EndedIncarnations)
 		}
 	})
 }
