--- a/jobs/runner/worker.go
+++ b/jobs/runner/worker.go
@@ -21,22 +21,22 @@
 	"time"
 
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
-	"yarrowgrade.example/yarrowgrade/jobs/life"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 )
 
 // Order is what comes with each call to a worker: the life it is meant for and the fence. The call names the life's instance only, so it may be
 // carried out by a later start under the same id, which has seen no fence yet.
 type Order struct {
-	Life  life.ID
-	Fence int64
+	Incarnation incarnation.ID
+	Fence       int64
 }
 
 // Listing is what a worker says of itself.
 type Listing struct {
-	// Born is when the worker that made the list started; see life.ID.
-	Born int64
-	Runs []assignment.Run
-	Ends []assignment.End
+	// StartMillis is when the worker that made the list started; see incarnation.ID.
+	StartMillis int64
+	Runs        []assignment.Run
+	Ends        []assignment.End
 	// Unreadable says what of the list could not be read. A run that a list with such parts does not name may still be there.
 	Unreadable []error
 }
@@ -51,33 +51,33 @@
 	Start(ctx context.Context, o Order, s assignment.Start, until int64) (clock int64, err error)
 	// Stop stops a run, and makes sure that it never starts if it has not.
 	Stop(ctx context.Context, o Order, id assignment.RunID) (clock int64, err error)
-	// Pace lets a run work, and disturb others, at a share of its speed in percent.
-	Pace(ctx context.Context, o Order, id assignment.RunID, percent int) (clock int64, err error)
-	// Hold extends the lease of all runs, forgets the ends up to seen, and lists the rest. It waits for an end up to wait.
+	// Throttle lets a run work, and disturb others, at a share of its speed in percent.
+	Throttle(ctx context.Context, o Order, id assignment.RunID, percent int) (clock int64, err error)
+	// Sync extends the lease of all runs, forgets the ends up to seen, and lists the rest. It waits for an end up to wait.
 	// An until of zero extends nothing.
-	Hold(ctx context.Context, o Order, until, seen int64, wait time.Duration) (Listing, int64, error)
+	Sync(ctx context.Context, o Order, until, seen int64, wait time.Duration) (Listing, int64, error)
 }
 
 // What a worker may answer.
 var (
-	// ErrOtherLife says that the worker is in another life, and has another id.
-	ErrOtherLife = errors.New("the worker is in another life")
+	// ErrOtherIncarnation says that the worker is in another life, and has another id.
+	ErrOtherIncarnation = errors.New("the worker is in another life")
 	// ErrFenced says that the worker has heard of a higher fence.
 	ErrFenced = errors.New("the worker has heard of a higher fence")
-	// ErrOld says that the run, or a later one, has been there.
-	ErrOld = errors.New("the run has been there")
-	// ErrLate says that the lease of the order was over.
-	ErrLate = errors.New("the lease of the order was over")
-	// ErrNoRoom says that the run does not fit.
-	ErrNoRoom = errors.New("there is no room")
-	// ErrBusy says that the worker did nothing, because it is not well.
-	ErrBusy = errors.New("the worker did nothing")
+	// ErrAlreadyRan says that the run, or a later one, has been there.
+	ErrAlreadyRan = errors.New("the run has been there")
+	// ErrLeaseOver says that the lease of the order was over.
+	ErrLeaseOver = errors.New("the lease of the order was over")
+	// ErrNoCapacity says that the run does not fit.
+	ErrNoCapacity = errors.New("there is no room")
+	// ErrUnavailable says that the worker did nothing, because it is not well.
+	ErrUnavailable = errors.New("the worker did nothing")
 	// ErrRejected says that the worker will never start it as it is.
 	ErrRejected = errors.New("the worker rejects the order")
 )
 
 // otherStartError says that the worker has started again under its id: its list says so.
-type otherStartError struct{ present life.ID }
+type otherStartError struct{ present incarnation.ID }
 
 // Error implements error.
 func (e *otherStartError) Error() string {
@@ -85,15 +85,15 @@
 }
 
 // Is says that it is a case of ErrOtherLife.
-func (*otherStartError) Is(target error) bool { return target == ErrOtherLife }
+func (*otherStartError) Is(target error) bool { return target == ErrOtherIncarnation }
 
 // hold calls the worker's Hold, and checks that the start that is meant has made the list. The call can't name it, and the new start, which knows nothing of
 // what was read of the former one, must not be taken for it: ends that it counted from 1 again were passed over, and tasks that were
 // done ran once more (16 of 30 drawn days of jobtest).
 func (r *Runner) hold(ctx context.Context, o Order, until, seen int64, wait time.Duration) (Listing, int64, error) {
-	listing, clock, err := r.parts.Worker.Hold(ctx, o, until, seen, wait)
-	if err == nil && listing.Born != o.Life.Born {
-		return Listing{}, 0, &otherStartError{present: life.ID{Instance: o.Life.Instance, Born: listing.Born}}
+	listing, clock, err := r.parts.Worker.Sync(ctx, o, until, seen, wait)
+	if err == nil && listing.StartMillis != o.Incarnation.StartMillis {
+		return Listing{}, 0, &otherStartError{present: incarnation.ID{Instance: o.Incarnation.Instance, StartMillis: listing.StartMillis}}
 	}
 	return listing, clock, err
 }
--- a/jobs/topic/chase.go
+++ b/jobs/topic/chase.go
@@ -35,7 +35,7 @@
 	if try == 0 {
 		return c.log.Read(ctx, Query{From: c.next, Wait: c.wait})
 	}
-	batch, err := c.log.Read(ctx, Query{From: c.next, Brief: true})
+	batch, err := c.log.Read(ctx, Query{From: c.next, Probe: true})
 	switch {
 	case err != nil, batch.End <= c.next:
 		return batch, err
--- a/jobs/topic/golden_test.go
+++ b/jobs/topic/golden_test.go
@@ -25,19 +25,19 @@
 func TestGoldenJSON(t *testing.T) {
 	stored := topic.Stored{Record: topic.Record{Key: "c/0000000000000001", Value: []byte("1")}, Offset: 41}
 	goldentest.JSON(t, "record", stored.Record)
-	goldentest.JSON(t, "relayed", topic.Relayed{Records: []topic.Stored{stored}, End: 42, AgeMillis: 12, HeldMillis: 3})
+	goldentest.JSON(t, "relayed", topic.RelayResponse{Records: []topic.Stored{stored}, End: 42, AgeMillis: 12, HeldMillis: 3})
 }
 
 // TestGoldenRelay: the question for news, and its answer as it is given and taken.
 func TestGoldenRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := jobtest.NewLog(1)
-		source := topic.NewSource(nil)
+		source := topic.NewRelayServer(nil)
 		records := []topic.Stored{
 			{Record: topic.Record{Key: "config", Value: []byte("{}")}, Offset: 5},
 			{Record: topic.Record{Key: "zone-1"}, Offset: 6},
 		}
-		source.Take(topic.News{Records: records, Next: 7, Proof: suspend.Clock(nil).Now()})
+		source.Publish(topic.Update{Records: records, Next: 7, SyncedAt: suspend.Clock(nil).Now()})
 		goldentest.Bytes(t, "relay-answer", answerOf(source, http.MethodGet, "?from=5", ""))
 		goldentest.Bytes(t, "relay-answer-none", answerOf(source, http.MethodGet, "?from=7", ""))
 		goldentest.Bytes(t, "relay-answer-unknown", answerOf(source, http.MethodGet, "?from=4000", ""))
@@ -54,7 +54,7 @@
 			}
 		}))
 		addresses := func() []string { return []string{"10.1.0.19:7000"} }
-		relay := topic.NewRelay(log.Client("entry"), "/news", network.Client("http://agent"), addresses, zerolog.Nop())
+		relay := topic.NewRelayClient(log.Client("entry"), "/news", network.Client("http://agent"), addresses, zerolog.Nop())
 		batch, err := relay.Read(t.Context(), topic.Query{From: 5, Wait: time.Second})
 		if err != nil || !reflect.DeepEqual(batch.Records, records) || batch.End != 7 {
 			t.Errorf("the answer is taken as %+v, %v", batch, err)
--- a/jobs/topic/log.go
+++ b/jobs/topic/log.go
@@ -32,15 +32,15 @@
 	Records []Stored
 	// End is the offset that the next record will get.
 	End int64
-	// Age is how long before the read was sent it was known that there is nothing after End; zero for a read of the log itself.
-	Age time.Duration
+	// Staleness is how long before the read was sent it was known that there is nothing after End; zero for a read of the log itself.
+	Staleness time.Duration
 	// Unreadable says which records could not be read. Where the key could be, the record is among the others with the value Garbled: that there
 	// is one must not be forgotten.
 	Unreadable []error
 }
 
-// Garbled stands for a value that could not be read. No value of ours can be decoded from it.
-var Garbled = []byte{0xff}
+// CorruptValue stands for a value that could not be read. No value of ours can be decoded from it.
+var CorruptValue = []byte{0xff}
 
 // Producer lets the log drop the doubles of a writer and shut out its predecessors.
 type Producer struct {
@@ -64,8 +64,8 @@
 	// From is the offset of the first record. Wait is how long the answer may wait for it.
 	From int64
 	Wait time.Duration
-	// Brief asks for no more than a record: for finding out whether the log answers.
-	Brief bool
+	// Probe asks for no more than a record: for finding out whether the log answers.
+	Probe bool
 }
 
 // Log is the topic as the log's service offers it.
@@ -80,8 +80,8 @@
 
 // Errors that callers tell apart. After any other error an append may have been done, or may still be done.
 var (
-	// ErrRefused says that the log did nothing.
-	ErrRefused = errors.New("the log refused; nothing was done")
+	// ErrRejected says that the log did nothing.
+	ErrRejected = errors.New("the log refused; nothing was done")
 	// ErrConflict says that the topic does not end where the condition wants it.
 	ErrConflict = errors.New("the topic ends elsewhere; nothing was done")
 	// ErrFenced says that a writer of a later term has written.
@@ -90,7 +90,7 @@
 	ErrExpired = errors.New("records from this offset on are gone")
 )
 
-// NotDone reports whether err says that an append was not done and never will be.
-func NotDone(err error) bool {
-	return errors.Is(err, ErrRefused) || errors.Is(err, ErrConflict) || errors.Is(err, ErrFenced)
+// NotApplied reports whether err says that an append was not done and never will be.
+func NotApplied(err error) bool {
+	return errors.Is(err, ErrRejected) || errors.Is(err, ErrConflict) || errors.Is(err, ErrFenced)
 }
--- a/jobs/topic/metered.go
+++ b/jobs/topic/metered.go
@@ -26,7 +26,7 @@
 	switch {
 	case err == nil:
 		return resultDone
-	case errors.Is(err, ErrRefused):
+	case errors.Is(err, ErrRejected):
 		return resultRefused
 	case errors.Is(err, ErrConflict):
 		return resultConflict
@@ -46,8 +46,8 @@
 	unreadable           tally.Counter
 }
 
-// Metered returns the log with its calls counted. All topics of a process share the counters.
-func Metered(log Log, scope tally.Scope) Log {
+// WithMetrics returns the log with its calls counted. All topics of a process share the counters.
+func WithMetrics(log Log, scope tally.Scope) Log {
 	counters := func(name string) telemetry.Counters[result] {
 		return telemetry.NewCounters(scope, name, "result", resultDone, resultRefused, resultConflict, resultFenced, resultExpired, resultNone)
 	}
--- a/jobs/topic/relay.go
+++ b/jobs/topic/relay.go
@@ -32,8 +32,8 @@
 	mostRelayed = 32
 )
 
-// Relayed is what a process that reads a topic hands on: the records from an offset on, up to which one there is nothing else, and when that was proved.
-type Relayed struct {
+// RelayResponse is what a process that reads a topic hands on: the records from an offset on, up to which one there is nothing else, and when that was proved.
+type RelayResponse struct {
 	Records []Stored `json:"records,omitempty"`
 	End     int64    `json:"end"`
 	// AgeMillis is how old the proof was when the answer was given, rounded up, and HeldMillis how long the question had been held by then.
@@ -41,27 +41,27 @@
 	HeldMillis int64 `json:"held_ms"`
 }
 
-// Source keeps what a tail has read last, for handing it on.
-type Source struct {
+// RelayServer keeps what a tail has read last, for handing it on.
+type RelayServer struct {
 	clock suspend.Clock
 
 	mu      sync.Mutex
 	kept    []Stored
 	next    int64
-	proof   suspend.Mark
+	proof   suspend.Instant
 	changed chan struct{}
 }
 
-// NewSource returns a source that has nothing. The clock counts for how long the machine was suspended.
-func NewSource(clock suspend.Clock) *Source {
-	return &Source{clock: clock, changed: make(chan struct{})}
+// NewRelayServer returns a source that has nothing. The clock counts for how long the machine was suspended.
+func NewRelayServer(clock suspend.Clock) *RelayServer {
+	return &RelayServer{clock: clock, changed: make(chan struct{})}
 }
 
-// Take takes over what a tail has read.
-func (s *Source) Take(n News) {
+// Publish takes over what a tail has read.
+func (s *RelayServer) Publish(n Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n.Loaded {
+	if n.Snapshot {
 		// These are the newest of each key and not what was written one after the other.
 		s.kept = nil
 	} else {
@@ -69,8 +69,8 @@
 		s.kept = slices.Clone(s.kept[max(len(s.kept)-mostRelayed, 0):])
 	}
 	s.next = n.Next
-	if !n.Proof.IsZero() {
-		s.proof = n.Proof
+	if !n.SyncedAt.IsZero() {
+		s.proof = n.SyncedAt
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -80,18 +80,18 @@
 var errNotKept = errors.New("not kept here")
 
 // after returns what there is from an offset on, and a channel that is closed at the next news.
-func (s *Source) after(from int64) (Relayed, <-chan struct{}, error) {
+func (s *RelayServer) after(from int64) (RelayResponse, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first := s.next - int64(len(s.kept))
 	if s.proof.IsZero() || from < first || from > s.next {
-		return Relayed{}, s.changed, errNotKept
+		return RelayResponse{}, s.changed, errNotKept
 	}
-	return Relayed{Records: s.kept[from-first:], End: s.next, AgeMillis: s.clock.Since(s.proof).Milliseconds() + 1}, s.changed, nil
+	return RelayResponse{Records: s.kept[from-first:], End: s.next, AgeMillis: s.clock.Since(s.proof).Milliseconds() + 1}, s.changed, nil
 }
 
 // ServeHTTP answers GET ?from=OFFSET with Relayed, as soon as there are records, or after relayHold.
-func (s *Source) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *RelayServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
@@ -121,9 +121,9 @@
 	}
 }
 
-// Relay is a log whose news are asked from other processes that read it, as long as these have them. All else goes to the log, and so do news when nobody can be
+// RelayClient is a log whose news are asked from other processes that read it, as long as these have them. All else goes to the log, and so do news when nobody can be
 // asked, the one that was asked gives no answer, or its proof is too old. So what M processes read is read by a few from the log.
-type Relay struct {
+type RelayClient struct {
 	Log
 	path   string
 	client *http.Client
@@ -136,16 +136,16 @@
 	resting map[string]time.Time
 }
 
-var _ Log = (*Relay)(nil)
+var _ Log = (*RelayClient)(nil)
 
-// NewRelay returns a log that asks sources at their path.
-func NewRelay(log Log, path string, client *http.Client, sources func() []string, logger zerolog.Logger) *Relay {
-	return &Relay{Log: log, path: path, client: client, sources: sources, logger: logger, resting: map[string]time.Time{}}
+// NewRelayClient returns a log that asks sources at their path.
+func NewRelayClient(log Log, path string, client *http.Client, sources func() []string, logger zerolog.Logger) *RelayClient {
+	return &RelayClient{Log: log, path: path, client: client, sources: sources, logger: logger, resting: map[string]time.Time{}}
 }
 
 // Read implements Log.
-func (r *Relay) Read(ctx context.Context, q Query) (Batch, error) {
-	if q.Wait == 0 || q.Brief {
+func (r *RelayClient) Read(ctx context.Context, q Query) (Batch, error) {
+	if q.Wait == 0 || q.Probe {
 		return r.Log.Read(ctx, q)
 	}
 	sources := sample.Draw(slices.DeleteFunc(slices.Clone(r.sources()), r.rests), 1)
@@ -165,7 +165,7 @@
 }
 
 // rests reports whether a source failed a short while ago.
-func (r *Relay) rests(address string) bool {
+func (r *RelayClient) rests(address string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at, failed := r.resting[address]
@@ -177,10 +177,10 @@
 }
 
 // ask asks a source for news.
-func (r *Relay) ask(ctx context.Context, address string, from int64) (Batch, error) {
+func (r *RelayClient) ask(ctx context.Context, address string, from int64) (Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayHold+relayGrace)
 	defer cancel()
-	var a Relayed
+	var a RelayResponse
 	path := fmt.Sprintf("%s?from=%d", r.path, from)
 	if err := jsonhttp.Call(ctx, r.client, "jobstore.relay", http.MethodGet, "http://"+address, path, nil, &a); err != nil {
 		return Batch{}, err
@@ -195,5 +195,5 @@
 			return Batch{}, fault.New("jobstore.relay", address, fmt.Errorf("record %d stands at %d", i, s.Offset))
 		}
 	}
-	return Batch{Records: a.Records, End: a.End, Age: max(age, 0)}, nil
+	return Batch{Records: a.Records, End: a.End, Staleness: max(age, 0)}, nil
 }
--- a/jobs/topic/tail.go
+++ b/jobs/topic/tail.go
@@ -65,15 +65,15 @@
 	rejections atomic.Int64
 }
 
-// News is what a tail has read.
-type News struct {
+// Update is what a tail has read.
+type Update struct {
 	Records []Stored
-	// Loaded says that the records are the newest of all keys, in place of all that was read before.
-	Loaded bool
+	// Snapshot says that the records are the newest of all keys, in place of all that was read before.
+	Snapshot bool
 	// Next is the offset up to which all is known.
 	Next int64
-	// Proof is when a read was sent whose answer had nothing left to read; zero if this one had.
-	Proof suspend.Mark
+	// SyncedAt is when a read was sent whose answer had nothing left to read; zero if this one had.
+	SyncedAt suspend.Instant
 }
 
 // NewTail returns a tail of a topic that waits that long for news in a read. The name stands in its log lines.
@@ -113,8 +113,8 @@
 	return t
 }
 
-// Hurry has the next read begin at once.
-func (t *Tail) Hurry() {
+// ReadNow has the next read begin at once.
+func (t *Tail) ReadNow() {
 	select {
 	case t.hurry <- struct{}{}:
 	default:
@@ -140,7 +140,7 @@
 }
 
 // Run hands all news to take until ctx ends.
-func (t *Tail) Run(ctx context.Context, take func(News)) {
+func (t *Tail) Run(ctx context.Context, take func(Update)) {
 	for ctx.Err() == nil {
 		news, err := t.read(ctx)
 		if err != nil {
@@ -155,10 +155,10 @@
 // answered is the answer to a read that was sent at that time.
 type answered struct {
 	batch Batch
-	sent  suspend.Mark
+	sent  suspend.Instant
 }
 
-func (t *Tail) read(ctx context.Context) (News, error) {
+func (t *Tail) read(ctx context.Context) (Update, error) {
 	if !t.loaded {
 		return t.load(ctx)
 	}
@@ -176,21 +176,21 @@
 		return t.load(ctx)
 	}
 	if err != nil {
-		return News{}, err
+		return Update{}, err
 	}
 	t.next += int64(len(a.batch.Records))
-	news := News{Records: a.batch.Records, Next: t.next}
+	news := Update{Records: a.batch.Records, Next: t.next}
 	if t.next >= a.batch.End {
-		news.Proof = a.sent.Add(-a.batch.Age)
+		news.SyncedAt = a.sent.Add(-a.batch.Staleness)
 		t.proven = true
 	}
 	return news, nil
 }
 
-func (t *Tail) load(ctx context.Context) (News, error) {
+func (t *Tail) load(ctx context.Context) (Update, error) {
 	a, err := t.call(ctx, 0, func() time.Duration { return max(loadPatience, t.probeGap()) }, func(ctx context.Context, _ int) (Batch, error) { return t.log.Newest(ctx) })
 	if err != nil {
-		return News{}, err
+		return Update{}, err
 	}
 	t.next, t.loaded = a.batch.End, true
 	if bad := a.batch.Unreadable; len(bad) > 0 {
@@ -198,30 +198,30 @@
 	}
 	t.logger.Info().Str("step", "jobstore.load").Str("topic", t.name).Int("records", len(a.batch.Records)).
 		Int64("offset", a.batch.End).Msg("newest records loaded")
-	return News{Records: a.batch.Records, Loaded: true, Next: t.next}, nil
+	return Update{Records: a.batch.Records, Snapshot: true, Next: t.next}, nil
 }
 
 // call reads until there is an answer. Tries count from 0, and only the first one waits for news. Gap is the time between two of the others.
 func (t *Tail) call(ctx context.Context, wait time.Duration, gap func() time.Duration, read func(ctx context.Context, try int) (Batch, error)) (answered, error) {
-	calls := hedge.Calls[answered]{
-		Way: func(ctx context.Context, try int) (answered, error) {
+	calls := hedge.Call[answered]{
+		Attempt: func(ctx context.Context, try int) (answered, error) {
 			if try > 0 {
 				return t.try(ctx, 0, try, read)
 			}
 			return t.try(ctx, wait, try, read)
 		},
-		After: func(try int) time.Duration {
+		HedgeAfter: func(try int) time.Duration {
 			if try == silentAfter {
 				t.noteFailure(ctx, errSilent)
 			}
 			if try > 0 {
 				return gap()
 			}
-			return wait + t.latency.Patience(0)
+			return wait + t.latency.HedgeDelay(0)
 		},
-		Pause: t.probeGap(),
-		Limit: wait + readLimit,
-		Final: func(err error) bool {
+		RetryDelay: t.probeGap(),
+		Timeout:    wait + readLimit,
+		IsPermanent: func(err error) bool {
 			if errors.Is(err, ErrExpired) {
 				return true
 			}
@@ -253,7 +253,7 @@
 	batch, err := read(ctx, number)
 	if took := t.clock.Since(sent); err == nil && took >= wait {
 		// News that came while the read waited say nothing about the log's answers.
-		t.latency.Note(took - wait)
+		t.latency.Observe(took - wait)
 	}
 	return answered{batch: batch, sent: sent}, err
 }
