--- a/jobs/incarnation/incarnation.go
+++ b/jobs/incarnation/incarnation.go
@@ -1,4 +1,4 @@
-// Package life names the lives of workers.
+// Package incarnation names the incarnations of workers: single starts of a process.
 //
 // A worker may crash and start again under the id that it had. It then runs nothing, knows nothing of before, and counts its ends, its
 // reports and its clock anew. So an id alone tells nothing of what a worker knows: a number up to which its ends were read, a lease by its clock
--- a/sessions/placement/room.go
+++ b/sessions/placement/room.go
@@ -116,9 +116,6 @@
 	return &Room{topology: r.topology, free: append([]int(nil), r.free...), size: r.size}
 }
 
-// Free returns the number of usable accelerators.
-func (r *Room) Free() int { return r.free[0] }
-
 // share is a number of accelerators of one worker.
 type share struct {
 	worker int
