--- a/sessions/agent/agent.go
+++ b/sessions/agent/agent.go
@@ -1,10 +1,11 @@
-// Package agent is the process beside a target. It is the only way to the target: it admits, deduplicates, runs and
-// answers requests. It is also the member, and sometimes the leader, of the gangs on its worker.
+// Package agent is the process beside a target. It is the only way to the target: it admits,
+// deduplicates, runs and answers requests. It is also the member, and sometimes the leader, of
+// the gangs on its worker.
 //
 // # Goroutines
 //
-// One goroutine owns the gangs (control.go). One polls an entry (poll.go). Traffic runs on the goroutines of net/http
-// and shares only request.Server, which locks for itself.
+// One goroutine owns the gangs (control.go). One polls an entry (poll.go). Traffic runs on the
+// goroutines of net/http and shares only request.Server, which locks for itself.
 //
 // # Usage
 //
@@ -77,7 +78,8 @@
 	dirty   chan struct{}
 	leaving atomic.Bool
 	joined  atomic.Int64
-	// lastView is when an entry last answered a poll, in nanoseconds since 1970, for the status page.
+	// lastView is when an entry last answered a poll, in nanoseconds since 1970, for the status
+	// page.
 	lastView atomic.Int64
 	entries  *entryList
 }
@@ -110,8 +112,8 @@
 // leavePoll is how often Leave looks whether the gangs are gone.
 const leavePoll = 50 * time.Millisecond
 
-// Leave is a planned stop: no new work is taken, and it returns when all requests in flight have been answered and all
-// gangs have been moved away, or when ctx ends.
+// Leave is a planned stop: no new work is taken, and it returns when all requests in flight
+// have been answered and all gangs have been moved away, or when ctx ends.
 func (a *Agent) Leave(ctx context.Context) error {
 	a.leaving.Store(true)
 	a.admission.Leave()
@@ -132,7 +134,8 @@
 	return nil
 }
 
-// tellEntries says to every known entry that the agent is leaving. The poll says it too, but to one entry only.
+// tellEntries says to every known entry that the agent is leaving. The poll says it too, but to
+// one entry only.
 func (a *Agent) tellEntries(ctx context.Context) {
 	var wg conc.WaitGroup
 	for _, e := range a.entries.all() {
--- a/sessions/agent/config.go
+++ b/sessions/agent/config.go
@@ -23,8 +23,8 @@
 // share is a team's weight. One that is not known counts as 1, the least there is.
 func (c *config) share(team string) int { return max(1, c.shares[team]) }
 
-// with returns the configuration after a view. A view that is older than the configuration changes nothing, so that
-// what is in force never reverts.
+// with returns the configuration after a view. A view that is older than the configuration
+// changes nothing, so that what is in force never reverts.
 func (c *config) with(v membership.View) *config {
 	if v.ConfigRevision <= c.revision {
 		return c
@@ -36,7 +36,8 @@
 	return next
 }
 
-// take reads one value. The ledger has validated it; what this version can't read keeps its earlier value.
+// take reads one value. The ledger has validated it; what this version can't read keeps its
+// earlier value.
 func (c *config) take(item membership.ConfigItem) {
 	switch {
 	case item.Key == ledger.LimitsKey:
--- a/sessions/agent/control.go
+++ b/sessions/agent/control.go
@@ -15,7 +15,8 @@
 	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
-// gangs is what the agent has to do with gangs, as the control goroutine published it. It is immutable.
+// gangs is what the agent has to do with gangs, as the control goroutine published it. It is
+// immutable.
 type gangs struct {
 	members map[int64]*gang.Member
 	leaders map[int64]*gang.Leader
@@ -41,7 +42,8 @@
 	return list, stopped
 }
 
-// control owns the members and leaders. It takes in views, and lets the poll go again when something has changed.
+// control owns the members and leaders. It takes in views, and lets the poll go again when
+// something has changed.
 func (a *Agent) control(ctx context.Context) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
@@ -59,8 +61,8 @@
 	}
 }
 
-// reconcile returns the gangs after a view: it starts members for new assignments and stops those that are to stop or
-// are listed no more.
+// reconcile returns the gangs after a view: it starts members for new assignments and stops
+// those that are to stop or are listed no more.
 func (a *Agent) reconcile(ctx context.Context, wg *conc.WaitGroup, old *gangs, v membership.View) *gangs {
 	g := &gangs{members: map[int64]*gang.Member{}, leaders: map[int64]*gang.Leader{}, listed: map[int64]bool{}}
 	for _, as := range v.Assignments {
@@ -71,7 +73,8 @@
 		}
 		g.members[as.Token] = m
 		if as.Phase == ledger.Stopping || as.Token < a.joined.Load() {
-			// A token from before this incarnation joined belongs to a member that is lost; its task must end.
+			// A token from before this incarnation joined belongs to a member that is lost; its
+			// task must end.
 			m.Stop()
 		}
 		if l := a.leader(ctx, wg, old, as); l != nil {
@@ -98,7 +101,8 @@
 	return m
 }
 
-// leader returns the leader of the assignment if this worker leads it, and tells it when the gang runs.
+// leader returns the leader of the assignment if this worker leads it, and tells it when the
+// gang runs.
 func (a *Agent) leader(ctx context.Context, wg *conc.WaitGroup, old *gangs, as membership.Assignment) *gang.Leader {
 	if len(as.Members) == 0 || as.Members[0].Worker != a.settings.Worker.Name || as.Token < a.joined.Load() {
 		return nil
--- a/sessions/agent/entries.go
+++ b/sessions/agent/entries.go
@@ -12,8 +12,9 @@
 
 // Settings of an entryList.
 const (
-	// silentRest is how long an entry that said nothing is left aside while another one answers: to find out again takes
-	// 6 s. After that the agent returns to it if it comes first, so that agents spread over the entries again.
+	// silentRest is how long an entry that said nothing is left aside while another one
+	// answers: to find out again takes 6 s. After that the agent returns to it if it comes
+	// first, so that agents spread over the entries again.
 	silentRest = 30 * time.Second
 	// failedRest is the same for one that can be tried at no cost: it refused, reset or broke off.
 	failedRest = 2 * time.Second
@@ -25,7 +26,8 @@
 	settings []string
 
 	mu sync.Mutex
-	// order has those that the newest view names, in this agent's order, and then the others of the settings.
+	// order has those that the newest view names, in this agent's order, and then the others of
+	// the settings.
 	order []membership.EntryInfo
 	// resting has until when an entry that failed is left aside.
 	resting map[string]time.Time
@@ -38,8 +40,9 @@
 	return l
 }
 
-// set takes the entries that a view names. Those of the settings stay known as well: a view names only entries that were
-// alive for the one that made it, and if that one is lost next, the agent would know no other.
+// set takes the entries that a view names. Those of the settings stay known as well: a view
+// names only entries that were alive for the one that made it, and if that one is lost next,
+// the agent would know no other.
 func (l *entryList) set(named []membership.EntryInfo) {
 	var others []membership.EntryInfo
 	for _, address := range l.settings {
@@ -64,8 +67,9 @@
 	return l.order
 }
 
-// choose returns the address of the entry to ask: the first that does not rest, or if all do, the one that has rested
-// enough the soonest. It goes by addresses and not by places in the order, because each view may change the order.
+// choose returns the address of the entry to ask: the first that does not rest, or if all do,
+// the one that has rested enough the soonest. It goes by addresses and not by places in the
+// order, because each view may change the order.
 func (l *entryList) choose() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/sessions/agent/handler.go
+++ b/sessions/agent/handler.go
@@ -11,7 +11,8 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// Handler serves the agent's interface: requests from entries, beats from gang members, and its own state.
+// Handler serves the agent's interface: requests from entries, beats from gang members, and its
+// own state.
 func (a *Agent) Handler() http.Handler {
 	r := httprouter.New()
 	r.POST("/internal/requests", a.serveRequest)
--- a/sessions/agent/poll.go
+++ b/sessions/agent/poll.go
@@ -12,7 +12,8 @@
 
 // Settings of the poll.
 const (
-	// pollTimeout is how long the whole answer to a poll may take; an entry holds it for membership.PollWait.
+	// pollTimeout is how long the whole answer to a poll may take; an entry holds it for
+	// membership.PollWait.
 	pollTimeout = membership.PollWait + membership.PollIdle
 	joinTimeout = 10 * time.Second
 	sayTimeout  = 2 * time.Second
@@ -117,7 +118,8 @@
 	return nil
 }
 
-// failed handles a poll that was refused: an entry that does not know the agent wants it to join again.
+// failed handles a poll that was refused: an entry that does not know the agent wants it to
+// join again.
 func (p *poller) failed(err error) error {
 	var status *jsonhttp.StatusError
 	if errors.As(err, &status) && status.Status == http.StatusGone {
--- a/sessions/entry/avoidance.go
+++ b/sessions/entry/avoidance.go
@@ -10,13 +10,16 @@
 
 // Settings of an avoidance.
 const (
-	// suspectFor is how long an agent that did not answer well gets no new work. It doubles with each further failure.
+	// suspectFor is how long an agent that did not answer well gets no new work. It doubles
+	// with each further failure.
 	suspectFor = time.Second
 	// maxDoublings bounds that to 8 s, about as long as an agent takes to be replaced.
 	maxDoublings = 3
-	// droppedFor is how long an agent's word that it leaves counts while the ledger does not show it.
+	// droppedFor is how long an agent's word that it leaves counts while the ledger does not
+	// show it.
 	droppedFor = time.Minute
-	// maxAvoid is how many marks are kept before those that are over are dropped: 1,400 workers and some teams each.
+	// maxAvoid is how many marks are kept before those that are over are dropped: 1,400 workers
+	// and some teams each.
 	maxAvoid = 10_000
 )
 
@@ -33,7 +36,8 @@
 	until    time.Time
 }
 
-// avoidance knows which agents get no new work from this entry, and why. It is safe for concurrent use.
+// avoidance knows which agents get no new work from this entry, and why. It is safe for
+// concurrent use.
 type avoidance struct {
 	mu sync.Mutex
 	// left has until when an agent's word that it leaves counts.
@@ -92,8 +96,9 @@
 	delete(a.suspects, agent)
 }
 
-// usable reports whether an agent may get new work of a team, and whether it is a suspect. One that has been suspect and
-// has not answered since gets one request at a time, to see whether it is well again.
+// usable reports whether an agent may get new work of a team, and whether it is a suspect. One
+// that has been suspect and has not answered since gets one request at a time, to see whether
+// it is well again.
 func (a *avoidance) usable(agent incarnation, team string, inflight int) (ok, suspect bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/sessions/entry/control.go
+++ b/sessions/entry/control.go
@@ -18,8 +18,9 @@
 const (
 	// controlPeriod is how often wants are looked at that time may bring due.
 	controlPeriod = 200 * time.Millisecond
-	// decideRest is how many times longer than a decision takes the next one waits. A burst of sessions makes decisions
-	// long and changes the state all the time; without a rest nothing else would be done.
+	// decideRest is how many times longer than a decision takes the next one waits. A burst of
+	// sessions makes decisions long and changes the state all the time; without a rest nothing
+	// else would be done.
 	decideRest = 10
 	// stagger is how much longer each entry behind the preferred one waits before it proposes.
 	stagger = 700 * time.Millisecond
@@ -27,7 +28,8 @@
 	proposeTimeout = 5 * time.Second
 	// rejectedPause is how long a want rests after its proposal was rejected or failed.
 	rejectedPause = time.Second
-	// decidePeriod is how often decisions are made anew while nothing changes; waiting times grow meanwhile.
+	// decidePeriod is how often decisions are made again while nothing changes; waiting times
+	// grow meanwhile.
 	decidePeriod = 5 * time.Second
 )
 
@@ -37,7 +39,8 @@
 	at time.Time
 }
 
-// agentTable has what each agent last said. The control goroutine writes it; the status page reads it.
+// agentTable has what each agent last said. The control goroutine writes it; the status page
+// reads it.
 type agentTable struct {
 	mu     sync.Mutex
 	agents map[string]heardAgent
@@ -75,19 +78,22 @@
 type control struct {
 	entry *Entry
 	gone  map[string]bool
-	// dirty says that something has changed since the last pass; dueIn is when to pass again although nothing has.
+	// dirty says that something has changed since the last pass; dueIn is when to pass again
+	// although nothing has.
 	dirty bool
 	dueIn time.Duration
 	// since has when each want was first seen, and each preparing placement.
 	since map[string]time.Time
-	// resting has until when a want is left alone; a zero time means that its proposal is under way.
+	// resting has until when a want is left alone; a zero time means that its proposal is under
+	// way.
 	resting map[string]time.Time
 	results chan result
 	// decided are the wants of the last decision, made at decidedAt for decidedRevision.
 	decided    []want
 	decidedAt  time.Time
 	decideTook time.Duration
-	// putOff says that the last decision is out of date, and that the next one has to wait its turn.
+	// putOff says that the last decision is out of date, and that the next one has to wait its
+	// turn.
 	putOff          bool
 	decidedRevision int64
 }
@@ -182,7 +188,8 @@
 			continue
 		}
 		var p policy.Policy
-		// The ledger validated the value. What can't be read here is kept as a policy that fails to the safe side.
+		// The ledger validated the value. What can't be read here is kept as a policy that
+		// fails to the safe side.
 		if err := json.Unmarshal(entry.Value, &p); err != nil {
 			p.Name = strings.TrimPrefix(entry.Key, ledger.PolicyPrefix)
 		}
@@ -241,8 +248,9 @@
 	}
 }
 
-// nextDue returns when to look again although nothing changes: when the next decision has its turn, soon while something
-// is wanted or a gang prepares, and later for a new decision, since waiting times grow.
+// nextDue returns when to look again although nothing changes: when the next decision has its
+// turn, soon while something is wanted or a gang prepares, and later for a new decision, since
+// waiting times grow.
 func (c *control) nextDue(state ledger.State, wanted bool) time.Duration {
 	due := decidePeriod
 	if wanted || state.Preparing() {
@@ -254,7 +262,8 @@
 	return max(due, 0)
 }
 
-// due reports whether a want is to be proposed now. What any entry could propose waits for the entries preferred.
+// due reports whether a want is to be proposed now. What any entry could propose waits for the
+// entries preferred.
 func (c *control) due(w want, patience time.Duration) bool {
 	now := time.Now()
 	if until, found := c.resting[w.key]; found && (until.IsZero() || now.Before(until)) {
--- a/sessions/entry/entry.go
+++ b/sessions/entry/entry.go
@@ -1,13 +1,16 @@
-// Package entry is the process on an entry box. It takes callers' requests and operators' calls, follows the ledger,
-// decides placements and proposes them, and tells agents what is in force.
+// Package entry is the process on an entry box. It takes callers' requests and operators'
+// calls, follows the ledger, decides placements and proposes them, and tells agents what is in
+// force.
 //
-// Any number of entries run side by side. None is needed for safety: what they propose is settled by its place in the
-// log. To save work, one of them is preferred for what any could propose, and the others wait a little longer.
+// Any number of entries run side by side. None is needed for safety: what they propose is
+// settled by its place in the log. To save work, one of them is preferred for what any could
+// propose, and the others wait a little longer.
 //
 // # Goroutines
 //
-// One goroutine owns control state (control.go): it folds records in, takes in what agents report, and decides what to
-// propose. It publishes immutable values. Traffic runs on the goroutines of net/http and reads only those.
+// One goroutine owns control state (control.go): it folds records in, takes in what agents
+// report, and decides what to propose. It publishes immutable values. Traffic runs on the
+// goroutines of net/http and reads only those.
 //
 // # Usage
 //
@@ -38,7 +41,8 @@
 // Settings of an entry.
 type Settings struct {
 	Name string
-	// Region may stay empty where there is one region only. Requests stay in it while a target there can take them.
+	// Region may stay empty where there is one region only. Requests stay in it while a target
+	// there can take them.
 	Region string
 	Zone   string
 	// Address is the base URL at which agents and other entries reach this one.
@@ -108,9 +112,11 @@
 	staying context.Context
 	leave   context.CancelFunc
 	polling atomic.Pointer[pollTerm]
-	// steppedBack says that agents have been sent to entries that reach the log. Only the goroutine of the peers uses it.
+	// steppedBack says that agents have been sent to entries that reach the log. Only the
+	// goroutine of the peers uses it.
 	steppedBack bool
-	// began is when the entry was made. It stands for the time of the last snapshot while there is none.
+	// began is when the entry was made. It stands for the time of the last snapshot while there
+	// is none.
 	began time.Time
 }
 
@@ -145,7 +151,8 @@
 	return e
 }
 
-// Run follows the ledger and decides until ctx ends. These are all background jobs, with their periods:
+// Run follows the ledger and decides until ctx ends. These are all background jobs, with their
+// periods:
 //
 //	follow    the log, by long poll
 //	control   on every change, and when time brings something due
@@ -183,8 +190,8 @@
 	}
 }
 
-// Leave fails the readiness check, so that the balancer sends no more, and lets agents turn to other entries. Requests
-// are still served.
+// Leave fails the readiness check, so that the balancer sends no more, and lets agents turn to
+// other entries. Requests are still served.
 func (e *Entry) Leave() { e.leave() }
 
 func (e *Entry) isLeaving() bool { return e.staying.Err() != nil }
@@ -215,8 +222,9 @@
 	}
 }
 
-// saveIfDue writes a snapshot when enough records or time have passed since the last one. The preferred entry does it;
-// the others step in when it is overdue by half as much again for each place that they stand behind.
+// saveIfDue writes a snapshot when enough records or time have passed since the last one. The
+// preferred entry does it; the others step in when it is overdue by half as much again for each
+// place that they stand behind.
 func (e *Entry) saveIfDue(ctx context.Context) {
 	if !e.ready.Load() {
 		return
--- a/sessions/entry/operators.go
+++ b/sessions/entry/operators.go
@@ -88,7 +88,8 @@
 	return &jsonhttp.StatusError{Status: http.StatusNotFound, Message: "no " + kind + " " + strconv.Quote(name), Field: "name"}
 }
 
-// serveCreate accepts a session. It answers after the record is in the ledger; asking again for the same is no error.
+// serveCreate accepts a session. It answers after the record is in the ledger; asking again for
+// the same is no error.
 func (e *Entry) serveCreate(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var spec ledger.SessionSpec
 	if err := jsonhttp.Read(w, r, &spec); err != nil {
@@ -198,7 +199,8 @@
 // configKey is the rest of the path, which may hold a slash.
 func configKey(ps httprouter.Params) string { return strings.TrimPrefix(ps.ByName("key"), "/") }
 
-// servePut changes one entry of the configuration. A change based on another revision than the current one is refused.
+// servePut changes one entry of the configuration. A change based on another revision than the
+// current one is refused.
 func (e *Entry) servePut(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
 	var in ConfigPut
 	if err := jsonhttp.Read(w, r, &in); err != nil {
--- a/sessions/entry/peers.go
+++ b/sessions/entry/peers.go
@@ -36,7 +36,8 @@
 
 func (p peer) isAlive() bool { return !p.seen.IsZero() && time.Since(p.seen) < aliveFor }
 
-// peers knows the other entries. The platform's list of boxes is a hint; an entry counts by its own answers.
+// peers knows the other entries. The platform's list of boxes is a hint; an entry counts by its
+// own answers.
 type peers struct {
 	settings Settings
 	parts    Parts
@@ -52,8 +53,9 @@
 	return ps
 }
 
-// ping asks all known peers, and learns new ones from the platform's list. The list is asked beside the peers: if it came
-// first, an entry that is cut off the platform would take all peers for dead.
+// ping asks all known peers, and learns new ones from the platform's list. The list is asked
+// at the same time as the peers: if it came first, an entry that is cut off the platform would take all
+// peers for dead.
 func (ps *peers) ping(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
@@ -141,7 +143,8 @@
 	return 0
 }
 
-// NewerState implements ledger.PeerStates: it asks the peers in turn, those that are alive if any are.
+// NewerState implements ledger.PeerStates: it asks the peers in turn, those that are alive if
+// any are.
 func (ps *peers) NewerState(ctx context.Context, revision int64) (ledger.State, bool) {
 	addresses := ps.addresses()
 	if alive := ps.alive(); len(alive) > 0 {
--- a/sessions/entry/polls.go
+++ b/sessions/entry/polls.go
@@ -14,7 +14,8 @@
 	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
-// serveJoin records an agent's incarnation. The same incarnation may ask again when an answer was lost.
+// serveJoin records an agent's incarnation. The same incarnation may ask again when an answer
+// was lost.
 func (e *Entry) serveJoin(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var worker ledger.Worker
 	if err := jsonhttp.Read(w, r, &worker); err != nil {
@@ -38,7 +39,8 @@
 	jsonhttp.Write(w, http.StatusOK, membership.JoinAnswer{Joined: v.Offset})
 }
 
-// propose appends a record for a caller who waits, and turns a rejection into an answer with status 409.
+// propose appends a record for a caller who waits, and turns a rejection into an answer with
+// status 409.
 func (e *Entry) propose(ctx context.Context, r ledger.Record) (ledger.Verdict, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -92,8 +94,9 @@
 	return &jsonhttp.StatusError{Status: http.StatusConflict, Message: "another incarnation has replaced this one"}
 }
 
-// awaitView waits up to membership.PollWait for a view that is newer than what the poll names. If there is none, or the
-// agent is replaced meanwhile, the answer has nothing new and the agent polls again.
+// awaitView waits up to membership.PollWait for a view that is newer than what the poll names.
+// If there is none, or the agent is replaced meanwhile, the answer has nothing new and the
+// agent polls again.
 func (e *Entry) awaitView(ctx context.Context, in membership.PollRequest) membership.View {
 	ctx, cancel := context.WithTimeout(ctx, membership.PollWait)
 	defer cancel()
@@ -109,8 +112,8 @@
 	return membership.NewView(state, worker, in.ConfigRevision, e.entries())
 }
 
-// entries lists the entries that an agent should poll: those that are alive, this one too unless it leaves. If this one
-// is cut off the log and others are not, it lists only them.
+// entries lists the entries that an agent should poll: those that are alive, this one too
+// unless it leaves. If this one is cut off the log and others are not, it lists only them.
 func (e *Entry) entries() []membership.EntryInfo {
 	if e.isLeaving() {
 		return e.peers.alive()
@@ -132,9 +135,10 @@
 	return &pollTerm{ctx: ctx, end: end}
 }
 
-// stepBackIfCut ends all open polls when this entry is cut off the log and others are not. What agents report here could
-// not be recorded: gangs that are ready would not start, and work that is done would not be released. The agents turn to
-// the entries that the answers name. Those who still come, because they reach no other, are served as usual.
+// stepBackIfCut ends all open polls when this entry is cut off the log and others are not. What
+// agents report here could not be recorded: gangs that are ready would not start, and work that
+// is done would not be released. The agents turn to the entries that the answers name. Those
+// who still come, because they reach no other, are served as usual.
 func (e *Entry) stepBackIfCut() {
 	cut := e.ready.Load() && !e.log.Load().reachable && len(e.peers.withLog()) > 0
 	if cut && !e.steppedBack {
@@ -159,7 +163,8 @@
 	jsonhttp.Write(w, http.StatusOK, struct{}{})
 }
 
-// serveState hands the whole state to a peer that cannot read the log, or 204 if there is nothing newer.
+// serveState hands the whole state to a peer that cannot read the log, or 204 if there is
+// nothing newer.
 func (e *Entry) serveState(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	newerThan, err := queryNumber(r, "newer_than")
 	if err != nil {
--- a/sessions/entry/router.go
+++ b/sessions/entry/router.go
@@ -19,7 +19,8 @@
 const (
 	// noTargetRetry is when to come back where no target can take the request.
 	noTargetRetry = time.Second
-	// maxMargin is taken off the time that an agent gets, so that its answer is back before the caller's deadline.
+	// maxMargin is taken off the time that an agent gets, so that its answer is back before the
+	// caller's deadline.
 	maxMargin = 20 * time.Millisecond
 	// budgetCap is how many retries can be saved up.
 	budgetCap = 50.0
@@ -51,7 +52,8 @@
 	return key, err == nil
 }
 
-// pick chooses between two random agents of the service the one with the smaller share of its slots in use.
+// pick chooses between two random agents of the service the one with the smaller share of its
+// slots in use.
 func (r *router) pick(service, team string, tried map[string]bool) (ledger.Worker, bool) {
 	candidates := r.candidates(service, team, tried)
 	if len(candidates) == 0 {
@@ -75,9 +77,9 @@
 	return r.inflight[w.Name]
 }
 
-// candidates lists the agents of the service that may take a request of the team: those of the entry's own region, or
-// else those of the others. Suspects count only where there is no other: if all are suspect, the cause is more likely the
-// callers' deadlines than the agents.
+// candidates lists the agents of the service that may take a request of the team: those of the
+// entry's own region, or else those of the others. Suspects count only where there is no other:
+// if all are suspect, the cause is more likely the callers' deadlines than the agents.
 func (r *router) candidates(service, team string, tried map[string]bool) []ledger.Worker {
 	var near, far, suspects []ledger.Worker
 	for _, w := range r.entry.replica.State().Workers() {
@@ -122,7 +124,8 @@
 	return true
 }
 
-// route sends a request and returns its outcome. Only a request without a key is tried at more than one agent.
+// route sends a request and returns its outcome. Only a request without a key is tried at more
+// than one agent.
 func (r *router) route(ctx context.Context, call request.Call) request.Answer {
 	id := uuid.NewString()
 	deadline := time.Now().Add(time.Duration(call.DeadlineMillis) * time.Millisecond)
@@ -147,13 +150,15 @@
 	}
 	answer, err := r.send(ctx, id, call, w)
 	if err != nil {
-		// Another entry may have sent the same key, so even an agent that was not reached does not make this NotRun.
+		// Another entry may have sent the same key, so even an agent that was not reached does
+		// not make this NotRun.
 		return request.Uncertain(id, err.Error(), noTargetRetry)
 	}
 	return answer
 }
 
-// routeAnywhere tries agents until one gives a final answer, the budget is spent, or the deadline passes.
+// routeAnywhere tries agents until one gives a final answer, the budget is spent, or the
+// deadline passes.
 func (r *router) routeAnywhere(ctx context.Context, id string, call request.Call) request.Answer {
 	tried := make(map[string]bool)
 	last := request.Refusal(id, "no target of the service can take it", noTargetRetry)
@@ -181,7 +186,8 @@
 	return last
 }
 
-// attempted turns an attempt without a Done answer into an outcome, and reports whether it may have run.
+// attempted turns an attempt without a Done answer into an outcome, and reports whether it may
+// have run.
 func attempted(id string, answer request.Answer, err error) (request.Answer, bool) {
 	switch {
 	case err == nil:
@@ -215,8 +221,9 @@
 	return answer, err
 }
 
-// learn keeps new work away from agents that leave, have no room or do not answer, and from targets that do not answer in
-// time: a slow target looks like a good one until its requests time out.
+// learn keeps new work away from agents that leave, have no room or do not answer, and from
+// targets that do not answer in time: a slow target looks like a good one until its requests
+// time out.
 func (r *router) learn(w ledger.Worker, team string, answer request.Answer, err error) {
 	agent := incarnationOf(w)
 	switch {
--- a/sessions/entry/wants.go
+++ b/sessions/entry/wants.go
@@ -91,8 +91,8 @@
 	return wants
 }
 
-// worthSaving is the least work for which a record is written. With 700 gangs and a checkpoint every 10 minutes that is
-// about one record a second.
+// worthSaving is the least work for which a record is written. With 700 gangs and a checkpoint
+// every 10 minutes that is about one record a second.
 const worthSaving = time.Minute
 
 func savedProgress(state ledger.State, p ledger.Placement) time.Duration {
@@ -150,8 +150,8 @@
 	return wants
 }
 
-// decisions returns the starts and reclaims that package placement wants. While some are under way none are added,
-// because the state does not show them yet.
+// decisions returns the starts and reclaims that package placement wants. While some are under
+// way none are added, because the state does not show them yet.
 func (c *control) decisions(state ledger.State) []want {
 	for key, until := range c.resting {
 		if until.IsZero() && (strings.HasPrefix(key, "place/") || strings.HasPrefix(key, "reclaim/")) {
--- a/sessions/gang/gang.go
+++ b/sessions/gang/gang.go
@@ -2,15 +2,17 @@
 //
 // # Protocol
 //
-// The first member of a placement is its leader. Every member sends the leader a Beat with its status, and gets a Grant
-// back. The leader grants a lease only while every member's newest beat is fresh, none has failed, and the ledger says
-// that the gang runs. A member runs its task only under a lease, which counts from the moment at which it sent the beat,
-// on its own monotonic clock.
+// The first member of a placement is its leader. Every member sends the leader a Beat with its
+// status, and gets a Grant back. The leader grants a lease only while every member's newest
+// beat is fresh, none has failed, and the ledger says that the gang runs. A member runs its
+// task only under a lease, which counts from the moment at which it sent the beat, on its own
+// monotonic clock.
 //
-// No entry and no log takes part while a gang runs, so it goes on through their outages. When a member is lost at time
-// t, the leader grants until t+Fresh at the latest, and what it granted then ends by t+Fresh+Lease. The task of the lost
-// member itself runs under a lease at its worker that is never longer than what is left of the member's own, so it ends
-// by t+2·Lease even if the agent was frozen while it renewed. Timing.Bound is the larger of the two.
+// No entry and no log takes part while a gang runs, so it goes on through their outages. When a
+// member is lost at time t, the leader grants until t+Fresh at the latest, and what it granted
+// then ends by t+Fresh+Lease. The task of the lost member itself runs under a lease at its
+// worker that is never longer than what is left of the member's own, so it ends by t+2·Lease
+// even if the agent was frozen while it renewed. Timing.Bound is the larger of the two.
 //
 // # Usage
 //
@@ -37,7 +39,8 @@
 	Checkpoint time.Duration
 }
 
-// DefaultTiming is used unless the settings say otherwise. With 64 members a leader takes 32 beats a second.
+// DefaultTiming is used unless the settings say otherwise. With 64 members a leader takes 32
+// beats a second.
 func DefaultTiming() Timing {
 	return Timing{Beat: 2 * time.Second, Fresh: 5 * time.Second, Lease: 5 * time.Second, Checkpoint: 10 * time.Minute}
 }
@@ -65,7 +68,8 @@
 // Status is the stage of one member.
 type Status string
 
-// The stages of a member, in order. Failed is one that can't go on; Stopped is the end of every member.
+// The stages of a member, in order. Failed is one that can't go on; Stopped is the end of every
+// member.
 const (
 	// Preparing members wait until their accelerators are free.
 	Preparing Status = "preparing"
--- a/sessions/gang/leader.go
+++ b/sessions/gang/leader.go
@@ -60,8 +60,8 @@
 	return l.changed
 }
 
-// Beat takes in a member's beat and answers it. The answer to a member that is ready waits up to one beat for the gang
-// to run, so that a start is not late by a beat.
+// Beat takes in a member's beat and answers it. The answer to a member that is ready waits up
+// to one beat for the gang to run, so that a start is not late by a beat.
 func (l *Leader) Beat(ctx context.Context, b Beat) Grant {
 	grant, changed := l.hear(b)
 	if b.Status != Ready || grant.Run || grant.Stop {
@@ -105,7 +105,8 @@
 	return l.grant(), l.changed
 }
 
-// grant is the same for all members: run only while each of them is known to be well. The caller holds the lock.
+// grant is the same for all members: run only while each of them is known to be well. The
+// caller holds the lock.
 func (l *Leader) grant() Grant {
 	if l.failed != "" {
 		return Grant{Stop: true}
@@ -116,13 +117,15 @@
 	now := time.Now()
 	for name, m := range l.members {
 		if m.status == Ready && now.Sub(l.since) > l.timing.Fresh {
-			// Its beats arrive, but perhaps no grant reaches it: the others would run without it as long as it beats.
+			// Its beats arrive, but perhaps no grant reaches it: the others would run without
+			// it as long as it beats.
 			l.failed = "member " + name + " did not start in time"
 			l.wake()
 			return Grant{Stop: true}
 		}
 		if m.at.IsZero() || now.Sub(m.at) > l.timing.Fresh {
-			// A member that was silent this long has lapsed or is about to: its gang can't be whole again.
+			// A member that was silent this long has lapsed or is about to: its gang can't be
+			// whole again.
 			l.failed = "member " + name + " is silent"
 			l.wake()
 			return Grant{Stop: true}
--- a/sessions/gang/member.go
+++ b/sessions/gang/member.go
@@ -14,14 +14,16 @@
 // Pauses between tries.
 const (
 	prepareRetry = 100 * time.Millisecond
-	// firstRetry and beatRetry bound the pause before a beat is sent again; it doubles. The first is short, because a
-	// member often beats a moment before its leader knows of the gang.
+	// firstRetry and beatRetry bound the pause before a beat is sent again; it doubles. The
+	// first is short, because a member often beats a moment before its leader knows of the
+	// gang.
 	firstRetry = 10 * time.Millisecond
 	beatRetry  = 200 * time.Millisecond
 	stopRetry  = 300 * time.Millisecond
 )
 
-// lastCheckpoint bounds the checkpoint in front of a stop. The room is wanted back, so it is not tried twice.
+// lastCheckpoint bounds the checkpoint in front of a stop. The room is wanted back, so it is
+// not tried twice.
 const lastCheckpoint = 2 * time.Second
 
 // Link carries beats to the leader.
@@ -36,18 +38,20 @@
 	workers hosting.Workers
 	timing  Timing
 
-	// saved is when the last checkpoint was begun. Only Run's goroutine uses it; saving says that one is under way.
+	// saved is when the last checkpoint was begun. Only Run's goroutine uses it; saving says
+	// that one is under way.
 	saved  time.Time
 	saving atomic.Bool
-	// heldUntil is when the worker's lease on the task ends, by the calls that it has answered. Only Run's goroutine uses it.
+	// heldUntil is when the worker's lease on the task ends, by the calls that it has answered.
+	// Only Run's goroutine uses it.
 	heldUntil time.Time
 
 	// stopAsked is closed when the ledger says that the placement stops.
 	stopAsked chan struct{}
 	askOnce   sync.Once
 
-	// inTrace puts the calls that prepare and start the task into the trace of the session's creation. Renewals stay out
-	// of it: they go on for hours.
+	// inTrace puts the calls that prepare and start the task into the trace of the session's
+	// creation. Renewals stay out of it: they go on for hours.
 	inTrace func(context.Context) context.Context
 
 	mu       sync.Mutex
@@ -56,8 +60,9 @@
 	changed  func()
 }
 
-// NewMember returns a member that runs the task described by spec; its Lease is set for each renewal. changed is called
-// after each change of status, and must not block. inTrace returns a context within the trace of the session's creation.
+// NewMember returns a member that runs the task described by spec; its Lease is set for each
+// renewal. changed is called after each change of status, and must not block. inTrace returns a
+// context within the trace of the session's creation.
 func NewMember(spec hosting.TaskSpec, link Link, workers hosting.Workers, timing Timing, changed func(), inTrace func(context.Context) context.Context) *Member {
 	return &Member{
 		spec: spec, link: link, workers: workers, timing: timing,
@@ -91,8 +96,8 @@
 	m.mu.Unlock()
 }
 
-// Run takes the member from preparing to stopped. It returns when the worker has confirmed that the task is over, or
-// when ctx ends; in that case the task ends with its lease.
+// Run takes the member from preparing to stopped. It returns when the worker has confirmed that
+// the task is over, or when ctx ends; in that case the task ends with its lease.
 func (m *Member) Run(ctx context.Context) {
 	running, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -116,7 +121,8 @@
 	<-told
 }
 
-// tellLeader says once that this member goes on no more, so that the others need not wait for its silence.
+// tellLeader says once that this member goes on no more, so that the others need not wait for
+// its silence.
 func (m *Member) tellLeader(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, m.timing.Beat)
 	defer cancel()
@@ -200,8 +206,9 @@
 	return grant, sent, err
 }
 
-// act starts or renews the task under the lease, and reports whether the member goes on. The lease is checked before
-// each act, because the process may have been paused since the grant came.
+// act starts or renews the task under the lease, and reports whether the member goes on. The
+// lease is checked before each act, because the process may have been paused since the grant
+// came.
 func (m *Member) act(ctx context.Context, expires time.Time) bool {
 	left := time.Until(expires)
 	if left <= 0 {
@@ -245,9 +252,10 @@
 	return true
 }
 
-// renewTask renews the worker's lease, and reports whether the member goes on. Where the task is over, the worker says
-// whether it finished or lapsed. A failed call is tried again with the next beat, but only while the worker's lease lasts:
-// after that the task has ended, and the gang must not wait for the worker's word to stop the others.
+// renewTask renews the worker's lease, and reports whether the member goes on. Where the task
+// is over, the worker says whether it finished or lapsed. A failed call is tried again with the
+// next beat, but only while the worker's lease lasts: after that the task has ended, and the
+// gang must not wait for the worker's word to stop the others.
 func (m *Member) renewTask(ctx context.Context, left time.Duration) bool {
 	asked := time.Now()
 	err := m.workers.RenewTask(ctx, m.spec.Worker, m.spec.Token, left)
@@ -266,8 +274,8 @@
 // held reports whether the worker's lease lasts, as far as the member knows.
 func (m *Member) held() bool { return time.Now().Before(m.heldUntil) }
 
-// isFinished asks the worker what became of a task that runs no more: true if it has finished, or if there may still be
-// an answer in time.
+// isFinished asks the worker what became of a task that runs no more: true if it has finished,
+// or if there may still be an answer in time.
 func (m *Member) isFinished(ctx context.Context) bool {
 	tasks, err := m.workers.Tasks(ctx, m.spec.Worker)
 	if err != nil {
@@ -283,7 +291,8 @@
 	return false
 }
 
-// stop takes a checkpoint, ends the task, and makes sure that none can start later. It tries until the worker confirms.
+// stop takes a checkpoint, ends the task, and makes sure that none can start later. It tries
+// until the worker confirms.
 func (m *Member) stop(ctx context.Context) {
 	m.checkpoint(ctx, lastCheckpoint)
 	for ctx.Err() == nil {
@@ -296,7 +305,8 @@
 	}
 }
 
-// checkpoint saves the task's work if the task still runs. A task that does not is no failure: its lease is over.
+// checkpoint saves the task's work if the task still runs. A task that does not is no failure:
+// its lease is over.
 func (m *Member) checkpoint(ctx context.Context, limit time.Duration) {
 	bounded, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
--- a/sessions/hosting/platform.go
+++ b/sessions/hosting/platform.go
@@ -1,15 +1,17 @@
-// Package hosting describes what yarrowgrade asks of the platform it runs on: an append-only log, a list of boxes,
-// and workers that run tasks under leases.
+// Package hosting describes what yarrowgrade asks of the platform it runs on: an append-only
+// log, a list of boxes, and workers that run tasks under leases.
 //
-// The interfaces are small on purpose. The users' real services, or their bench, are met by one more implementation of
-// them. Two exist: Client, which speaks HTTP with JSON, and the in-memory stand-in of package standin.
+// The interfaces are small on purpose. The users' real services, or their bench, are met by one
+// more implementation of them. Two exist: Client, which speaks HTTP with JSON, and the
+// in-memory stand-in of package standin.
 //
 // # Usage
 //
 //	p := hosting.NewClient("http://127.0.0.1:7400", http.DefaultClient)
 //	offset, err := p.Append(ctx, hosting.LedgerStream, data)
 //
-// An error of Append does not say that the record was not appended: its answer may have been lost after the effect.
+// An error of Append does not say that the record was not appended: its answer may have been
+// lost after the effect.
 package hosting
 
 import (
@@ -57,9 +59,9 @@
 type Log interface {
 	// Append adds a record and returns its offset. After an error the record may still be there.
 	Append(ctx context.Context, stream string, data []byte) (int64, error)
-	// Read returns at most limit records from offset on, or from the oldest one kept if offset is zero.
-	// With none to return it waits up to wait for the first.
-	// It returns ErrExpired if the offset is no longer kept.
+	// Read returns at most limit records from offset on, or from the oldest one kept if offset
+	// is zero. With none to return it waits up to wait for the first. It returns ErrExpired if
+	// the offset is no longer kept.
 	Read(ctx context.Context, stream string, offset int64, limit int, wait time.Duration) (Batch, error)
 }
 
@@ -132,8 +134,8 @@
 
 // Workers are the platform's machines.
 type Workers interface {
-	// StartTask starts a task. A worker refuses a token older than the newest that it has seen for one of the
-	// accelerators, and an accelerator that a live task holds.
+	// StartTask starts a task. A worker refuses a token older than the newest that it has seen
+	// for one of the accelerators, and an accelerator that a live task holds.
 	StartTask(ctx context.Context, spec TaskSpec) error
 	// RenewTask extends the task's lease to the given time from now.
 	RenewTask(ctx context.Context, worker string, token int64, lease time.Duration) error
@@ -143,7 +145,8 @@
 	StopTask(ctx context.Context, worker string, token int64) error
 	// Tasks lists the tasks that the worker knows.
 	Tasks(ctx context.Context, worker string) ([]Task, error)
-	// GoneWorkers lists the workers that the platform has declared gone for good: their tasks are over.
+	// GoneWorkers lists the workers that the platform has declared gone for good: their tasks
+	// are over.
 	GoneWorkers(ctx context.Context) ([]string, error)
 }
 
--- a/sessions/ledger/config.go
+++ b/sessions/ledger/config.go
@@ -10,7 +10,8 @@
 	"yarrowgrade.example/yarrowgrade/sessions/policy"
 )
 
-// Keys of the configuration. Teams and policies have one entry for each, "team/NAME" and "policy/NAME".
+// Keys of the configuration. Teams and policies have one entry for each, "team/NAME" and
+// "policy/NAME".
 const (
 	LimitsKey    = "limits"
 	PlacementKey = "placement"
@@ -21,8 +22,8 @@
 // historyLimit is how many earlier values of an entry are kept.
 const historyLimit = 8
 
-// maxValueBytes bounds one value. At 450 changes a day and 140 agents behind an entry, values of this size would
-// be 12 KB/s; the usual team of 200 bytes makes 150 B/s.
+// maxValueBytes bounds one value. At 450 changes a day and 140 agents behind an entry, values
+// of this size would be 12 KB/s; the usual team of 200 bytes makes 150 B/s.
 const maxValueBytes = 16 << 10
 
 // Change is one value that an entry had.
@@ -105,7 +106,7 @@
 
 // Limits bound the request path.
 type Limits struct {
-	// QueueLength is how many requests wait at an agent at the most.
+	// QueueLength is the most requests that wait at an agent.
 	QueueLength int `json:"queue_length"`
 	// RetryPercent is the share of an entry's recent requests that may be sent again.
 	RetryPercent int `json:"retry_percent"`
--- a/sessions/ledger/follower.go
+++ b/sessions/ledger/follower.go
@@ -13,8 +13,9 @@
 const (
 	// readLimit is how many records one read asks for.
 	readLimit = 256
-	// readWait is how long a read waits for the next record. With readGrace it is how long the silent loss of the way to
-	// the log goes unnoticed, which has to leave time for a peer's state within the 7 s of a configuration.
+	// readWait is how long a read waits for the next record. With readGrace it is how long the
+	// silent loss of the way to the log goes unnoticed, which has to leave time for a peer's
+	// state within the 7 s of a configuration.
 	readWait = 3 * time.Second
 	// readGrace is how much longer than its wait a read may take. A link that is cut says nothing.
 	readGrace = time.Second
@@ -36,7 +37,8 @@
 	Records []hosting.Record
 	// State is a whole state from a snapshot or from a peer, if not nil.
 	State *State
-	// FromPeer says that State came from a process that is running, so that it is as new as that one's.
+	// FromPeer says that State came from a process that is running, so that it is as new as
+	// that one's.
 	FromPeer bool
 	// AtEnd says that the log had nothing more when it was read.
 	AtEnd bool
@@ -44,7 +46,8 @@
 	Err error
 }
 
-// Follower reads the log for one replica. It never guesses: where records are missing it asks for a whole state.
+// Follower reads the log for one replica. It never guesses: where records are missing it asks
+// for a whole state.
 type Follower struct {
 	log   hosting.Log
 	peers PeerStates
@@ -60,7 +63,8 @@
 // Run reads until ctx ends and hands every update to out.
 func (f *Follower) Run(ctx context.Context, out chan<- Update) {
 	f.start(ctx, out)
-	// The first reads do not wait: the process is ready when it has seen the end, and an empty log has nothing to wait for.
+	// The first reads do not wait: the process is ready when it has seen the end, and an empty
+	// log has nothing to wait for.
 	wait := time.Duration(0)
 	for ctx.Err() == nil {
 		batch, err := f.read(ctx, wait)
@@ -104,7 +108,8 @@
 	send(ctx, out, Update{State: &s, FromPeer: fromPeer})
 }
 
-// recover handles a failed read: expired records need a snapshot, and whatever failed a peer may know more.
+// recover handles a failed read: expired records need a snapshot, and whatever failed a peer
+// may know more.
 func (f *Follower) recover(ctx context.Context, out chan<- Update, err error) {
 	send(ctx, out, Update{Err: err})
 	if errors.Is(err, hosting.ErrExpired) {
--- a/sessions/ledger/placing.go
+++ b/sessions/ledger/placing.go
@@ -58,7 +58,8 @@
 	return entitlements[i].Shape, nil
 }
 
-// checkMembers checks that the members have the shape, and that every accelerator is free on a worker that stays.
+// checkMembers checks that the members have the shape, and that every accelerator is free on a
+// worker that stays.
 func (s State) checkMembers(shape placement.Shape, members []placement.Member) error {
 	count := 0
 	regions, zones, racks, names := map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}
@@ -112,9 +113,10 @@
 	return nil
 }
 
-// checkHeld checks that all guarantees can still be reclaimed as shapes after a placement that uses one. A borrowed
-// placement needs no check, because everything it holds can be taken back. Where guarantees could not be had back
-// before, such as after the loss of a worker, it must not become more.
+// checkHeld checks that all guarantees can still be reclaimed as shapes after a placement that
+// uses one. A borrowed placement needs no check, because everything it holds can be taken back.
+// Where guarantees could not be had back before, such as after the loss of a worker, it must
+// not become more.
 func (s State) checkHeld(next State) error {
 	if short := next.Shortfall(); len(short) > len(s.Shortfall()) {
 		return fault.BadField("members", "team %q could not have its guarantee of %d accelerators back", short[0].Team, short[0].Shape.Accelerators)
@@ -141,8 +143,9 @@
 	return list
 }
 
-// Shortfall returns the guarantees that could not be had back now, as shapes, from free and borrowed accelerators.
-// It is empty in a healthy system; losing workers, or guaranteeing more than there is, fills it.
+// Shortfall returns the guarantees that could not be had back now, as shapes, from free and
+// borrowed accelerators. It is empty in a healthy system; losing workers, or guaranteeing more
+// than there is, fills it.
 func (s State) Shortfall() []placement.Entitlement {
 	workers := s.PlacementWorkers()
 	borrowed := make(map[int64]bool)
@@ -207,7 +210,8 @@
 	return s.stopPlacement(offset, r.Token, r.Reason, r.For), nil
 }
 
-// stopPlacement moves a placement to Stopping. Its session keeps the token until the last member is released.
+// stopPlacement moves a placement to Stopping. Its session keeps the token until the last
+// member is released.
 func (s State) stopPlacement(offset, token int64, reason, beneficiary string) State {
 	p, found := s.placements.Get(token)
 	if !found || p.Phase == Stopping {
@@ -217,7 +221,8 @@
 	return s.withPlacement(p).touch(offset, p)
 }
 
-// placedSession returns a placement and the session that it is for, if that has not ended or moved on.
+// placedSession returns a placement and the session that it is for, if that has not ended or
+// moved on.
 func (s State) placedSession(token int64) (Placement, Session, error) {
 	p, found := s.placements.Get(token)
 	if !found {
@@ -253,8 +258,8 @@
 	return s, nil
 }
 
-// release frees one member. The gang has lost it, so the others stop as well; the last one sends the session back to
-// waiting unless it has ended.
+// release frees one member. The gang has lost it, so the others stop as well; the last one
+// sends the session back to waiting unless it has ended.
 func (s State) release(offset, at int64, r Release) (State, error) {
 	p, found := s.placements.Get(r.Token)
 	if !found {
--- a/sessions/ledger/proposer.go
+++ b/sessions/ledger/proposer.go
@@ -15,7 +15,8 @@
 const (
 	// appendTimeout bounds one append.
 	appendTimeout = 2 * time.Second
-	// settleWait is how long the proposer looks for its record after an append that failed, before it appends again.
+	// settleWait is how long the proposer looks for its record after an append that failed,
+	// before it appends again.
 	settleWait = 300 * time.Millisecond
 	// withdrawWait is how long the proposer tries to settle a record that it gives up.
 	withdrawWait = time.Second
@@ -36,8 +37,9 @@
 	return &Proposer{log: log, replica: replica, newID: uuid.NewString}
 }
 
-// Propose appends the record and returns its verdict once the replica has folded it in. If ctx ends first it withdraws
-// the record, so that the verdict is still certain whenever the log answers; else the error is ErrUnsettled.
+// Propose appends the record and returns its verdict once the replica has folded it in. If ctx
+// ends first it withdraws the record, so that the verdict is still certain whenever the log
+// answers; else the error is ErrUnsettled.
 func (p *Proposer) Propose(ctx context.Context, r Record) (Verdict, error) {
 	r = p.fill(r)
 	data, err := r.Encode()
@@ -61,7 +63,8 @@
 	return r
 }
 
-// tryAppend appends once and waits for the verdict: to the end of ctx after a good answer, a moment after a failure.
+// tryAppend appends once and waits for the verdict: to the end of ctx after a good answer, a
+// moment after a failure.
 func (p *Proposer) tryAppend(ctx context.Context, id string, data []byte) (Verdict, bool) {
 	bounded, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
@@ -85,7 +88,8 @@
 	return s.Verdict(id)
 }
 
-// withdraw settles a record that may or may not be in the log: whichever of it and the void comes first stands.
+// withdraw settles a record that may or may not be in the log: whichever of it and the void
+// comes first stands.
 func (p *Proposer) withdraw(ctx context.Context, id string) (Verdict, error) {
 	ctx, cancel := context.WithTimeout(ctx, withdrawWait)
 	defer cancel()
--- a/sessions/ledger/record.go
+++ b/sessions/ledger/record.go
@@ -1,21 +1,24 @@
 // Package ledger is the one ordered history of everything that must last or be agreed.
 //
-// An append to the platform's log is only a proposal. State.With folds the records in the order of their offsets, and
-// the verdict of a record depends on nothing but the records before it. Two proposers that race are therefore settled
-// by order, the same in every process, without a lock and without a leader.
+// An append to the platform's log is only a proposal. State.With folds the records in the order
+// of their offsets, and the verdict of a record depends on nothing but the records before it.
+// Two proposers that race are therefore settled by order, the same in every process, without a
+// lock and without a leader.
 //
 // # Usage
 //
 //	state, verdict := state.With(offset, data)
 //
-// A Follower reads the log and publishes the newest State; a Proposer appends records and waits for their verdicts.
+// A Follower reads the log and publishes the newest State; a Proposer appends records and waits
+// for their verdicts.
 //
 // # Lost answers
 //
-// Every record has an id and the revision on which it was based. The fold drops a second record with the same id. It
-// remembers the newest seenLimit ids, and rejects a record whose base is older than the oldest of them, so that a record
-// that arrives late can never take effect twice. A proposer that wants to give up appends Void with the id: whichever
-// of the two comes first stands.
+// Every record has an id and the revision on which it was based. The fold drops a second record
+// with the same id. It remembers the newest seenLimit ids, and rejects a record whose base is
+// older than the oldest of them, so that a record that arrives late can never take effect
+// twice. A proposer that wants to give up appends Void with the id: whichever of the two comes
+// first stands.
 package ledger
 
 import (
@@ -32,7 +35,8 @@
 	ID string `json:"id"`
 	// Base is the revision that the proposer had seen.
 	Base int64 `json:"base"`
-	// At is the proposer's clock in milliseconds since 1970. It is for people and for waiting times, never for order.
+	// At is the proposer's clock in milliseconds since 1970. It is for people and for waiting
+	// times, never for order.
 	At int64 `json:"at"`
 
 	Void       *Void          `json:"void,omitempty"`
@@ -78,7 +82,8 @@
 // CreateSession adds a session.
 type CreateSession struct {
 	Spec SessionSpec `json:"spec"`
-	// Trace is the W3C traceparent of the operator's call, if that was traced. It is carried to whatever runs the session.
+	// Trace is the W3C traceparent of the operator's call, if that was traced. It is carried to
+	// whatever runs the session.
 	Trace string `json:"trace,omitempty"`
 }
 
@@ -87,7 +92,8 @@
 	Session string `json:"session"`
 }
 
-// Place gives a waiting session its accelerators, all or none. The record's offset is the placement's fencing token.
+// Place gives a waiting session its accelerators, all or none. The record's offset is the
+// placement's fencing token.
 type Place struct {
 	Session  string             `json:"session"`
 	Members  []placement.Member `json:"members"`
@@ -128,7 +134,8 @@
 	Token  int64        `json:"token"`
 	Worker string       `json:"worker"`
 	Cause  ReleaseCause `json:"cause"`
-	// Progress is the work that the member's checkpoint holds, in nanoseconds; zero if there is none.
+	// Progress is the work that the member's checkpoint holds, in nanoseconds; zero if there is
+	// none.
 	Progress time.Duration `json:"progress_ns"`
 }
 
--- a/sessions/ledger/replica.go
+++ b/sessions/ledger/replica.go
@@ -14,7 +14,8 @@
 	mu      sync.Mutex
 	state   State
 	changed chan struct{}
-	// concerned has for each worker that someone waits for the channel to close when something changes for it.
+	// concerned has for each worker that someone waits for the channel to close when something
+	// changes for it.
 	concerned map[string]chan struct{}
 }
 
@@ -36,9 +37,10 @@
 	return r.state, r.changed
 }
 
-// WatchWorker returns the newest state and a channel that is closed when there is one with a newer revision of the worker
-// or of the configuration. With 1,400 workers nearly every record concerns only a few of them: waking all open polls for
-// each record made the processor time of an entry grow with the square of its agents.
+// WatchWorker returns the newest state and a channel that is closed when there is one with a
+// newer revision of the worker or of the configuration. With 1,400 workers nearly every record
+// concerns only a few of them: waking all open polls for each record made the processor time of
+// an entry grow with the square of its agents.
 func (r *Replica) WatchWorker(name string) (State, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,8 +52,8 @@
 	return r.state, c
 }
 
-// Apply folds records in and returns their verdicts. Records that are not newer than the state are passed over, and a
-// gap ends the call: the state never skips a record and never goes back.
+// Apply folds records in and returns their verdicts. Records that are not newer than the state
+// are passed over, and a gap ends the call: the state never skips a record and never goes back.
 func (r *Replica) Apply(records []hosting.Record) []Verdict {
 	state := r.State()
 	var verdicts []Verdict
@@ -83,8 +85,8 @@
 	return true
 }
 
-// publish makes the state the newest and wakes those who wait for it: of those who wait for a worker the ones touched, or
-// all of them when the configuration has changed too.
+// publish makes the state the newest and wakes those who wait for it: of those who wait for a
+// worker the ones touched, or all of them when the configuration has changed too.
 func (r *Replica) publish(s State, touched []string, all bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/sessions/ledger/session.go
+++ b/sessions/ledger/session.go
@@ -67,7 +67,8 @@
 	Token int64 `json:"token,omitempty"`
 	// Progress is the work that the last whole checkpoint holds.
 	Progress time.Duration `json:"progress_ns"`
-	// Since is when the current phase began, by the clock of the record's proposer, in milliseconds.
+	// Since is when the current phase began, by the clock of the record's proposer, in
+	// milliseconds.
 	Since int64 `json:"since"`
 	// Created is the offset of the record that created it.
 	Created int64 `json:"created"`
--- a/sessions/ledger/snapshot.go
+++ b/sessions/ledger/snapshot.go
@@ -16,11 +16,12 @@
 	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 )
 
-// chunkBytes is the size of one record of a snapshot. The platform takes some hundred appends a second; a state of
-// 1 MB compressed is then 16 appends.
+// chunkBytes is the size of one record of a snapshot. The platform takes some hundred appends a
+// second; a state of 1 MB compressed is then 16 appends.
 const chunkBytes = 64 << 10
 
-// maxStateBytes bounds a decoded state, so that a bad snapshot can't take the memory budget of 256 MB.
+// maxStateBytes bounds a decoded state, so that a bad snapshot can't take the memory budget of
+// 256 MB.
 const maxStateBytes = 64 << 20
 
 // stored is the stored form of a State.
@@ -130,8 +131,8 @@
 	Data     []byte `json:"data"`
 }
 
-// WriteSnapshot appends the whole state to the snapshot stream, in chunks. A snapshot that is cut short is ignored by
-// readers, and so is a chunk that was appended twice.
+// WriteSnapshot appends the whole state to the snapshot stream, in chunks. A snapshot that is
+// cut short is ignored by readers, and so is a chunk that was appended twice.
 func WriteSnapshot(ctx context.Context, log hosting.Log, writer string, s State) error {
 	data, err := EncodeState(s)
 	if err != nil {
@@ -187,7 +188,8 @@
 	return newest, nil
 }
 
-// collect adds a chunk and returns the state if its snapshot is whole now. Unreadable chunks are passed over.
+// collect adds a chunk and returns the state if its snapshot is whole now. Unreadable chunks
+// are passed over.
 func collect(parts map[snapshotKey]map[int][]byte, data []byte) (State, bool) {
 	var c chunk
 	if err := fault.Decode(data, &c); err != nil || c.Index < 0 || c.Index >= c.Total {
--- a/sessions/ledger/state.go
+++ b/sessions/ledger/state.go
@@ -12,8 +12,9 @@
 	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
-// seenLimit is how many ids the fold remembers. At the design size a day has about 750 jobs of some ten records, 450
-// configuration changes and 200 joins and leaves, so this many cover most of a day.
+// seenLimit is how many ids the fold remembers. At the design size a day has about 750 jobs of
+// some ten records, 450 configuration changes and 200 joins and leaves, so this many cover most
+// of a day.
 const seenLimit = 8192
 
 // endedLimit is how many ended sessions the state keeps for operators to look at.
@@ -57,11 +58,13 @@
 // ConfigRevision is the offset of the last accepted change of the configuration.
 func (s State) ConfigRevision() int64 { return s.configRevision }
 
-// Saved returns the revision of the newest snapshot, and when it was taken by its writer's clock, in milliseconds.
+// Saved returns the revision of the newest snapshot, and when it was taken by its writer's
+// clock, in milliseconds.
 func (s State) Saved() (revision, at int64) { return s.savedRevision, s.savedAt }
 
-// With folds one record in. The offset must be the next one; a reader that has a gap must load a snapshot instead.
-// An unreadable record changes nothing but the revision, in every process alike.
+// With folds one record in. The offset must be the next one; a reader that has a gap must load
+// a snapshot instead. An unreadable record changes nothing but the revision, in every process
+// alike.
 func (s State) With(offset int64, data []byte) (State, Verdict) {
 	s.revision, s.touched = offset, nil
 	r, err := DecodeRecord(data)
@@ -87,8 +90,9 @@
 	return next.withSeen(r.ID, verdict), verdict
 }
 
-// void settles an id that has not come: a record that brings it later is a duplicate. Only the settled id is
-// remembered, not that of the void record itself, because settling an id twice does no harm.
+// void settles an id that has not come: a record that brings it later is a duplicate. Only the
+// settled id is remembered, not that of the void record itself, because settling an id twice
+// does no harm.
 func (s State) void(offset int64, r Record) (State, Verdict) {
 	if _, found := s.seen.Get(r.Void.ID); !found {
 		s = s.withSeen(r.Void.ID, Verdict{Offset: offset, ID: r.Void.ID, Status: Rejected, Reason: "given up by its proposer"})
@@ -198,8 +202,8 @@
 	return s
 }
 
-// Touched names the workers that the last record changed something for, some perhaps twice. A change of the
-// configuration concerns all workers and names none.
+// Touched names the workers that the last record changed something for, some perhaps twice. A
+// change of the configuration concerns all workers and names none.
 func (s State) Touched() []string { return s.touched }
 
 func (w Worker) held() bool {
@@ -329,7 +333,8 @@
 	return list
 }
 
-// Age is the time between a proposer's clock reading, in milliseconds, and now. It is never negative.
+// Age is the time between a proposer's clock reading, in milliseconds, and now. It is never
+// negative.
 func Age(since int64, now time.Time) time.Duration {
 	return max(0, now.Sub(time.UnixMilli(since)))
 }
--- a/sessions/ledger/worker.go
+++ b/sessions/ledger/worker.go
@@ -34,7 +34,8 @@
 	Joined int64 `json:"joined,omitempty"`
 	// Holders has the token on each accelerator, zero where it is free. The fold owns it.
 	Holders []int64 `json:"holders,omitempty"`
-	// Revision is the offset of the last record that changed something for this worker. The fold owns it.
+	// Revision is the offset of the last record that changed something for this worker. The
+	// fold owns it.
 	Revision int64 `json:"revision,omitempty"`
 }
 
--- a/sessions/membership/poll.go
+++ b/sessions/membership/poll.go
@@ -1,13 +1,16 @@
-// Package membership holds what agents and entries tell each other about who is there and what is in force.
+// Package membership holds what agents and entries tell each other about who is there and what
+// is in force.
 //
-// An agent holds one open poll at an entry. The poll says what the agent has and what has become of its gangs; the
-// answer says what is newer. Both sides name revisions, so that nothing is lost when a poll or its answer is, and
-// nothing goes back: an agent refuses a view older than its own.
+// An agent holds one open poll at an entry. The poll says what the agent has and what has
+// become of its gangs; the answer says what is newer. Both sides name revisions, so that
+// nothing is lost when a poll or its answer is, and nothing goes back: an agent refuses a view
+// older than its own.
 //
 // # Usage
 //
-// The agent sends a PollRequest to POST /internal/poll and gets a View; an entry that has nothing newer answers after
-// PollWait with the same revisions, and keeps the connection alive until then.
+// The agent sends a PollRequest to POST /internal/poll and gets a View; an entry that has
+// nothing newer answers after PollWait with the same revisions, and keeps the connection alive
+// until then.
 package membership
 
 import (
@@ -18,10 +21,11 @@
 	"yarrowgrade.example/yarrowgrade/sessions/ledger"
 )
 
-// The pace of an open poll. An entry with nothing newer to tell holds it for PollWait, and sends a newline every
-// KeepAlive meanwhile. An agent that gets nothing for PollIdle turns to another entry, so that the silent loss of an
-// entry's box delays a configuration by less than the 7 s in which it has to be in force. A newline costs an entry a
-// fraction of a new poll, which is why the hold is long.
+// The pace of an open poll. An entry with nothing newer to tell holds it for PollWait, and
+// sends a newline every KeepAlive meanwhile. An agent that gets nothing for PollIdle turns to
+// another entry, so that the silent loss of an entry's box delays a configuration by less than
+// the 7 s in which it has to be in force. A newline costs an entry a fraction of a new poll,
+// which is why the hold is long.
 const (
 	PollWait  = 30 * time.Second
 	KeepAlive = 2500 * time.Millisecond
@@ -39,7 +43,8 @@
 type PollRequest struct {
 	Worker      string `json:"worker"`
 	Incarnation string `json:"incarnation"`
-	// Revision is that of the last view; ConfigRevision that of the configuration in force at the agent.
+	// Revision is that of the last view; ConfigRevision that of the configuration in force at
+	// the agent.
 	Revision       int64 `json:"revision"`
 	ConfigRevision int64 `json:"config_revision"`
 	// Leaving says that the agent takes no new work.
@@ -108,7 +113,8 @@
 	Entries     []EntryInfo  `json:"entries,omitempty"`
 }
 
-// NewView returns what a worker should have, with the configuration that is newer than configRevision.
+// NewView returns what a worker should have, with the configuration that is newer than
+// configRevision.
 func NewView(s ledger.State, worker ledger.Worker, configRevision int64, entries []EntryInfo) View {
 	v := View{Revision: worker.Revision, ConfigRevision: s.ConfigRevision(), Entries: entries}
 	for _, e := range s.Config() {
--- a/sessions/membership/status.go
+++ b/sessions/membership/status.go
@@ -43,8 +43,9 @@
 	Error string `json:"error,omitempty"`
 }
 
-// EntryOrder sorts entries for an agent: those of its zone first, then those of its region, and among equals in the
-// agent's own order, so that agents spread over entries and each has the same second choice all the time.
+// EntryOrder sorts entries for an agent: those of its zone first, then those of its region, and
+// among equals in the agent's own order, so that agents spread over entries and each has the
+// same second choice all the time.
 func EntryOrder(worker, region, zone string, entries []EntryInfo) []EntryInfo {
 	distance := func(e EntryInfo) int {
 		switch {
--- a/sessions/placement/decide.go
+++ b/sessions/placement/decide.go
@@ -7,11 +7,13 @@
 
 // Profile weighs the measures against each other.
 type Profile struct {
-	// Reservations is how many waiting gangs may hold room back at once; zero turns reservations off.
+	// Reservations is how many waiting gangs may hold room back at once; zero turns
+	// reservations off.
 	Reservations int `json:"reservations"`
 	// ReserveFrom is the smallest number of accelerators for which room is held back.
 	ReserveFrom int `json:"reserve_from"`
-	// ShortFirst is how much an hour of estimated run time counts against a session, in waiting time.
+	// ShortFirst is how much an hour of estimated run time counts against a session, in waiting
+	// time.
 	ShortFirst time.Duration `json:"short_first_ns"`
 	// LargeShortFirst replaces ShortFirst for gangs of ReserveFrom accelerators and more.
 	LargeShortFirst time.Duration `json:"large_short_first_ns"`
@@ -30,13 +32,14 @@
 	ScoreBest  Scoring = "best"
 )
 
-// CompletionProfile puts completion time first: short work goes ahead, and one large gang at a time has room held back.
-// docs/MEASUREMENTS.md has the figures that chose the values.
+// CompletionProfile puts completion time first: short work goes ahead, and one large gang at a
+// time has room held back. docs/MEASUREMENTS.md has the figures that chose the values.
 func CompletionProfile() Profile {
 	return Profile{Reservations: 1, ReserveFrom: 8, ShortFirst: 20 * time.Hour, LargeShortFirst: 210 * time.Minute}
 }
 
-// FragmentationProfile puts fragmentation first: large gangs go ahead, and two at a time have room held back.
+// FragmentationProfile puts fragmentation first: large gangs go ahead, and two at a time have
+// room held back.
 func FragmentationProfile() Profile {
 	return Profile{Reservations: 2, ReserveFrom: 8, ShortFirst: 20 * time.Hour}
 }
@@ -57,8 +60,8 @@
 	decisions   []Decision
 	// awaiting has the sessions for which placements are being stopped.
 	awaiting map[string]bool
-	// noRoom has searches that found no room since the room last changed, so the same one is in vain again. Most of the
-	// sessions that wait in a full system ask for one of a few shapes.
+	// noRoom has searches that found no room since the room last changed, so the same one is in
+	// vain again. Most of the sessions that wait in a full system ask for one of a few shapes.
 	noRoom map[search]bool
 }
 
@@ -68,8 +71,8 @@
 	reserved uint64
 }
 
-// Decide returns what to do now. It starts sessions where there is room, takes borrowed room back for guaranteed and
-// urgent sessions, and holds room back for large gangs that wait.
+// Decide returns what to do now. It starts sessions where there is room, takes borrowed room
+// back for guaranteed and urgent sessions, and holds room back for large gangs that wait.
 func Decide(input Input, profile Profile) []Decision {
 	d := newDecider(input, profile)
 	for _, w := range d.order() {
@@ -121,9 +124,10 @@
 	return found && p.Borrowed
 }
 
-// order sorts the waiting sessions: those with an unused guarantee first, the urgent ones among them ahead, then other
-// urgent ones, then the rest by priority. A guarantee goes before urgency: else urgent sessions of others would take
-// the room that an owner has just got back, for ever.
+// order sorts the waiting sessions: those with an unused guarantee first, the urgent ones among
+// them ahead, then other urgent ones, then the rest by priority. A guarantee goes before
+// urgency: else urgent sessions of others would take the room that an owner has just got back,
+// for ever.
 func (d *decider) order() []Waiting {
 	list := append([]Waiting(nil), d.input.Waiting...)
 	class := func(w Waiting) int {
@@ -156,8 +160,8 @@
 	return list
 }
 
-// priority is the waiting time, less for long work. Gangs for which room is held back lose less by it: they are few, and
-// would otherwise wait behind every short job.
+// priority is the waiting time, less for long work. Gangs for which room is held back lose less
+// by it: they are few, and would otherwise wait behind every short job.
 func (d *decider) priority(w Waiting) time.Duration {
 	malus := d.profile.ShortFirst
 	if w.Shape.Accelerators >= d.profile.ReserveFrom {
@@ -171,7 +175,8 @@
 	return UnusedEntitlement(d.entitlements, w.Team, w.Shape)
 }
 
-// UnusedEntitlement returns the index of the loosest unused guarantee of the team that covers the shape, or -1.
+// UnusedEntitlement returns the index of the loosest unused guarantee of the team that covers
+// the shape, or -1.
 func UnusedEntitlement(list []Entitlement, team string, shape Shape) int {
 	found := -1
 	for i, e := range list {
--- a/sessions/placement/explain.go
+++ b/sessions/placement/explain.go
@@ -9,7 +9,8 @@
 // explainHolders is how many holders an explanation names.
 const explainHolders = 8
 
-// Explain says why a waiting session does not start: what is short, who holds it, and what would free it.
+// Explain says why a waiting session does not start: what is short, who holds it, and what
+// would free it.
 func Explain(input Input, profile Profile, session string) []string {
 	d := newDecider(input, profile)
 	var w Waiting
@@ -57,7 +58,8 @@
 	return fmt.Sprintf("Team %s has no unused guarantee for this shape, so it waits for free room.", w.Team)
 }
 
-// mostReclaimable returns the domain large enough for the session in which the most accelerators are free or borrowed.
+// mostReclaimable returns the domain large enough for the session in which the most
+// accelerators are free or borrowed.
 func (d *decider) mostReclaimable(w Waiting) int {
 	found := -1
 	for _, at := range d.topology.domains(w.Shape.Adjacency) {
--- a/sessions/placement/placement.go
+++ b/sessions/placement/placement.go
@@ -1,12 +1,15 @@
-// Package placement is the decision core: which waiting session starts where, and what has to be taken back for it.
+// Package placement is the decision core: which waiting session starts where, and what has to
+// be taken back for it.
 //
-// Everything here is a pure function of its arguments. There is no clock, no I/O and no random source, so that the same
-// input gives the same decisions in every process, and a test or an experiment can call it directly.
+// Everything here is a pure function of its arguments. There is no clock, no I/O and no random
+// source, so that the same input gives the same decisions in every process, and a test or an
+// experiment can call it directly.
 //
 // # Terms
 //
-// A Shape is a number of accelerators with an adjacency. A Guarantee gives a team a number of shapes that it can have
-// back at any time. A placement that uses a guarantee of its team is held; any other is borrowed, and yields.
+// A Shape is a number of accelerators with an adjacency. A Guarantee gives a team a number of
+// shapes that it can have back at any time. A placement that uses a guarantee of its team is
+// held; any other is borrowed, and yields.
 //
 // # Usage
 //
@@ -23,8 +26,8 @@
 // Adjacency says how close the accelerators of a shape must be to each other.
 type Adjacency string
 
-// The adjacencies, from the loosest to the tightest. AnyPlace is anywhere in one region: regions lose each other for
-// minutes, and a gang that spans two would stop each time.
+// The adjacencies, from the loosest to the tightest. AnyPlace is anywhere in one region:
+// regions lose each other for minutes, and a gang that spans two would stop each time.
 const (
 	AnyPlace   Adjacency = "any"
 	SameZone   Adjacency = "zone"
@@ -74,9 +77,10 @@
 	return regionLevel
 }
 
-// Covers reports whether a guarantee of the shape s serves a session of the other shape: one of the same size that asks
-// for no closer adjacency. The session is then placed as s says. A smaller one is not served, because its end would have
-// to leave room for the whole of s, which nothing would have kept together.
+// Covers reports whether a guarantee of the shape s serves a session of the other shape: one of
+// the same size that asks for no closer adjacency. The session is then placed as s says. A
+// smaller one is not served, because its end would have to leave room for the whole of s, which
+// nothing would have kept together.
 func (s Shape) Covers(other Shape) bool {
 	return s.Accelerators == other.Accelerators && s.Adjacency.tightness() >= other.Adjacency.tightness()
 }
@@ -112,7 +116,8 @@
 	Shape   Shape
 	// Borrowed placements yield to guarantees and to urgent work.
 	Borrowed bool
-	// Urgent placements yield to guarantees only: two urgent sessions would otherwise take from each other for ever.
+	// Urgent placements yield to guarantees only: two urgent sessions would otherwise take from
+	// each other for ever.
 	Urgent bool
 	// Stopping placements release their accelerators soon.
 	Stopping bool
--- a/sessions/placement/reclaim.go
+++ b/sessions/placement/reclaim.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// reclaim takes back borrowed placements until the session fits. It picks the domain that loses the least.
+// reclaim takes back borrowed placements until the session fits. It picks the domain that loses
+// the least.
 func (d *decider) reclaim(w Waiting) bool {
 	var victims []*Running
 	lowest, node := yieldCost{}, -1
@@ -32,7 +33,8 @@
 	return true
 }
 
-// awaitVictims keeps the room together that is being made for the session, and reports whether it will be enough.
+// awaitVictims keeps the room together that is being made for the session, and reports whether
+// it will be enough.
 func (d *decider) awaitVictims(w Waiting) bool {
 	if !d.awaiting[w.Session] {
 		return false
@@ -63,14 +65,15 @@
 	return n
 }
 
-// holdBack keeps free room of the domain away from all sessions that come after, so that what victims free part by
-// part is not taken again, by the victims themselves first of all.
+// holdBack keeps free room of the domain away from all sessions that come after, so that what
+// victims free part by part is not taken again, by the victims themselves first of all.
 func (d *decider) holdBack(w Waiting, at int) {
 	clear(d.noRoom)
 	d.withhold(d.open, at, max(0, w.Shape.Accelerators-d.comingFor(w.Session, at)))
 }
 
-// yieldCost orders sets of victims: by the highest rank among them, then by the work lost, then by their number.
+// yieldCost orders sets of victims: by the highest rank among them, then by the work lost, then
+// by their number.
 type yieldCost struct {
 	rank  int
 	lost  time.Duration
@@ -87,8 +90,8 @@
 	return c.count < other.count
 }
 
-// victims returns borrowed placements whose end makes room for n accelerators below the node. Only the owner of a
-// guarantee takes from urgent placements.
+// victims returns borrowed placements whose end makes room for n accelerators below the node.
+// Only the owner of a guarantee takes from urgent placements.
 func (d *decider) victims(at, n int, owner bool) ([]*Running, yieldCost, bool) {
 	short := n - d.free.free[at]
 	if d.reclaimable.free[at] < n {
--- a/sessions/placement/reserve.go
+++ b/sessions/placement/reserve.go
@@ -17,7 +17,8 @@
 	node int
 	// hold is how many of the domain's free accelerators are held back.
 	hold int
-	// starts is the expected time until the domain has room. What ends before may use the room meanwhile.
+	// starts is the expected time until the domain has room. What ends before may use the room
+	// meanwhile.
 	starts time.Duration
 }
 
@@ -98,8 +99,9 @@
 	return p.Left
 }
 
-// reservedFor returns the reservations that the session has to leave alone, one bit each. A session that ends before a
-// reservation starts may use what that one holds, and urgent work looks at firm reservations only.
+// reservedFor returns the reservations that the session has to leave alone, one bit each. A
+// session that ends before a reservation starts may use what that one holds, and urgent work
+// looks at firm reservations only.
 func (d *decider) reservedFor(w Waiting) uint64 {
 	var bits uint64
 	for i, r := range d.reserved {
@@ -125,8 +127,8 @@
 	return room
 }
 
-// withhold takes n accelerators below the node out of the room, from the emptiest workers first, so that what is left
-// are the fragments.
+// withhold takes n accelerators below the node out of the room, from the emptiest workers
+// first, so that what is left are the fragments.
 func (d *decider) withhold(room *Room, node, n int) {
 	var leaves []int
 	d.eachWorker(node, func(worker int) {
--- a/sessions/placement/room.go
+++ b/sessions/placement/room.go
@@ -129,7 +129,8 @@
 	}
 }
 
-// Scorer says which domain n accelerators should use. The domain with the lowest cost is taken, the first among equals.
+// Scorer says which domain n accelerators should use. The domain with the lowest cost is taken,
+// the first among equals.
 type Scorer interface {
 	// Cost is called with the number of free accelerators of a domain that has at least n.
 	Cost(free, n int) int
@@ -216,13 +217,15 @@
 }
 
 // Feasible reports whether all the unused parts of the entitlements fit into the room at once.
-// The room must hold the free accelerators and those of borrowed placements.
-// The search is greedy, tightest and largest first: it may say no where a way exists, never yes where none does.
+// The room must hold the free accelerators and those of borrowed placements. The search is
+// greedy, tightest and largest first: it may say no where a way exists, never yes where none
+// does.
 func Feasible(r *Room, entitlements []Entitlement) bool {
 	return len(Shortfall(r, entitlements)) == 0
 }
 
-// Shortfall returns the entitlements of which not all unused parts fit, in the order in which they were tried.
+// Shortfall returns the entitlements of which not all unused parts fit, in the order in which
+// they were tried.
 func Shortfall(r *Room, entitlements []Entitlement) []Entitlement {
 	order := append([]Entitlement(nil), entitlements...)
 	sort.SliceStable(order, func(i, j int) bool {
--- a/sessions/policy/policy.go
+++ b/sessions/policy/policy.go
@@ -1,8 +1,8 @@
-// Package policy checks and runs the short programs by which operators state who may use what, what yields first, and
-// what must never be repeated.
+// Package policy checks and runs the short programs by which operators state who may use what,
+// what yields first, and what must never be repeated.
 //
-// A policy is one expression of the expr language. It decides one Question about one Subject, which is a request or a
-// session:
+// A policy is one expression of the expr language. It decides one Question about one Subject,
+// which is a request or a session:
 //
 //	allow           a boolean: may the subject use the system? Every allow policy must say true.
 //	not_repeatable  a boolean: must the subject run at most once? One policy that says true is enough.
@@ -15,8 +15,9 @@
 //
 // # Bounds
 //
-// A program has at most maxNodes nodes and no loops: ranges and the functions that walk over lists are refused when the
-// policy is checked. One that fails all the same falls to the safe side: not allowed, not repeatable, yields last.
+// A program has at most maxNodes nodes and no loops: ranges and the functions that walk over
+// lists are refused when the policy is checked. One that fails all the same falls to the safe
+// side: not allowed, not repeatable, yields last.
 package policy
 
 import (
@@ -83,7 +84,8 @@
 	SessionKind = "session"
 )
 
-// Validate checks the policy and compiles its program. Its errors name the field, and the place in the source.
+// Validate checks the policy and compiles its program. Its errors name the field, and the place
+// in the source.
 func (p Policy) Validate() error {
 	_, err := p.compile()
 	return err
@@ -194,7 +196,8 @@
 	return s
 }
 
-// Allowed reports whether every allow policy says true, and else the name of the first one that does not.
+// Allowed reports whether every allow policy says true, and else the name of the first one that
+// does not.
 func (s *Set) Allowed(subject Subject) (bool, string) {
 	for _, r := range s.rules {
 		if r.policy.Decides != Allow {
@@ -208,7 +211,8 @@
 	return true, ""
 }
 
-// NotRepeatable reports whether one of the policies says that the subject must run at most once, and its name.
+// NotRepeatable reports whether one of the policies says that the subject must run at most
+// once, and its name.
 func (s *Set) NotRepeatable(subject Subject) (bool, string) {
 	for _, r := range s.rules {
 		if r.policy.Decides != NotRepeatable {
--- a/sessions/request/admission.go
+++ b/sessions/request/admission.go
@@ -37,8 +37,9 @@
 	admitted chan error
 }
 
-// Admission shares the slots of one target among teams. A team gets slots in proportion to its share; what one leaves
-// unused the others use. The queue is short: a request that could not be served before its deadline is refused at once.
+// Admission shares the slots of one target among teams. A team gets slots in proportion to its
+// share; what one leaves unused the others use. The queue is short: a request that could not be
+// served before its deadline is refused at once.
 type Admission struct {
 	mu       sync.Mutex
 	slots    int
@@ -52,7 +53,8 @@
 	idle     chan struct{}
 }
 
-// NewAdmission returns an admission for a target with the given number of slots. share gives a team's weight, at least 1.
+// NewAdmission returns an admission for a target with the given number of slots. share gives a
+// team's weight, at least 1.
 func NewAdmission(slots, maxQueue int, share func(team string) int) *Admission {
 	return &Admission{
 		slots: slots, maxQueue: maxQueue, share: share,
@@ -74,8 +76,9 @@
 	return a.busy, len(a.queue)
 }
 
-// Acquire waits for a slot. Its error is a *RefusalError: the request did not get a slot, and never will.
-// The caller of a nil error must call Release with the team and the time of service.
+// Acquire waits for a slot. Its error is a *RefusalError: the request did not get a slot, and
+// never will. The caller of a nil error must call Release with the team and the time of
+// service.
 func (a *Admission) Acquire(ctx context.Context, team string, left time.Duration) error {
 	w, err := a.enter(team, left)
 	if err != nil || w == nil {
@@ -126,7 +129,8 @@
 	return w, nil
 }
 
-// tooLate reports whether less time is left than a request takes. Running it would only make its outcome unknown.
+// tooLate reports whether less time is left than a request takes. Running it would only make
+// its outcome unknown.
 func (a *Admission) tooLate(w *waiter) bool { return time.Until(w.deadline) < a.serviceTime() }
 
 // giveBack frees a slot that was not used.
@@ -158,9 +162,9 @@
 	return a.turn(team, own, a.sharesWaiting(team))
 }
 
-// turn estimates how many requests are served before one with the given number of its own team before it: those, and for
-// each of them the others' part by share, also of those that come later and are served in turn. Without others only
-// its own count.
+// turn estimates how many requests are served before one with the given number of its own team
+// before it: those, and for each of them the others' part by share, also of those that come
+// later and are served in turn. Without others only its own count.
 func (a *Admission) turn(team string, own, shares int) int {
 	if shares == a.share(team) {
 		return own
@@ -181,8 +185,9 @@
 	return shares
 }
 
-// shed refuses those who can't be served before their deadlines any more, because requests take longer than they did or
-// because another team has come for its share. Whoever is given up is told at once.
+// shed refuses those who can't be served before their deadlines any more, because requests take
+// longer than they did or because another team has come for its share. Whoever is given up is
+// told at once.
 func (a *Admission) shed() {
 	if len(a.queue) == 0 {
 		return
@@ -201,8 +206,8 @@
 	a.queue = kept
 }
 
-// displace refuses the newest waiting request of the team that is furthest above its share, if that is another team
-// and further above than the given one would be.
+// displace refuses the newest waiting request of the team that is furthest above its share, if
+// that is another team and further above than the given one would be.
 func (a *Admission) displace(team string) bool {
 	waiting := make(map[string]int)
 	for _, w := range a.queue {
@@ -228,7 +233,8 @@
 	return false
 }
 
-// abandon takes a waiter out of the queue. If it was granted a slot meanwhile, the slot goes on to another.
+// abandon takes a waiter out of the queue. If it was granted a slot meanwhile, the slot goes on
+// to another.
 func (a *Admission) abandon(w *waiter, reason string) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/sessions/request/key.go
+++ b/sessions/request/key.go
@@ -55,7 +55,8 @@
 	return time.Unix(seconds, nanos)
 }
 
-// DigestOf returns a short digest of a body. It finds crossed, cut and mixed-up bodies; it is no protection from malice.
+// DigestOf returns a short digest of a body. It finds crossed, cut and mixed-up bodies; it is
+// no protection from malice.
 func DigestOf(body string) string {
 	return strconv.FormatUint(xxhash.Sum64String(body), 16) + "-" + strconv.Itoa(len(body))
 }
--- a/sessions/request/memory.go
+++ b/sessions/request/memory.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// Bounds of a Memory. A record takes some 300 bytes without its answer, so that both together stay below 64 MB.
+// Bounds of a Memory. A record takes some 300 bytes without its answer, so that both together
+// stay below 64 MB.
 const (
 	maxKeys        = 100_000
 	maxAnswerBytes = 24 << 20
-	// maxAhead is how far in the future a key may have been minted by this machine's clock. A key further ahead is
-	// refused, because it would push out all others.
+	// maxAhead is how far in the future a key may have been minted by this machine's clock. A
+	// key further ahead is refused, because it would push out all others.
 	maxAhead = time.Hour
 )
 
@@ -34,7 +35,8 @@
 
 // The statuses.
 const (
-	// First says that the key is new: the caller of Claim must run it or refuse it, and then Settle it.
+	// First says that the key is new: the caller of Claim must run it or refuse it, and then
+	// Settle it.
 	First ClaimStatus = iota
 	// Seen says that the key has been claimed before.
 	Seen
@@ -46,8 +48,9 @@
 	TooNew
 )
 
-// Memory remembers the keys of one incarnation of an agent. It is bounded: it forgets the keys minted first, and from
-// then on claims as Forgotten every key that was minted no later than one that it forgot.
+// Memory remembers the keys of one incarnation of an agent. It is bounded: it forgets the keys
+// minted first, and from then on claims as Forgotten every key that was minted no later than
+// one that it forgot.
 type Memory struct {
 	mu       sync.Mutex
 	records  map[string]*Record
@@ -120,8 +123,8 @@
 	}
 }
 
-// Answer returns the outcome of a settled record. A kept outcome whose answer was dropped is Unknown: half an answer
-// is never given.
+// Answer returns the outcome of a settled record. A kept outcome whose answer was dropped is
+// Unknown: half an answer is never given.
 func (m *Memory) Answer(r *Record) Answer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/sessions/request/request.go
+++ b/sessions/request/request.go
@@ -1,14 +1,16 @@
 // Package request holds what a request is, and the rules that its outcome follows.
 //
-// Every request gets exactly one of three outcomes. Done comes with the whole answer. NotRun is said only where it is
-// certain that the request did not run and, for a key, never will. Unknown says that it may have run.
+// Every request gets exactly one of three outcomes. Done comes with the whole answer. NotRun is
+// said only where it is certain that the request did not run and, for a key, never will.
+// Unknown says that it may have run.
 //
 // # At most once
 //
-// A request that must not be repeated carries a Key. A key names one incarnation of one agent, and only that one may
-// run it. The agent remembers the keys that it has met, so the same key sent twice, to two entries at once, or again
-// after the agent has been replaced, never runs a second time. No clock and no agreement between agents is needed; see
-// docs/DESIGN.md for what was weighed.
+// A request that must not be repeated carries a Key. A key names one incarnation of one agent,
+// and only that one may run it. The agent remembers the keys that it has met, so the same key
+// sent twice, to two entries at once, or again after the agent has been replaced, never runs a
+// second time. No clock and no agreement between agents is needed; see docs/DESIGN.md for what
+// was weighed.
 //
 // # Usage
 //
@@ -48,7 +50,8 @@
 	Body           string `json:"body"`
 }
 
-// Validate returns a *fault.Field for the first field that is wrong. maxDeadline is in milliseconds.
+// Validate returns a *fault.Field for the first field that is wrong. maxDeadline is in
+// milliseconds.
 func (c Call) Validate(maxDeadline int64) error {
 	if c.Service == "" {
 		return fault.BadField("service", "must not be empty")
@@ -122,7 +125,8 @@
 	return a
 }
 
-// Whole reports whether the answer is that of the request with the given id, with its body unharmed.
+// Whole reports whether the answer is that of the request with the given id, with its body
+// unharmed.
 func (a Answer) Whole(id string) bool {
 	return a.ID == id && (a.Outcome != Done || a.Digest == DigestOf(a.Body))
 }
--- a/sessions/request/server.go
+++ b/sessions/request/server.go
@@ -8,8 +8,8 @@
 
 // Target runs requests. There is one beside each agent.
 type Target interface {
-	// Run sends the request and returns the whole answer. Its error is a *NotSentError where the request certainly did
-	// not reach the target; after any other error it may have run.
+	// Run sends the request and returns the whole answer. Its error is a *NotSentError where
+	// the request certainly did not reach the target; after any other error it may have run.
 	Run(ctx context.Context, hop Hop) (status int, body string, err error)
 }
 
@@ -57,7 +57,8 @@
 	return answer.WithID(hop.ID)
 }
 
-// serveKey runs the request of a key if this is the first time that the key is seen, and else returns its outcome.
+// serveKey runs the request of a key if this is the first time that the key is seen, and else
+// returns its outcome.
 func (s *Server) serveKey(ctx context.Context, hop Hop) Answer {
 	key, err := ParseKey(hop.Key)
 	if err != nil {
@@ -85,7 +86,8 @@
 	}
 }
 
-// settle runs the request apart from the connection that brought it: another connection may wait for the outcome too.
+// settle runs the request apart from the connection that brought it: another connection may
+// wait for the outcome too.
 func (s *Server) settle(hop Hop, record *Record) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(hop.LeftMillis)*time.Millisecond)
--- a/sessions/request/target.go
+++ b/sessions/request/target.go
@@ -13,8 +13,8 @@
 	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
-// idleTimeout ends idle connections before the usual server does (5 s and up). A request that meets a connection which
-// its server is just closing is lost as Unknown.
+// idleTimeout ends idle connections before the usual server does (5 s and up). A request that
+// meets a connection which its server is just closing is lost as Unknown.
 const idleTimeout = 4 * time.Second
 
 // IDHeader carries the request's id to the target and, from targets that send it, back.
@@ -26,8 +26,8 @@
 	client  *http.Client
 }
 
-// NewHTTPTarget returns a target at the URL address with at most the given number of connections. wrap may add to the
-// transport, such as traces.
+// NewHTTPTarget returns a target at the URL address with at most the given number of
+// connections. wrap may add to the transport, such as traces.
 func NewHTTPTarget(address string, connections int, wrap func(http.RoundTripper) http.RoundTripper) *HTTPTarget {
 	transport := &http.Transport{
 		MaxConnsPerHost:     connections,
@@ -41,8 +41,8 @@
 // ErrCrossed says that a target answered with the id of another request.
 var ErrCrossed = errors.New("the target's answer belongs to another request")
 
-// Run implements Target. A request with a key is never sent twice: GetBody is removed, so that the transport can't
-// repeat it on another connection.
+// Run implements Target. A request with a key is never sent twice: GetBody is removed, so that
+// the transport can't repeat it on another connection.
 func (t *HTTPTarget) Run(ctx context.Context, hop Hop) (int, string, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, t.address, strings.NewReader(hop.Body))
 	if err != nil {
