--- a/internal/hedge/hedge.go
+++ b/internal/hedge/hedge.go
@@ -1,15 +1,17 @@
-// Package hedge makes calls to a service that may be slow, lose answers, or be away: when a try gets no answer within the
-// usual time, the next one begins beside it, and the first answer counts. It is for calls that do no harm when they are
-// carried out twice.
+// Package hedge makes hedged calls to a service that may be slow, lose answers or be down: an attempt
+// without an answer within the usual time is followed by another one in parallel, and the first answer
+// counts. It is only for calls that may be carried out twice without harm.
 //
-// A try that has begun is not given up when the next one begins: a service that is merely slow answers the first one, and
-// giving it up would only add load.
+// Earlier attempts go on when the next one starts: a service that is merely slow answers the first one,
+// and cancelling it would only add load.
+//
+// The package keeps no state but the latency estimate of a Latency, and relies on the runtime's clock.
 //
 // # Usage
 //
 //	latency := hedge.NewLatency()
-//	calls := hedge.Calls[int64]{Way: append, After: latency.Patience, Limit: 3 * time.Second}
-//	offset, err := calls.Do(ctx)
+//	call := hedge.Call[int64]{Attempt: append, HedgeAfter: latency.HedgeDelay, Timeout: 3 * time.Second}
+//	offset, err := call.Do(ctx)
 package hedge
 
 import (
@@ -17,56 +19,57 @@
 	"time"
 )
 
-// Call is one call that is tried as often as it takes.
+// Call is a call that is attempted until one attempt succeeds. Attempts are numbered from 0.
 type Call[T any] struct {
-	// Attempt makes a try; tries count from 0.
-	Attempt func(ctx context.Context, try int) (T, error)
-	// HedgeAfter is how long a try may go without an answer until the next one begins beside it.
-	HedgeAfter func(try int) time.Duration
-	// RetryDelay is how long after a failed try the next one begins.
+	// Attempt makes one attempt.
+	Attempt func(ctx context.Context, attempt int) (T, error)
+	// HedgeAfter returns how long an attempt may go unanswered before the next one starts in parallel.
+	HedgeAfter func(attempt int) time.Duration
+	// RetryDelay is the delay between a failed attempt and the next one.
 	RetryDelay time.Duration
-	// Timeout bounds one try.
+	// Timeout bounds each attempt.
 	Timeout time.Duration
-	// MaxAttempts bounds the number of tries; zero is no bound.
+	// MaxAttempts bounds the number of attempts; zero means no bound.
 	MaxAttempts int
-	// IsPermanent reports whether an error makes further tries useless. Nil is never.
+	// IsPermanent reports whether an error ends the call. Nil means that no error does.
 	IsPermanent func(error) bool
-	// MergeErrors chooses between the errors of two tries, when all have failed. Nil takes the later one.
+	// MergeErrors chooses between the errors of two attempts, for the error of a call whose attempts have
+	// all failed. Nil chooses the later one.
 	MergeErrors func(earlier, later error) error
 }
 
-// outcome is what came of a try.
-type outcome[T any] struct {
+// result is the outcome of an attempt.
+type result[T any] struct {
 	value T
 	err   error
 }
 
-// Do returns the first answer, or the error of a final one, or when all tries have failed the worst error. When ctx ends
-// first it returns the cause.
+// Do returns the first answer. It returns an error when one is permanent, when all attempts have failed, or
+// when ctx ends, which is reported by its cause.
 func (c Call[T]) Do(ctx context.Context) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	results := make(chan outcome[T])
+	results := make(chan result[T])
 	next := time.NewTimer(0)
 	defer next.Stop()
 	var failed error
-	for begun, open := 0, 0; ; {
+	for started, running := 0, 0; ; {
 		select {
 		case <-next.C:
-			if c.MaxAttempts > 0 && begun == c.MaxAttempts {
+			if c.MaxAttempts > 0 && started == c.MaxAttempts {
 				continue
 			}
-			go c.try(ctx, begun, results)
-			next.Reset(c.HedgeAfter(begun))
-			begun++
-			open++
+			go c.run(ctx, started, results)
+			next.Reset(c.HedgeAfter(started))
+			started++
+			running++
 		case r := <-results:
-			open--
-			if r.err == nil || c.IsPermanent != nil && c.IsPermanent(r.err) {
+			running--
+			if r.err == nil || c.isPermanent(r.err) {
 				return r.value, r.err
 			}
-			failed = c.worse(failed, r.err)
-			if begun == c.MaxAttempts && open == 0 {
+			failed = c.mergeErrors(failed, r.err)
+			if started == c.MaxAttempts && running == 0 {
 				return r.value, failed
 			}
 			next.Reset(c.RetryDelay)
@@ -77,18 +80,20 @@
 	}
 }
 
-// try makes one try and hands its outcome over, unless nobody waits for it any more.
-func (c Call[T]) try(ctx context.Context, number int, results chan<- outcome[T]) {
-	attempt, cancel := context.WithTimeout(ctx, c.Timeout)
+// run makes one attempt and delivers its result, unless the call has ended.
+func (c Call[T]) run(ctx context.Context, attempt int, results chan<- result[T]) {
+	bounded, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	value, err := c.Attempt(attempt, number)
+	value, err := c.Attempt(bounded, attempt)
 	select {
-	case results <- outcome[T]{value: value, err: err}:
+	case results <- result[T]{value: value, err: err}:
 	case <-ctx.Done():
 	}
 }
 
-func (c Call[T]) worse(earlier, later error) error {
+func (c Call[T]) isPermanent(err error) bool { return c.IsPermanent != nil && c.IsPermanent(err) }
+
+func (c Call[T]) mergeErrors(earlier, later error) error {
 	if earlier == nil || c.MergeErrors == nil {
 		return later
 	}
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,9 +1,9 @@
-// Package pause waits for a while, or until a context ends.
+// Package pause waits for a while, or until a context ends. It owns no state.
 //
 // # Usage
 //
 //	for pause.For(ctx, time.Second) {
-//		look()
+//		poll()
 //	}
 package pause
 
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// For waits that long, and reports whether ctx goes on. It returns early when ctx ends, and at once for a time of zero or less.
+// For waits for d and reports whether ctx is still alive. It returns early when ctx ends, and at once when d
+// is zero or negative.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/sample/sample.go
+++ b/internal/sample/sample.go
@@ -1,4 +1,4 @@
-// Package sample draws a few of many at random.
+// Package sample draws a random sample. It owns no state and relies on the runtime's random numbers.
 //
 // # Usage
 //
@@ -10,9 +10,8 @@
 	"slices"
 )
 
-// Draw returns n of the addresses, others each time, or all of them if there are no more. Whoever asks entries for something that any of them can
-// say asks a few: when each of 800 agents that had lost their leader asked each of 183 entries, the middle entry held 808 descriptors and 27 MB, and 19 and 8 MB
-// since each asks three (one day each).
+// Draw returns n of the addresses at random, or all of them if there are no more. Processes that ask a few
+// peers instead of all keep the load on each peer independent of the size of the fleet.
 func Draw(addresses []string, n int) []string {
 	drawn := slices.Clone(addresses)
 	rand.Shuffle(len(drawn), func(i, j int) { drawn[i], drawn[j] = drawn[j], drawn[i] })
--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -1,20 +1,19 @@
-// Package suspend counts the time for which the machine was suspended, and which the steady clock leaves out.
+// Package suspend measures time across a suspension of the machine.
 //
-// The runtime measures times with a clock that stands still while a machine is suspended. What was proved before is then older than it seems:
-// a lease that was given, a proof that a configuration is the newest, the proof that this process leads. Whoever relies on such a thing keeps a Mark of
-// when it was proved, and asks the Clock for the time since.
+// The runtime's monotonic clock stands still while a machine is suspended, so a lease or the knowledge that a
+// configuration is current would seem younger than it is. Code that relies on such a thing keeps the Instant
+// at which it was obtained and asks a Clock for the time since. An age that is still short enough after a
+// brief suspension stays valid; nothing has to detect the suspension before the age is looked at.
 //
-// Two ways were weighed. All proofs could lapse as soon as the clocks are seen to part, which needs no marks, but a place at which nobody looks before a
-// proof is used would go unnoticed. Counting the gap in the age of each proof keeps the rules as they are: what is still young enough after a
-// short suspension stays good.
+// The package owns no state. It relies on CLOCK_MONOTONIC and CLOCK_BOOTTIME of Linux.
 //
 // # Usage
 //
-//	clock := suspend.Machine()
+//	clock := suspend.SystemClock()
 //	sent := clock.Now()
 //	...
 //	if clock.Since(sent) < limit { ... }
-//	if time.Since(clock.Steady(sent)) < limit { ... }   // the same, for code that counts with the steady clock
+//	if time.Since(clock.Monotonic(sent)) < limit { ... } // the same, as a time.Time
 package suspend
 
 import (
@@ -23,35 +22,38 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock returns for how long the machine was suspended since a moment that never changes. A nil Clock belongs to a machine that is never suspended.
+// Clock returns the total time for which the machine has been suspended since some fixed moment. A nil Clock
+// stands for a machine that is never suspended.
 type Clock func() time.Duration
 
-// readTolerance is how far apart two readings of one clock may be for the reading of the other one between them to count; between readings this process
-// may have to wait for a processor. The gap is never counted too large by more than that.
 const (
+	// readTolerance is how far apart the two readings of the monotonic clock may be that enclose one of the
+	// boot clock. The suspended time is overestimated by no more than this.
 	readTolerance = time.Millisecond
-	readTries     = 5
+	// readAttempts bounds the repetitions where the process loses its processor between readings.
+	readAttempts = 5
 )
 
-// SystemClock returns the clock of this machine: what CLOCK_BOOTTIME counts and CLOCK_MONOTONIC does not.
+// SystemClock returns the clock of this machine: CLOCK_BOOTTIME counts suspensions, CLOCK_MONOTONIC doesn't.
 func SystemClock() Clock {
 	return func() time.Duration {
-		gap := time.Duration(0)
-		for range readTries {
+		suspended := time.Duration(0)
+		for range readAttempts {
 			before := read(unix.CLOCK_MONOTONIC)
 			boot := read(unix.CLOCK_BOOTTIME)
 			after := read(unix.CLOCK_MONOTONIC)
-			// The steady clock was at least at before when the other one was read, so this is the most that the gap can be.
-			gap = boot - before
+			// The monotonic clock had reached before when the boot clock was read, so this is an upper bound.
+			suspended = boot - before
 			if after-before <= readTolerance {
 				break
 			}
 		}
-		return gap.Truncate(readTolerance)
+		return suspended.Truncate(readTolerance)
 	}
 }
 
-// read reads a clock of the system. Where it can't be read it counts as standing still, so that nothing seems to be suspended.
+// read reads a system clock. It returns zero if the clock can't be read: Linux has both clocks, and with two
+// zeros no suspension is counted.
 func read(clock int32) time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(clock, &t) != nil {
@@ -60,30 +62,32 @@
 	return time.Duration(t.Nano())
 }
 
-// Instant is a moment on both clocks. The zero value is no moment.
+// Instant is a point in time on both clocks. The zero value is no point in time.
 type Instant struct {
 	at        time.Time
 	suspended time.Duration
 }
 
-// IsZero reports whether the mark is no moment.
-func (m Instant) IsZero() bool { return m.at.IsZero() }
+// IsZero reports whether the instant is the zero value.
+func (i Instant) IsZero() bool { return i.at.IsZero() }
 
-// Add is the moment that long after the mark, by both clocks together.
-func (m Instant) Add(d time.Duration) Instant {
-	return Instant{at: m.at.Add(d), suspended: m.suspended}
+// Add returns the instant d later.
+func (i Instant) Add(d time.Duration) Instant {
+	return Instant{at: i.at.Add(d), suspended: i.suspended}
 }
 
-// Now marks the present moment. The gap is read first: a suspension between the two readings makes what is marked seem older, never younger.
+// Now returns the current instant.
 func (c Clock) Now() Instant {
-	suspended := c.gap()
+	// The suspended time is read first: a suspension between the two readings makes the instant seem older,
+	// never younger.
+	suspended := c.suspended()
 	return Instant{at: time.Now(), suspended: suspended}
 }
 
-// Since is the time that has passed since a moment, suspended or not.
-func (c Clock) Since(m Instant) time.Duration { return time.Since(c.Monotonic(m)) }
+// Since returns the time that has passed since an instant, suspensions included.
+func (c Clock) Since(i Instant) time.Duration { return time.Since(c.Monotonic(i)) }
 
-// Later returns the later of two moments.
+// Later returns the later of two instants.
 func (c Clock) Later(a, b Instant) Instant {
 	if c.Monotonic(a).After(c.Monotonic(b)) {
 		return a
@@ -91,15 +95,16 @@
 	return b
 }
 
-// Monotonic is the moment as a time from which the steady clock has measured as long as has really passed; zero for the zero mark.
-func (c Clock) Monotonic(m Instant) time.Time {
-	if m.IsZero() {
+// Monotonic converts an instant to a time whose age by the monotonic clock, as time.Since reports it, includes
+// the suspensions until now. It returns the zero time for the zero instant.
+func (c Clock) Monotonic(i Instant) time.Time {
+	if i.IsZero() {
 		return time.Time{}
 	}
-	return m.at.Add(m.suspended - c.gap())
+	return i.at.Add(i.suspended - c.suspended())
 }
 
-func (c Clock) gap() time.Duration {
+func (c Clock) suspended() time.Duration {
 	if c == nil {
 		return 0
 	}
