--- a/jobs/directory/directory.go
+++ b/jobs/directory/directory.go
@@ -66,7 +66,7 @@
 
 // NewDirectory returns a directory that knows nothing yet.
 func NewDirectory(log topic.Log, logger zerolog.Logger) *Directory {
-	tail := topic.NewTail(log, "directory", directoryWait, logger).WithGap(func() time.Duration { return directoryGap }).
+	tail := topic.NewTail(log, "directory", directoryWait, logger).WithMinInterval(func() time.Duration { return directoryGap }).
 		WithReaders(func() int { return directoryReaders })
 	return &Directory{tail: tail, logger: logger, entries: map[string]string{}, processors: map[string]float64{}, changed: make(chan struct{})}
 }
--- a/jobs/jobstore/replica.go
+++ b/jobs/jobstore/replica.go
@@ -77,7 +77,7 @@
 		tail: topic.NewTail(log, "jobs", replicaWait, logger), readers: readers, inLine: func() bool { return true },
 		jobs: map[job.ID]*entry{}, fresh: map[job.ID]bool{}, changed: make(chan struct{}), news: make(chan struct{}), taken: make(chan struct{}),
 	}
-	r.tail.WithGap(r.gap).WithReaders(r.probing)
+	r.tail.WithMinInterval(r.gap).WithReaders(r.probing)
 	return r
 }
 
--- a/jobs/topic/hedged_read.go
+++ b/jobs/topic/hedged_read.go
@@ -7,61 +7,68 @@
 	"time"
 )
 
-// errBehind says that the log answers and has more to read, which a read that is under way brings.
-var errBehind = errors.New("there is more to read")
+// minFullReadInterval is the time after which a full read that is still running is repeated; it doubles with
+// each repetition. A log that is back after an outage has much to send to many readers, and would not get
+// through if they repeated their reads at the pace of probes.
+const minFullReadInterval = time.Second
 
-// chase is one read of a topic in as many tries as it takes. The first try waits for news and brings them. The later ones find out whether the log answers: if it
-// does and there is nothing to read, that is an answer too; if there is, the first try hangs, and it is read anew. It is read once more only if that has taken too
-// long. So a log that has much to send is not asked for the same again and again.
-type chase struct {
+// errReadRunning is the result of a probe that found records which a running read is fetching already.
+var errReadRunning = errors.New("records are being read")
+
+// hedgedRead is one read of a topic, made in as many attempts as it takes.
+//
+// The first attempt waits for records and returns them. The later ones probe whether the log answers. A probe
+// that finds no record answers the read as well. One that finds records shows that the first attempt is stuck,
+// and starts a full read, unless a recent one is still running.
+type hedgedRead struct {
 	log  Log
 	next int64
 	wait time.Duration
 
 	mu sync.Mutex
-	// whole is how many reads are under way that bring all there is, beside the first try; late is from when on another one begins beside them, and patience how
-	// long that was.
-	whole    int
-	late     time.Time
-	patience time.Duration
+	// fullReads is the number of running full reads; the first attempt is not counted.
+	fullReads int
+	// repeatAt is when the next full read may start beside those that are running.
+	repeatAt time.Time
+	// interval is the time from the last start of a full read to repeatAt.
+	interval time.Duration
 }
 
-func newChase(log Log, next int64, wait time.Duration) *chase {
-	return &chase{log: log, next: next, wait: wait}
+func newHedgedRead(log Log, next int64, wait time.Duration) *hedgedRead {
+	return &hedgedRead{log: log, next: next, wait: wait}
 }
 
-// read makes one try.
-func (c *chase) read(ctx context.Context, try int) (Batch, error) {
-	if try == 0 {
-		return c.log.Read(ctx, Query{From: c.next, Wait: c.wait})
+// read makes an attempt.
+func (r *hedgedRead) read(ctx context.Context, attempt int) (Batch, error) {
+	if attempt == 0 {
+		return r.log.Read(ctx, Query{From: r.next, Wait: r.wait})
 	}
-	batch, err := c.log.Read(ctx, Query{From: c.next, Probe: true})
+	batch, err := r.log.Read(ctx, Query{From: r.next, Probe: true})
 	switch {
-	case err != nil, batch.End <= c.next:
+	case err != nil, batch.End <= r.next:
 		return batch, err
-	case !c.begin(time.Now()):
-		return batch, errBehind
+	case !r.startFullRead(time.Now()):
+		return batch, errReadRunning
 	}
-	defer c.end()
-	return c.log.Read(ctx, Query{From: c.next})
+	defer r.endFullRead()
+	return r.log.Read(ctx, Query{From: r.next})
 }
 
-// begin reports whether a read that brings all there is should begin, and counts it.
-func (c *chase) begin(now time.Time) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.whole > 0 && now.Before(c.late) {
+// startFullRead reports whether a full read may start, and counts it.
+func (r *hedgedRead) startFullRead(now time.Time) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.fullReads > 0 && now.Before(r.repeatAt) {
 		return false
 	}
-	c.whole++
-	c.patience = max(wholePatience, 2*c.patience)
-	c.late = now.Add(c.patience)
+	r.fullReads++
+	r.interval = max(minFullReadInterval, 2*r.interval)
+	r.repeatAt = now.Add(r.interval)
 	return true
 }
 
-// end counts a read that has ended.
-func (c *chase) end() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.whole--
+func (r *hedgedRead) endFullRead() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.fullReads--
 }
--- a/jobs/topic/metrics.go
+++ b/jobs/topic/metrics.go
@@ -10,16 +10,16 @@
 	"yarrowgrade.example/yarrowgrade/internal/telemetry"
 )
 
-// result is what came of a call to the log, as it is counted.
+// result is the outcome of a call to the log, as a label of the counters.
 type result string
 
 const (
 	resultDone     result = "done"
-	resultRefused  result = "refused"
+	resultRejected result = "refused"
 	resultConflict result = "conflict"
 	resultFenced   result = "fenced"
 	resultExpired  result = "expired"
-	resultNone     result = "no_answer"
+	resultNoAnswer result = "no_answer"
 )
 
 func resultOf(err error) result {
@@ -27,7 +27,7 @@
 	case err == nil:
 		return resultDone
 	case errors.Is(err, ErrRejected):
-		return resultRefused
+		return resultRejected
 	case errors.Is(err, ErrConflict):
 		return resultConflict
 	case errors.Is(err, ErrFenced):
@@ -35,30 +35,37 @@
 	case errors.Is(err, ErrExpired):
 		return resultExpired
 	}
-	return resultNone
+	return resultNoAnswer
 }
 
-// metered counts the calls to a log and their times.
-type metered struct {
-	log                  Log
-	appends, reads, news telemetry.Counters[result]
-	appendTime           tally.Histogram
-	unreadable           tally.Counter
+// measuredLog counts the calls to a log by their results, and the time of appends.
+type measuredLog struct {
+	log        Log
+	appends    telemetry.Counters[result]
+	reads      telemetry.Counters[result]
+	loads      telemetry.Counters[result]
+	appendTime tally.Histogram
+	unreadable tally.Counter
 }
 
 // WithMetrics returns the log with its calls counted. All topics of a process share the counters.
 func WithMetrics(log Log, scope tally.Scope) Log {
+	results := []result{resultDone, resultRejected, resultConflict, resultFenced, resultExpired, resultNoAnswer}
 	counters := func(name string) telemetry.Counters[result] {
-		return telemetry.NewCounters(scope, name, "result", resultDone, resultRefused, resultConflict, resultFenced, resultExpired, resultNone)
+		return telemetry.NewCounters(scope, name, "result", results...)
 	}
-	return &metered{
-		log: log, appends: counters("log_appends"), reads: counters("log_reads"), news: counters("log_loads"),
-		appendTime: telemetry.Times(scope, "log_append_time"), unreadable: scope.Counter("log_records_unreadable"),
+	return &measuredLog{
+		log:        log,
+		appends:    counters("log_appends"),
+		reads:      counters("log_reads"),
+		loads:      counters("log_loads"),
+		appendTime: telemetry.Times(scope, "log_append_time"),
+		unreadable: scope.Counter("log_records_unreadable"),
 	}
 }
 
 // Append implements Log.
-func (m *metered) Append(ctx context.Context, records []Record, c Condition) (int64, error) {
+func (m *measuredLog) Append(ctx context.Context, records []Record, c Condition) (int64, error) {
 	sent := time.Now()
 	offset, err := m.log.Append(ctx, records, c)
 	m.appends.Inc(resultOf(err))
@@ -69,16 +76,16 @@
 }
 
 // Read implements Log.
-func (m *metered) Read(ctx context.Context, q Query) (Batch, error) {
+func (m *measuredLog) Read(ctx context.Context, q Query) (Batch, error) {
 	batch, err := m.log.Read(ctx, q)
 	m.reads.Inc(resultOf(err))
 	return batch, err
 }
 
 // Newest implements Log.
-func (m *metered) Newest(ctx context.Context) (Batch, error) {
+func (m *measuredLog) Newest(ctx context.Context) (Batch, error) {
 	batch, err := m.log.Newest(ctx)
-	m.news.Inc(resultOf(err))
+	m.loads.Inc(resultOf(err))
 	m.unreadable.Inc(int64(len(batch.Unreadable)))
 	return batch, err
 }
--- /dev/null
+++ b/jobs/topic/pacer.go
@@ -0,0 +1,71 @@
+package topic
+
+import (
+	"context"
+	"time"
+)
+
+const (
+	// minProbeInterval is the time between two probes of a log that doesn't answer or returns errors. It is
+	// short because callers that were turned away come back within some hundred milliseconds, and because a
+	// new connection works at once when the log is back, while an old one may stay silent for a second.
+	minProbeInterval = 80 * time.Millisecond
+	// probeIntervalPerReader is the probe interval for each process that reads the topic, where that is
+	// longer. It bounds the probes of all processes together.
+	probeIntervalPerReader = 2 * time.Millisecond
+)
+
+// pacer decides when the next read starts and how long it waits for records.
+type pacer struct {
+	// wait returns how long a read may wait for records.
+	wait func() time.Duration
+	// minInterval returns the shortest time between the starts of two reads; zero lets them follow at once.
+	minInterval func() time.Duration
+	// readers returns how many processes read the topic.
+	readers func() int
+	// readNow ends the interval early.
+	readNow chan struct{}
+	// lastRead is when the previous read started.
+	lastRead time.Time
+}
+
+func newPacer(wait time.Duration) pacer {
+	return pacer{
+		wait:        func() time.Duration { return wait },
+		minInterval: func() time.Duration { return 0 },
+		readers:     func() int { return 1 },
+		readNow:     make(chan struct{}, 1),
+	}
+}
+
+// next blocks until the next read may start and returns how long it may wait for records. The interval is
+// taken off the wait, so that the reader is never longer out of sync than with reads back to back. A read that
+// hurry asked for doesn't wait.
+func (p *pacer) next(ctx context.Context) time.Duration {
+	interval := p.minInterval()
+	if interval <= 0 {
+		return p.wait()
+	}
+	timer := time.NewTimer(interval - time.Since(p.lastRead))
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return max(p.wait()-interval, 0)
+	case <-p.readNow:
+	case <-ctx.Done():
+	}
+	return 0
+}
+
+// hurry lets the next read start at once.
+func (p *pacer) hurry() {
+	select {
+	case p.readNow <- struct{}{}:
+	default:
+	}
+}
+
+// probeInterval returns the time between two attempts while the log doesn't answer.
+func (p *pacer) probeInterval() time.Duration {
+	return max(minProbeInterval, time.Duration(p.readers())*probeIntervalPerReader)
+}
