--- a/jobs/directory/directory.go
+++ b/jobs/directory/directory.go
@@ -1,4 +1,11 @@
-// Package directory follows the small topic that says which entries there are and who is the leader.
+// Package directory tells who is there: the entries, their addresses and sizes, and who is the leader.
+//
+// It owns the directory's topic, which holds a record for the address and one for the size of each entry, and
+// one for the leader. Entries register themselves, the leader announces itself and deregisters entries that it
+// can't reach. Agents follow this small topic instead of that of the jobs. The package also has the rule which
+// entries should lead: the eligible ones, and of these the few standbys.
+//
+// It relies on package topic for reading and on the log for fencing off announcements of former leaders.
 //
 // # Usage
 //
@@ -19,179 +26,192 @@
 
 	"github.com/rs/zerolog"
 
+	"yarrowgrade.example/yarrowgrade/internal/broadcast"
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// Prefixes of the keys under which entries say where they are reached, and how much processor time they have, in cores. Readers of an
-// earlier version know only the first.
+// Prefixes of keys, before the name of an entry. The value under addressPrefix is the entry's address, that
+// under coresPrefix its share of processor time in cores; older entries write only the former.
 const (
-	entryPrefix     = "e/"
-	processorPrefix = "p/"
+	addressPrefix = "e/"
+	coresPrefix   = "p/"
 )
 
-// muchLarger is by which factor the processor time of an entry exceeds that of another one which leaves it the lead. Where shares differ
-// by less, either leads as well.
-const muchLarger = 2.0
-
-// directoryWait is how long a read of the directory waits for news, which are rare: each process reads it, so with 800 workers and 5 s instead of 20 they
-// make 150 calls a second more. A connection that goes silent meanwhile is noticed by probes within 4 s, and who leads is also
-// learnt from entries.
-const directoryWait = 20 * time.Second
-
-// directoryReaders is how many processes are taken to read the directory: all entries and agents do, and none knows how many there are. Each finds out twice
-// a second whether a log that was away is back, and meanwhile asks entries who leads.
-const directoryReaders = 250
-
-// directoryGap is the least time between two reads. A record that comes alone is read at once; when all entries begin within 0.3 s,
-// their records are read together and not one by one by each entry and agent.
-const directoryGap = 250 * time.Millisecond
+// Pace of reads. Every entry and agent reads the directory.
+const (
+	// readWait is how long a read waits for records. Changes are rare; a connection that goes silent
+	// meanwhile is noticed by probes, and agents also learn of a new leader from entries.
+	readWait = 20 * time.Second
+	// minReadInterval lets one read bring the records of entries that start together.
+	minReadInterval = 250 * time.Millisecond
+	// assumedReaders is the number of readers for which probes of a log that doesn't answer are paced.
+	// Agents don't know the actual number.
+	assumedReaders = 250
+)
 
-// Directory follows the small topic that says which entries there are and who is the leader. Agents read it instead of
-// the jobs.
+// Directory holds the newest state of the directory's topic. Its methods may be called from any goroutine.
 type Directory struct {
 	tail   *topic.Tail
 	logger zerolog.Logger
 
-	mu      sync.Mutex
-	leader  Leader
-	entries map[string]string
-	// processors is how much processor time entries have, in cores, as far as they say.
-	processors map[string]float64
-	// line holds the entries that are to lead next.
-	line map[string]bool
-	// read says that all that there is has been read once.
-	read    bool
-	changed chan struct{}
+	mu     sync.Mutex
+	leader Leader
+	// addresses and cores are those of the entries, by name. The size of an entry may be unknown.
+	addresses map[string]string
+	cores     map[string]float64
+	standbys  map[string]bool
+	// synced says that the whole topic has been read once.
+	synced  bool
+	changed broadcast.Signal
 }
 
-// NewDirectory returns a directory that knows nothing yet.
+// NewDirectory returns an empty directory.
 func NewDirectory(log topic.Log, logger zerolog.Logger) *Directory {
-	tail := topic.NewTail(log, "directory", directoryWait, logger).WithMinInterval(func() time.Duration { return directoryGap }).
-		WithReaders(func() int { return directoryReaders })
-	return &Directory{tail: tail, logger: logger, entries: map[string]string{}, processors: map[string]float64{}, changed: make(chan struct{})}
+	tail := topic.NewTail(log, "directory", readWait, logger).
+		WithMinInterval(func() time.Duration { return minReadInterval }).
+		WithReaders(func() int { return assumedReaders })
+	return &Directory{
+		tail:      tail,
+		logger:    logger,
+		addresses: map[string]string{},
+		cores:     map[string]float64{},
+	}
 }
 
 // Run follows the topic until ctx ends.
-func (d *Directory) Run(ctx context.Context) { d.tail.Run(ctx, d.take) }
+func (d *Directory) Run(ctx context.Context) { d.tail.Run(ctx, d.apply) }
 
-func (d *Directory) take(n topic.Update) {
+func (d *Directory) apply(u topic.Update) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, r := range n.Records {
-		if name, ok := strings.CutPrefix(r.Key, entryPrefix); ok {
-			d.takeEntry(name, r.Value)
-			continue
-		}
-		if name, ok := strings.CutPrefix(r.Key, processorPrefix); ok {
-			d.takeProcessor(name, r.Value)
-			continue
-		}
-		if o, err := DecodeLeader(r.Value); r.Key == LeaderKey && err == nil && o.Term >= d.leader.Term {
-			d.leader = o
-		}
+	for _, r := range u.Records {
+		d.applyRecord(r.Key, r.Value)
 	}
-	d.read = d.read || !n.SyncedAt.IsZero()
-	if len(n.Records) > 0 {
-		d.drawLine()
-		close(d.changed)
-		d.changed = make(chan struct{})
+	d.synced = d.synced || !u.SyncedAt.IsZero()
+	if len(u.Records) > 0 {
+		d.chooseStandbys()
+		d.changed.Notify()
 	}
 }
 
-// takeEntry notes where an entry is reached, or that it is gone. An address that can't be one changes nothing. The lock must be held.
-func (d *Directory) takeEntry(name string, value []byte) {
+// applyRecord applies one record; keys of newer versions are ignored. The lock must be held.
+func (d *Directory) applyRecord(key string, value []byte) {
+	if name, ok := strings.CutPrefix(key, addressPrefix); ok {
+		d.applyAddress(name, value)
+		return
+	}
+	if name, ok := strings.CutPrefix(key, coresPrefix); ok {
+		d.applyCores(name, value)
+		return
+	}
+	if key == LeaderKey {
+		d.applyLeader(value)
+	}
+}
+
+// applyAddress sets the address of an entry or removes the entry. A malformed address is ignored. The lock must
+// be held.
+func (d *Directory) applyAddress(name string, value []byte) {
 	if value == nil {
-		delete(d.entries, name)
+		delete(d.addresses, name)
 		return
 	}
 	address := string(value)
-	if strings.ContainsFunc(address, func(c rune) bool { return c <= ' ' || c >= unicode.MaxASCII || c == '/' }) || address == "" {
+	if address == "" || strings.ContainsFunc(address, notInAddress) {
 		d.logger.Error().Str("step", "jobstore.directory").Str("entry", name).Msg("address is unreadable")
 		return
 	}
-	d.entries[name] = address
+	d.addresses[name] = address
 }
 
-// takeProcessor notes how much processor time an entry has, or that it is gone. The lock must be held.
-func (d *Directory) takeProcessor(name string, value []byte) {
+// notInAddress reports whether a host and port can't contain the rune.
+func notInAddress(c rune) bool { return c <= ' ' || c >= unicode.MaxASCII || c == '/' }
+
+// applyCores sets or removes the size of an entry. The lock must be held.
+func (d *Directory) applyCores(name string, value []byte) {
 	if value == nil {
-		delete(d.processors, name)
+		delete(d.cores, name)
 		return
 	}
 	cores, err := strconv.ParseFloat(string(value), 64)
 	if err != nil {
-		d.logger.Error().Str("step", "jobstore.directory").Str("entry", name).Err(err).Msg("processor time is unreadable")
+		d.logger.Error().Str("step", "jobstore.directory").Str("entry", name).Err(err).
+			Msg("processor time is unreadable")
 		return
 	}
-	d.processors[name] = cores
-}
-
-// LargerThan returns the addresses of the entries that have much more processor time than that, in the order of their names.
-func (d *Directory) LargerThan(cores float64) []string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.addressesOf(d.names(func(name string) bool { return d.processors[name] >= muchLarger*cores && cores > 0 }))
-}
-
-// names returns the names of those entries for which keep holds, in order. The lock must be held.
-func (d *Directory) names(keep func(name string) bool) []string {
-	names := slices.Collect(maps.Keys(d.entries))
-	names = slices.DeleteFunc(names, func(name string) bool { return !keep(name) })
-	slices.Sort(names)
-	return names
+	d.cores[name] = cores
 }
 
-// addressesOf returns where entries are reached. The lock must be held.
-func (d *Directory) addressesOf(names []string) []string {
-	addresses := make([]string, len(names))
-	for i, name := range names {
-		addresses[i] = d.entries[name]
+// applyLeader sets the leader, unless its term is over. The lock must be held.
+func (d *Directory) applyLeader(value []byte) {
+	leader, err := DecodeLeader(value)
+	if err != nil {
+		d.logger.Error().Str("step", "jobstore.directory").Err(err).Msg("leader is unreadable")
+		return
+	}
+	if leader.Term >= d.leader.Term {
+		d.leader = leader
 	}
-	return addresses
 }
 
-// ObserveLeader takes over who is the leader from another source.
-func (d *Directory) ObserveLeader(o Leader) {
+// ObserveLeader sets the leader from another source, if its term is newer than the known one.
+func (d *Directory) ObserveLeader(leader Leader) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if o.Term > d.leader.Term {
-		d.leader = o
-		close(d.changed)
-		d.changed = make(chan struct{})
+	if leader.Term > d.leader.Term {
+		d.leader = leader
+		d.changed.Notify()
 	}
 }
 
-// Leader returns who is the leader, as far as is known.
+// Leader returns the newest known leader, or the zero value.
 func (d *Directory) Leader() Leader {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.leader
 }
 
-// Changed is closed at the next change.
+// Changed returns a channel that is closed at the next change.
 func (d *Directory) Changed() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.changed
+	return d.changed.Next()
 }
 
-// Addresses returns the addresses of the entries, in the order of their names.
+// Addresses returns the addresses of all entries, sorted by name.
 func (d *Directory) Addresses() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.addressesOf(d.names(func(string) bool { return true }))
 }
 
-// Count is how many entries are known.
-func (d *Directory) Count() int {
+// AddressesByName returns the addresses of all entries by name.
+func (d *Directory) AddressesByName() map[string]string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return len(d.entries)
+	return maps.Clone(d.addresses)
 }
 
-// AddressesByName returns the addresses of the entries by their names.
-func (d *Directory) AddressesByName() map[string]string {
+// Count returns the number of entries.
+func (d *Directory) Count() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return maps.Clone(d.entries)
+	return len(d.addresses)
+}
+
+// names returns the names of the entries that keep selects, sorted. The lock must be held.
+func (d *Directory) names(keep func(name string) bool) []string {
+	names := slices.Collect(maps.Keys(d.addresses))
+	names = slices.DeleteFunc(names, func(name string) bool { return !keep(name) })
+	slices.Sort(names)
+	return names
+}
+
+// addressesOf returns the addresses of entries. The lock must be held.
+func (d *Directory) addressesOf(names []string) []string {
+	addresses := make([]string, len(names))
+	for i, name := range names {
+		addresses[i] = d.addresses[name]
+	}
+	return addresses
 }
--- a/jobs/directory/leader.go
+++ b/jobs/directory/leader.go
@@ -7,37 +7,37 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// LeaderKey is the key of the record that says who is the leader.
+// LeaderKey is the key of the record that names the leader, in the directory's topic and in that of the jobs.
 const LeaderKey = "d"
 
-// producerName is the name under which leaders write; terms order them.
+// producerName is the producer of all leaders; the log orders them by their terms.
 const producerName = "dispatcher"
 
-// Leader says who is the leader.
+// Leader is the leader of a term.
 type Leader struct {
 	Term int64 `json:"term"`
-	// Incarnation names one life of an entry; it is empty when leadership was given up.
+	// Incarnation names the start of the entry that leads; it is empty if the leader has stepped down.
 	Incarnation string `json:"holder"`
-	// Address is where agents reach the leader, such as 10.1.0.19:7000.
+	// Address is where agents reach the leader, as a host and port.
 	Address string `json:"address"`
 }
 
-// LeaderRecord stores who is the leader.
-func LeaderRecord(o Leader) (topic.Record, error) {
-	value, err := json.Marshal(o)
+// LeaderRecord returns the record that names the leader.
+func LeaderRecord(leader Leader) (topic.Record, error) {
+	value, err := json.Marshal(leader)
 	return topic.Record{Key: LeaderKey, Value: value}, err
 }
 
-// TermProducer returns the producer of a leader's term.
-func TermProducer(term, sequence int64) *topic.Producer {
-	return &topic.Producer{Name: producerName, Epoch: term, Sequence: sequence}
-}
-
-// DecodeLeader is the reverse of LeaderRecord.
+// DecodeLeader decodes the value of a record made by LeaderRecord.
 func DecodeLeader(value []byte) (Leader, error) {
-	var o Leader
-	if err := json.Unmarshal(value, &o); err != nil {
-		return o, fmt.Errorf("jobstore.decodeLeader: %w", err)
+	var leader Leader
+	if err := json.Unmarshal(value, &leader); err != nil {
+		return leader, fmt.Errorf("directory.DecodeLeader: %w", err)
 	}
-	return o, nil
+	return leader, nil
+}
+
+// TermProducer returns the producer under which the leader of a term appends.
+func TermProducer(term, sequence int64) *topic.Producer {
+	return &topic.Producer{Name: producerName, Epoch: term, Sequence: sequence}
 }
--- a/jobs/directory/register.go
+++ b/jobs/directory/register.go
@@ -10,21 +10,23 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// misses reports whether an entry is not listed, though the directory has been read.
-func (d *Directory) misses(name, address string) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.read && d.entries[name] != address
-}
+const (
+	// appendTimeout bounds one attempt to write to the directory.
+	appendTimeout = time.Second
+	// retryDelay is the delay after a failed attempt.
+	retryDelay = 80 * time.Millisecond
+	// minRegisterInterval is the shortest time between two registrations of an entry. It leaves time for the
+	// registration to be read back.
+	minRegisterInterval = 5 * time.Second
+)
 
-// KeepRegistered says where an entry is reached and how much processor time it has, as AnnounceEntry does, and again when that is no longer listed: the leader
-// takes entries off that it does not reach, and this one may only have been cut off.
+// KeepRegistered registers an entry, and again whenever it is missing from the directory: the leader
+// deregisters entries that it can't reach, and this one may only have been cut off for a while.
 func (d *Directory) KeepRegistered(ctx context.Context, log topic.Log, name, address string, cores float64) {
 	for ctx.Err() == nil {
 		RegisterEntry(ctx, log, name, address, cores)
-		// What was read before the announcement says nothing.
-		pause.For(ctx, announceAgain)
-		for changed := d.Changed(); ctx.Err() == nil && !d.misses(name, address); changed = d.Changed() {
+		pause.For(ctx, minRegisterInterval)
+		for changed := d.Changed(); ctx.Err() == nil && !d.lacks(name, address); changed = d.Changed() {
 			select {
 			case <-changed:
 			case <-ctx.Done():
@@ -33,52 +35,57 @@
 	}
 }
 
-// announceAgain is the least time between two announcements of an entry.
-const announceAgain = 5 * time.Second
+// lacks reports whether the directory has been read and doesn't list an entry at that address.
+func (d *Directory) lacks(name, address string) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.synced && d.addresses[name] != address
+}
 
-// DeregisterEntries takes entries off the directory.
+// RegisterEntry writes the address and the size of an entry to the directory, and retries until it succeeds or
+// ctx ends. A size of zero cores means that it is unknown.
+func RegisterEntry(ctx context.Context, log topic.Log, name, address string, cores float64) {
+	records := []topic.Record{{Key: addressPrefix + name, Value: []byte(address)}}
+	if cores > 0 {
+		value := strconv.AppendFloat(nil, cores, 'g', -1, 64)
+		records = append(records, topic.Record{Key: coresPrefix + name, Value: value})
+	}
+	appendUntilDone(ctx, log, records, topic.Condition{})
+}
+
+// DeregisterEntries removes entries from the directory.
 func DeregisterEntries(ctx context.Context, log topic.Log, names []string) error {
 	var records []topic.Record
 	for _, name := range names {
-		records = append(records, topic.Record{Key: entryPrefix + name}, topic.Record{Key: processorPrefix + name})
+		records = append(records, topic.Record{Key: addressPrefix + name}, topic.Record{Key: coresPrefix + name})
 	}
-	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
+	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	_, err := log.Append(ctx, records, topic.Condition{})
 	return err
 }
 
-// RegisterEntry says where an entry is reached and how much processor time it has, in cores, and tries until that is kept. Zero cores
-// are not told.
-func RegisterEntry(ctx context.Context, log topic.Log, name, address string, cores float64) {
-	records := []topic.Record{{Key: entryPrefix + name, Value: []byte(address)}}
-	if cores > 0 {
-		records = append(records, topic.Record{Key: processorPrefix + name, Value: strconv.AppendFloat(nil, cores, 'g', -1, 64)})
+// AnnounceLeader writes to the directory who is the leader, and retries until it succeeds, a later term has been
+// announced, or ctx ends.
+func AnnounceLeader(ctx context.Context, log topic.Log, leader Leader) {
+	record, err := LeaderRecord(leader)
+	if err != nil {
+		// A struct of numbers and strings can always be encoded.
+		return
 	}
-	announce(ctx, log, records, topic.Condition{})
+	appendUntilDone(ctx, log, []topic.Record{record}, topic.Condition{Producer: TermProducer(leader.Term, 0)})
 }
 
-// AnnounceLeader says who is the leader, and tries until that is kept or a later term has been announced.
-func AnnounceLeader(ctx context.Context, log topic.Log, o Leader) {
-	record, err := LeaderRecord(o)
-	if err == nil {
-		announce(ctx, log, []topic.Record{record}, topic.Condition{Producer: TermProducer(o.Term, 0)})
-	}
-}
-
-func announce(ctx context.Context, log topic.Log, records []topic.Record, c topic.Condition) {
+// appendUntilDone appends records and retries until they are stored or fenced off. Failed attempts are not
+// logged here: topic.WithMetrics counts them, and the directory's tail logs when the log doesn't answer.
+func appendUntilDone(ctx context.Context, log topic.Log, records []topic.Record, c topic.Condition) {
 	for ctx.Err() == nil {
-		attempt, cancel := context.WithTimeout(ctx, announceTimeout)
+		attempt, cancel := context.WithTimeout(ctx, appendTimeout)
 		_, err := log.Append(attempt, records, c)
 		cancel()
 		if err == nil || errors.Is(err, topic.ErrFenced) {
 			return
 		}
-		pause.For(ctx, retryPause)
+		pause.For(ctx, retryDelay)
 	}
 }
-
-// retryPause is the pause after a failed announcement.
-const retryPause = 80 * time.Millisecond
-
-const announceTimeout = time.Second
