--- /dev/null
+++ b/jobs/jobstore/forward.go
@@ -0,0 +1,79 @@
+package jobstore
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+
+	"yarrowgrade.example/yarrowgrade/internal/fault"
+	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
+)
+
+// RecordsPath is the path at which an entry stores a record for another one.
+const RecordsPath = "/internal/records"
+
+// appendResult is the answer to a forwarded record.
+type appendResult struct {
+	Offset int64 `json:"offset"`
+}
+
+// forward asks another entry to store a record.
+func (wr *Writer) forward(ctx context.Context, address string, record topic.Record) (int64, error) {
+	var result appendResult
+	err := jsonhttp.Call(ctx, wr.client, "jobstore.ask", http.MethodPost, "http://"+address, RecordsPath, record, &result)
+	if fault.NotReached(err) {
+		if ctx.Err() == nil {
+			wr.peers.markUnreachable(address)
+		}
+		return 0, fmt.Errorf("%w: %w", topic.ErrRejected, err)
+	}
+	var status *jsonhttp.StatusError
+	if errors.As(err, &status) && status.Status == http.StatusServiceUnavailable {
+		return 0, fmt.Errorf("%w: %w", topic.ErrRejected, err)
+	}
+	return result.Offset, err
+}
+
+// ServeWrite stores a record for another entry. It answers 503 if the record is not stored and never will be, and
+// 504 if that is uncertain.
+func (wr *Writer) ServeWrite(w http.ResponseWriter, r *http.Request) {
+	var record topic.Record
+	if err := jsonhttp.Read(w, r, &record); err != nil {
+		jsonhttp.WriteError(w, err)
+		return
+	}
+	if !isCallerKey(record.Key) {
+		jsonhttp.WriteError(w, &jsonhttp.StatusError{
+			Status:  http.StatusBadRequest,
+			Message: "want the key of a submission or a cancellation",
+			Field:   "Key",
+		})
+		return
+	}
+	if !wr.logReachable() {
+		jsonhttp.WriteError(w, topic.ErrRejected)
+		return
+	}
+	ctx, cancel := context.WithTimeout(r.Context(), appendTimeout)
+	defer cancel()
+	offset, err := wr.append(ctx, record)
+	if err != nil {
+		jsonhttp.WriteError(w, appendStatus(err))
+		return
+	}
+	wr.replica.ApplyLocal([]topic.Record{record}, offset)
+	wr.logger.Info().Str("step", "jobstore.write").Str("key", record.Key).Int64("offset", offset).
+		Msg("record is stored for another entry")
+	jsonhttp.Write(w, http.StatusOK, appendResult{Offset: offset})
+}
+
+// appendStatus returns the answer to a record whose append has failed.
+func appendStatus(err error) *jsonhttp.StatusError {
+	status := http.StatusGatewayTimeout
+	if topic.NotApplied(err) {
+		status = http.StatusServiceUnavailable
+	}
+	return &jsonhttp.StatusError{Status: status, Message: err.Error()}
+}
