--- a/jobs/runner/capacity.go
+++ b/jobs/runner/capacity.go
@@ -6,33 +6,37 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// A worker need not guard its room, and users forbid a start beyond it from 4.5 s after it has shrunk (their contact time and a heartbeat). An order that
-// waits at its agent may have been decided for the room from before. So a start is sent only while the worker's own word on its room is at most roomFresh
-// old, which leaves the time of a call and of a wake-up, and once the leader has decided with the newest room.
-const roomFresh = 3 * time.Second
+// capacityMaxAge is how old the worker's newest report of its capacity may be when a start is
+// sent. A worker need not refuse what no longer fits, so a start has to be carried out within
+// its contact time and a heartbeat of a shrinking; this leaves the time of a call and of a
+// wake-up.
+const capacityMaxAge = 3 * time.Second
 
-// roomNews is what is known of a worker's room in its present life.
-type roomNews struct {
-	// told is when the worker last said what it has.
-	told time.Time
-	// shrunk is the number of the first poll that told the leader of the newest shrinking, heard that of the newest poll whose news the leader has kept.
-	shrunk, heard int64
+// capacityReports says what the worker and the leader know of the worker's capacity.
+type capacityReports struct {
+	reportedAt time.Time
+	// shrunkPoll is the number of the first poll that reported the newest shrinking, ackedPoll
+	// that of the newest poll that the leader has taken over.
+	shrunkPoll, ackedPoll int64
 }
 
-// noteRoom takes note of what the worker says of its room. The lock must be held.
-func (r *Runner) noteRoom(room job.Resources) {
-	r.room.told = time.Now()
-	if r.life == nil || r.life.Capacity == room {
+// noteCapacity takes note of a report of the capacity. The lock must be held.
+func (r *Runner) noteCapacity(capacity job.Resources) {
+	r.present.capacity.reportedAt = time.Now()
+	if r.worker == nil || r.worker.Capacity == capacity {
 		return
 	}
-	r.parts.Logger.Info().Str("step", "runner.heartbeat").Stringer("life", r.life.ID).Int("cpu", room.CPU).Int("memory_mb", room.Memory).
-		Int("accelerators", room.Accelerators).Msg("worker's room has changed")
-	if !r.life.Capacity.FitsIn(room) {
-		r.room.shrunk = r.sequence + 1
+	r.dependencies.Logger.Info().Str("step", "runner.heartbeat").Stringer("life", r.worker.ID).
+		Int("cpu", capacity.CPU).Int("memory_mb", capacity.Memory).Int("accelerators", capacity.Accelerators).
+		Msg("worker's capacity has changed")
+	if !r.worker.Capacity.FitsIn(capacity) {
+		r.present.capacity.shrunkPoll = r.polls.sequence + 1
 	}
 }
 
-// roomKnown reports whether the leader has decided for the room that the worker has now. The lock must be held.
-func (r *Runner) roomKnown(now time.Time) bool {
-	return now.Sub(r.room.told) <= roomFresh && r.room.heard >= r.room.shrunk
+// capacityCurrent reports whether the leader's orders are for the capacity that the worker has
+// now: one that waits at its agent may have been decided for more. The lock must be held.
+func (r *Runner) capacityCurrent(now time.Time) bool {
+	c := r.present.capacity
+	return now.Sub(c.reportedAt) <= capacityMaxAge && c.ackedPoll >= c.shrunkPoll
 }
--- /dev/null
+++ b/jobs/runner/contact.go
@@ -0,0 +1,117 @@
+package runner
+
+import (
+	"errors"
+	"time"
+
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+)
+
+const (
+	// unresponsiveAfter is for how long a worker may give no answer until nothing is extended
+	// on it any more.
+	unresponsiveAfter = 1500 * time.Millisecond
+	// expiryMargin is added to the end of an unresponsive worker's lease, for the difference of
+	// two clock readings.
+	expiryMargin = 300 * time.Millisecond
+)
+
+// contact says when a worker answered.
+type contact struct {
+	lastAnswer time.Time
+	// failingSince is since when syncs get no answer; zero while they do.
+	failingSince time.Time
+}
+
+// unresponsive reports whether the worker has given no answer for too long to extend anything
+// on it.
+func (c contact) unresponsive(now time.Time) bool { return now.Sub(c.lastAnswer) > unresponsiveAfter }
+
+// last is until when the worker surely was there: a sync that it holds fails as it goes.
+func (c contact) last() time.Time {
+	if c.failingSince.IsZero() {
+		return c.lastAnswer
+	}
+	return c.failingSince
+}
+
+// failingFor is for how long syncs have got no answer; zero while they do.
+func (c contact) failingFor() time.Duration {
+	if c.failingSince.IsZero() {
+		return 0
+	}
+	return time.Since(c.failingSince)
+}
+
+// workerClock relates the worker's clock to this process's.
+type workerClock struct {
+	// reading is what the worker's clock said at readAt, in milliseconds.
+	reading int64
+	// readAt is zero before the first reading.
+	readAt time.Time
+}
+
+// at is what the worker's clock says at a time, in milliseconds.
+func (c workerClock) at(t time.Time) int64 { return c.reading + t.Sub(c.readAt).Milliseconds() }
+
+// noteAnswer takes over the clock that an answer to a call told. An answer of another
+// incarnation is no sign of life of the present one: it would make a worker that crashed before
+// it was to go seem to have drained. The lock must be held.
+func (r *Runner) noteAnswer(clock int64, err error) {
+	if !errors.Is(err, ErrOtherIncarnation) {
+		r.noteClock(clock)
+	}
+}
+
+// noteClock takes over a reading of the worker's clock, in milliseconds. The lock must be held.
+func (r *Runner) noteClock(clock int64) {
+	if clock <= 0 {
+		return
+	}
+	now := time.Now()
+	r.present.clock = workerClock{reading: clock, readAt: now}
+	r.present.contact = contact{lastAnswer: now}
+}
+
+// noteFailing notes a sync that got no answer, and logs the first of a row. The lock must be
+// held.
+func (r *Runner) noteFailing(err error) {
+	if r.worker == nil || !r.present.contact.failingSince.IsZero() {
+		return
+	}
+	r.present.contact.failingSince = time.Now()
+	r.dependencies.Logger.Warn().Str("step", "runner.list").Stringer("life", r.worker.ID).
+		Int("runs", len(r.present.runs.known)).Err(err).Msg("worker gives no answer")
+}
+
+// abandonRuns gives up the runs of a worker that gives no answer once each lease that it may
+// have heard of is over, by the slowest clock it may have: none of them runs any more, and none
+// starts. What ended there before is listed when the worker answers again. The lock must be
+// held.
+func (r *Runner) abandonRuns(now time.Time) {
+	runs := &r.present.runs
+	if r.worker == nil || len(runs.known) == 0 || !r.present.contact.unresponsive(now) || !now.After(r.leaseExpiry()) {
+		return
+	}
+	r.dependencies.Logger.Warn().Str("step", "runner.judgeSilence").Stringer("life", r.worker.ID).
+		Int("runs", len(runs.known)).Msg("worker is unresponsive and its lease is over")
+	for id, k := range runs.known {
+		if k.maybeRunning() {
+			runs.abandoned[id] = k.running
+		}
+		r.refuse(assignment.Refusal{
+			RunID:     id,
+			Reason:    reasonUnresponsive,
+			Uncertain: k.maybeRunning(),
+			Started:   k.running,
+		})
+	}
+}
+
+// leaseExpiry is when each lease that the worker may have heard of is surely over. The lock
+// must be held.
+func (r *Runner) leaseExpiry() time.Time {
+	lastAnswer := r.present.contact.lastAnswer
+	left := max(r.present.leaseSent.Sub(lastAnswer), 0)
+	return lastAnswer.Add(time.Duration(float64(left) * (1 + r.settings.Drift))).Add(expiryMargin)
+}
--- a/jobs/runner/export_test.go
+++ b/jobs/runner/export_test.go
@@ -2,12 +2,19 @@
 
 import "yarrowgrade.example/yarrowgrade/jobs/assignment"
 
-// PaceAfter returns the pace of a run that fills beside one that serves, after a look at each of the serving one's figures.
-func PaceAfter(serving, filling assignment.RunID, target int64, gauges []int) int {
-	p := newPacer()
-	p.assign([]assignment.Role{{RunID: serving, LatencyTargetMillis: target}, {RunID: filling, BestEffort: true}})
-	for _, gauge := range gauges {
-		p.look(map[assignment.RunID]*known{serving: {phase: there, gauge: gauge}, filling: {phase: there}})
+// SpeedAfter returns the speed of a best-effort run beside one with a latency target, after a look at each of the
+// latency figures of that one.
+func SpeedAfter(targeted, bestEffort assignment.RunID, target int64, latencies []int) int {
+	t := newThrottle()
+	t.assign([]assignment.Role{
+		{RunID: targeted, LatencyTargetMillis: target},
+		{RunID: bestEffort, BestEffort: true},
+	})
+	for _, latency := range latencies {
+		t.adjust(map[assignment.RunID]*run{
+			targeted:   {running: true, latencyMillis: latency},
+			bestEffort: {running: true},
+		})
 	}
-	return p.percent
+	return t.speed
 }
--- a/jobs/runner/incarnations.go
+++ b/jobs/runner/incarnations.go
@@ -6,330 +6,191 @@
 	"errors"
 	"maps"
 	"slices"
-	"strings"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/internal/fault"
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 )
 
-// lifeEnd is a life that is over. It is told until a poll that told it has been heard.
-type lifeEnd struct {
-	assignment.IncarnationEnd
-	// since is the number of the poll since which all polls have told it; zero if the newest did not.
-	since int64
-	// settled says that no order for this life has any effect any more; until then it is not told, since what was placed there would be placed again.
-	settled bool
-	// at is when the worker gave its last sign; zero if this agent never heard it.
-	at time.Time
+// formerIncarnations are the incarnations of the worker that have ended.
+type formerIncarnations struct {
+	known map[incarnation.ID]bool
+	// unheard are those whose end the leader has not heard yet.
+	unheard map[incarnation.ID]endedIncarnation
+	// unregistered is the present incarnation after the end of one, if a list has named it and
+	// it has not reported yet.
+	unregistered incarnation.ID
 }
 
-// Heartbeat takes over what the worker says of itself. It returns false for a life that is over, or that may be.
-func (r *Runner) Heartbeat(ctx context.Context, l assignment.WorkerState) bool {
-	r.mu.Lock()
-	consistent := r.consistent(l)
-	r.mu.Unlock()
-	if !consistent {
-		return false
-	}
-	current, contested := r.contested(l)
-	var err error
-	if contested {
-		err = r.probe(ctx, current)
-	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if contested && !r.settleContest(current, l, err) || r.former[l.ID] {
-		return false
-	}
-	news := r.life == nil || r.life.ID != l.ID || r.life.Draining != l.Draining || r.life.Capacity != l.Capacity
-	if r.life == nil {
-		r.parts.Logger.Info().Str("step", "runner.heartbeat").Stringer("life", l.ID).Msg("worker reports")
-	} else if r.life.Draining != l.Draining {
-		r.parts.Logger.Info().Str("step", "runner.heartbeat").Stringer("life", l.ID).Int64("leaves_in_ms", l.DrainMillis).Msg("worker leaves")
-	}
-	if r.life == nil {
-		r.answers = time.Now()
-	}
-	r.noteRoom(l.Capacity)
-	r.life, r.awaited = &l, incarnation.ID{}
-	if l.Draining {
-		r.leaves = time.Now().Add(time.Duration(l.DrainMillis) * time.Millisecond)
-	}
-	if news {
-		signal(r.report)
-		signal(r.extend)
-	}
-	return true
+func newFormerIncarnations() formerIncarnations {
+	return formerIncarnations{known: map[incarnation.ID]bool{}, unheard: map[incarnation.ID]endedIncarnation{}}
 }
 
-// contested reports whether a heartbeat is of another life than the present one. Such a heartbeat need not be newer: one that was held up
-// may come after the next life has registered, and this process may have begun in between and know nothing of the former one.
-func (r *Runner) contested(l assignment.WorkerState) (current Order, contested bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.life == nil || r.life.ID == l.ID || r.former[l.ID] {
-		return Order{}, false
-	}
-	current, _ = r.order()
-	return Order{Incarnation: r.life.ID, Fence: current.Fence}, true
-}
-
-// probe asks the worker whether it is still in a life; nil says that it is.
-func (r *Runner) probe(ctx context.Context, current Order) error {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
-	_, _, err := r.hold(ctx, current, 0, 0, 0)
-	return err
-}
-
-// settleContest decides by the worker's answer which of two lives it is in, and reports whether that is the one of the heartbeat. Without
-// an answer nothing changes: the next heartbeat asks again. The lock must be held.
-func (r *Runner) settleContest(current Order, l assignment.WorkerState, answer error) bool {
-	switch {
-	case errors.Is(answer, ErrOtherIncarnation):
-		if r.life != nil && r.life.ID == current.Incarnation {
-			r.endLife(answer)
-		}
-		return r.life == nil || r.life.ID == l.ID
-	case answer == nil, refused(answer) && !l.ID.SharesInstance(current.Incarnation):
-		// The worker answered as the life that is known: the heartbeat is of one that has crashed. A refusal names no start, only the id.
-		r.former[l.ID] = true
-		r.parts.Logger.Info().Str("step", "runner.heartbeat").Stringer("life", l.ID).Stringer("current", current.Incarnation).Msg("late heartbeat of a former life")
-	}
-	return false
-}
-
-// refused reports whether a worker with the id that was meant has answered, and refused the call.
-func refused(answer error) bool {
-	return errors.Is(answer, ErrFenced) || errors.Is(answer, ErrUnavailable)
-}
-
-// errLeft is why the life ends of a worker that has said that it goes.
-var errLeft = errors.New("the worker has left")
-
-// Deregister takes note of a worker that says it ends. It does not say which start: where several may share an id, only one that had told that it would go is taken at its
-// word. A word of a former start that comes late would end a life that goes on, and what runs there would run twice.
-func (r *Runner) Deregister(instance string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.life == nil || r.life.ID.Instance != instance {
-		r.goneBefore(incarnation.ID{Instance: instance})
-		return
-	}
-	if r.life.ID.StartMillis != 0 && !r.life.Draining {
-		r.parts.Logger.Warn().Str("step", "runner.gone").Stringer("life", r.life.ID).Msg("a worker ends that has not said that it leaves; the life known goes on")
-		return
-	}
-	r.answers = time.Now()
-	r.endLife(errLeft)
-}
-
-// goneBefore takes note of the end of a life that is not the present one. The lock must be held.
-func (r *Runner) goneBefore(id incarnation.ID) {
-	if _, known := r.over[id]; !known {
-		r.former[id], r.over[id] = true, lifeEnd{IncarnationEnd: assignment.IncarnationEnd{ID: id, Drained: true}, settled: true}
-	}
+// endedIncarnation is an incarnation whose end is reported until a poll with it has been heard.
+type endedIncarnation struct {
+	assignment.IncarnationEnd
+	// since is the number of the poll since which all polls report it; zero if the newest did
+	// not.
+	since int64
+	// ordersVoid says that no order for it can have an effect any more. Until then its end is
+	// not reported, since the leader would place its runs again.
+	ordersVoid bool
+	// lastContact is until when the worker was there; zero if this agent never heard it.
+	lastContact time.Time
 }
 
-// endLife ends the present life. The lock must be held.
-func (r *Runner) endLife(why error) {
-	left := errors.Is(why, errLeft) || r.life.Draining && !r.lastSign().Before(r.leaves)
-	end := assignment.IncarnationEnd{ID: r.life.ID, Drained: left, Draining: !left && r.life.Draining, Runs: r.cutRuns(), Complete: r.listed}
-	r.logLifeEnd(end, why)
-	r.metrics.lives.Inc(lifeOutcomeOf(end))
-	r.former[r.life.ID], r.over[r.life.ID] = true, lifeEnd{IncarnationEnd: end, at: r.lastSign(), settled: r.ordersVoid(why)}
-	r.life = nil
-	r.reset()
-	var other *otherStartError
-	if errors.As(why, &other) {
-		r.awaited = other.present
-	}
-	signal(r.report)
-}
+// heardBy reports whether the poll with a number reported it.
+func (e endedIncarnation) heardBy(poll int64) bool { return e.since != 0 && e.since <= poll }
 
-// fenceAwaited tells a start of the worker that has not reported yet the fence of its life, so that what was sent to former starts has no effect there from now
-// on. A start that hears no fence carries such orders out. Its report may be a while off: on drawn days up to a second, within which it crashed
-// and started again, and a run began there that had been placed elsewhere meanwhile.
-func (r *Runner) fenceAwaited(ctx context.Context) {
-	r.mu.Lock()
-	order, generation := Order{Incarnation: r.awaited, Fence: r.fenceOfLife()}, r.generation
-	known := r.life != nil || r.awaited.IsZero() || r.fence == 0
-	r.mu.Unlock()
-	if known {
+// noteDrained notes the end of an incarnation that is not the present one.
+func (f *formerIncarnations) noteDrained(id incarnation.ID) {
+	if _, ok := f.unheard[id]; ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
-	_, _, err := r.hold(ctx, order, 0, 0, 0)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	var other *otherStartError
-	switch {
-	case generation != r.generation || r.life != nil:
-	case errors.As(err, &other):
-		// It has started once more, and has heard the fence by this call.
-		r.awaited = other.present
-	case errors.Is(err, ErrOtherIncarnation):
-		r.awaited = incarnation.ID{}
-	}
-}
-
-// ordersVoid reports whether no order for the present life, which ends, has any effect any more, though it may still be under way: the worker has
-// another id, or none of its starts was in doubt and it has gone. A start under the same id has not seen a fence yet, and may carry
-// such an order out. The lock must be held.
-func (r *Runner) ordersVoid(why error) bool {
-	switch {
-	case r.life.ID.StartMillis == 0:
-		return true
-	case errors.Is(why, errLeft):
-		return !r.doubted()
-	}
-	var other *otherStartError
-	return !errors.As(why, &other)
-}
-
-// doubted reports whether it is not known of some start whether it was carried out. The lock must be held.
-func (r *Runner) doubted() bool {
-	for _, k := range r.runs {
-		if !k.doubted.IsZero() {
-			return true
-		}
+	f.known[id] = true
+	f.unheard[id] = endedIncarnation{
+		IncarnationEnd: assignment.IncarnationEnd{ID: id, Drained: true},
+		ordersVoid:     true,
 	}
-	return false
 }
 
-// settleLives lets the ends of former lives be told: the present one has listed what it runs after it had heard a fence of its own, so nothing that was sent
-// before has any effect any more. The lock must be held.
-func (r *Runner) settleLives() {
-	for id, e := range r.over {
-		if !e.settled {
-			e.settled = true
-			r.over[id] = e
-			signal(r.report)
+// voidOrders notes that no order for a former incarnation can have an effect any more. It
+// reports whether that is news.
+func (f *formerIncarnations) voidOrders() bool {
+	news := false
+	for id, e := range f.unheard {
+		if !e.ordersVoid {
+			e.ordersVoid = true
+			f.unheard[id] = e
+			news = true
 		}
 	}
+	return news
 }
 
-// cutRuns lists what is there, or may be, as far as the agent knows. The lock must be held.
-func (r *Runner) cutRuns() []assignment.InterruptedRun {
-	var cut []assignment.InterruptedRun
-	for id, k := range r.runs {
-		if k.phase == there || k.ordered {
-			cut = append(cut, assignment.InterruptedRun{RunID: id, Started: k.phase == there, AgeMillis: k.ageAt(r.lastSign()).Milliseconds()})
+// closing lists the incarnations that are over and that the newest poll doesn't report as ended.
+func (f *formerIncarnations) closing() []incarnation.ID {
+	var ids []incarnation.ID
+	for id, e := range f.unheard {
+		if e.since == 0 {
+			ids = append(ids, id)
 		}
 	}
-	for id, begun := range r.givenUp {
-		cut = append(cut, assignment.InterruptedRun{RunID: id, Started: begun})
-	}
-	slices.SortFunc(cut, func(a, b assignment.InterruptedRun) int { return cmp.Compare(a.Task.String(), b.Task.String()) })
-	return cut
-}
-
-// lastSign is until when the worker surely was there: a listing that it holds fails as it goes. The lock must be held.
-func (r *Runner) lastSign() time.Time {
-	if r.failing.IsZero() {
-		return r.answers
-	}
-	return r.failing
-}
-
-// logLifeEnd says how a life ended and what was there: a task that crashes its worker has begun a moment before, on each worker anew. The
-// lock must be held.
-func (r *Runner) logLifeEnd(end assignment.IncarnationEnd, why error) {
-	r.parts.Logger.Info().Str("step", "runner.endLife").Stringer("life", end.ID).AnErr("why", why).Bool("left", end.Drained).Int("runs", len(end.Runs)).
-		Int64("silent_ms", time.Since(r.lastSign()).Milliseconds()).Msg("life is over")
-	for _, cut := range end.Runs {
-		r.parts.Logger.Info().Str("step", "runner.endLife").Stringer("life", end.ID).Bool("left", end.Drained).Stringer("task", cut.Task).Int("run", cut.Run).
-			Bool("begun", cut.Started).Int64("age_ms", cut.AgeMillis).Msg("run ended with its worker")
-	}
-}
-
-// noteFailing takes note of a listing that got no answer, and says so for the first of a row. The lock must be held.
-func (r *Runner) noteFailing(err error) {
-	if r.life == nil || !r.failing.IsZero() {
-		return
-	}
-	r.failing = time.Now()
-	r.parts.Logger.Warn().Str("step", "runner.list").Stringer("life", r.life.ID).Int("runs", len(r.runs)).Err(err).Msg("worker gives no answer")
+	return ids
 }
 
-// livesOver lists the lives whose end the present poll tells. That of a former start under the present id is told only beside the present one's list: orders
-// for the former one may have been carried out by the present one, and the leader has to see both at once. The lock must be held.
-func (r *Runner) livesOver() []assignment.IncarnationEnd {
+// reportEnded lists the ended incarnations that the poll being made reports. One that shares
+// its instance with the present incarnation is reported only beside a complete list: orders for
+// the former one may have been carried out by the present one, and the leader has to see both
+// at once. The lock must be held.
+func (r *Runner) reportEnded() []assignment.IncarnationEnd {
 	var ends []assignment.IncarnationEnd
 	byName := func(a, b incarnation.ID) int { return cmp.Compare(a.String(), b.String()) }
-	for _, id := range slices.SortedFunc(maps.Keys(r.over), byName) {
-		e := r.over[id]
-		if !e.settled || !r.listed && r.life != nil && r.life.ID.SharesInstance(id) {
+	for _, id := range slices.SortedFunc(maps.Keys(r.former.unheard), byName) {
+		e := r.former.unheard[id]
+		if !e.ordersVoid || r.needsList(id) {
 			e.since = 0
-			r.over[id] = e
+			r.former.unheard[id] = e
 			continue
 		}
-		e.since = cmp.Or(e.since, r.sequence)
-		r.over[id] = e
-		if !e.at.IsZero() {
-			e.SinceMillis = time.Since(e.at).Milliseconds()
+		e.since = cmp.Or(e.since, r.polls.sequence)
+		r.former.unheard[id] = e
+		if !e.lastContact.IsZero() {
+			e.SinceMillis = time.Since(e.lastContact).Milliseconds()
 		}
 		ends = append(ends, e.IncarnationEnd)
 	}
 	return ends
 }
 
-// livesClosing lists those that are over and that the present poll does not tell. The lock must be held.
-func (r *Runner) livesClosing() []incarnation.ID {
-	var closing []incarnation.ID
-	for id, e := range r.over {
-		if e.since == 0 {
-			closing = append(closing, id)
-		}
+// needsList reports whether the end of a former incarnation has to wait for the list of the
+// present one. The lock must be held.
+func (r *Runner) needsList(former incarnation.ID) bool {
+	return !r.present.complete && r.worker != nil && r.worker.ID.SharesInstance(former)
+}
+
+// errDrained is why the incarnation ends of a worker that has deregistered.
+var errDrained = errors.New("the worker has deregistered")
+
+// endIncarnation ends the present incarnation. The lock must be held.
+func (r *Runner) endIncarnation(why error) {
+	lastContact := r.present.contact.last()
+	drained := errors.Is(why, errDrained) || r.worker.Draining && !lastContact.Before(r.present.drainsAt)
+	end := assignment.IncarnationEnd{
+		ID:       r.worker.ID,
+		Drained:  drained,
+		Draining: !drained && r.worker.Draining,
+		Runs:     r.present.runs.interrupted(lastContact),
+		Complete: r.present.complete,
+	}
+	r.logEnd(end, why)
+	r.metrics.incarnations.Inc(endOutcomeOf(end))
+	r.former.known[end.ID] = true
+	r.former.unheard[end.ID] = endedIncarnation{
+		IncarnationEnd: end,
+		lastContact:    lastContact,
+		ordersVoid:     r.ordersVoid(why),
+	}
+	r.worker = nil
+	r.present = newIncarnationState()
+	r.generation++
+	var restarted *restartedError
+	if errors.As(why, &restarted) {
+		r.former.unregistered = restarted.present
 	}
-	return closing
+	signal(r.report)
 }
 
-// heardBy reports whether the poll with a number told it.
-func (e lifeEnd) heardBy(poll int64) bool { return e.since != 0 && e.since <= poll }
-
-// failingFor is for how long the worker has given no answer, zero while it does. The lock must be held.
-func (r *Runner) failingFor() time.Duration {
-	if r.failing.IsZero() {
-		return 0
+// ordersVoid reports whether no order for the present incarnation, which ends, can have an
+// effect any more: the worker has another instance, or it has drained and no start is
+// uncertain. An incarnation that shares the instance has not seen a fence yet, and may carry
+// out an order that is under way. The lock must be held.
+func (r *Runner) ordersVoid(why error) bool {
+	switch {
+	case r.worker.ID.StartMillis == 0:
+		return true
+	case errors.Is(why, errDrained):
+		return !r.present.runs.anyUncertain()
 	}
-	return time.Since(r.failing)
-}
-
-// didNothing reports whether a start that failed surely was not carried out.
-func didNothing(err error) bool {
-	refusals := []error{ErrOtherIncarnation, ErrFenced, ErrLeaseOver, ErrNoCapacity, ErrUnavailable, ErrRejected}
-	return fault.NotReached(err) || slices.ContainsFunc(refusals, func(refusal error) bool { return errors.Is(err, refusal) })
+	var restarted *restartedError
+	return !errors.As(why, &restarted)
 }
 
-// constants are what a worker can't change within a life.
-type constants struct {
-	service, zone, rack, labels, machine string
-}
-
-func constantsOf(l assignment.WorkerState) constants {
-	return constants{service: l.Service, zone: l.Zone, rack: l.Rack, labels: strings.Join(l.Labels, "\n"), machine: l.Machine}
+// logEnd logs how an incarnation ended and what was running. The lock must be held.
+func (r *Runner) logEnd(end assignment.IncarnationEnd, why error) {
+	r.dependencies.Logger.Info().Str("step", "runner.endLife").Stringer("life", end.ID).AnErr("why", why).
+		Bool("left", end.Drained).Int("runs", len(end.Runs)).
+		Int64("silent_ms", time.Since(r.present.contact.last()).Milliseconds()).Msg("incarnation is over")
+	for _, run := range end.Runs {
+		r.dependencies.Logger.Info().Str("step", "runner.endLife").Stringer("life", end.ID).
+			Bool("left", end.Drained).Stringer("task", run.Task).Int("run", run.Run).
+			Bool("begun", run.Started).Int64("age_ms", run.AgeMillis).Msg("run ended with its worker")
+	}
 }
 
-// consistent reports whether a heartbeat says what was known before of what can't change: of the present life, and for any other one what the settings say of the
-// worker. Others than the worker may write there too; what differs is taken only once it is said twice in a row. The lock must be held.
-func (r *Runner) consistent(l assignment.WorkerState) bool {
-	said := constantsOf(l)
-	known := r.life != nil && r.life.ID == l.ID && constantsOf(*r.life) == said
-	expected := (r.life == nil || r.life.ID != l.ID) && isOrUnknown(r.settings.Service, l.Service) && isOrUnknown(r.settings.Zone, l.Zone)
-	if known || expected || r.odd == said {
-		r.odd = constants{}
-		return true
+// fenceUnregistered tells an incarnation that has not reported yet the present fence. Until it
+// has seen one, it would carry out orders for former incarnations that are still under way,
+// though their runs may be placed elsewhere by now.
+func (r *Runner) fenceUnregistered(ctx context.Context) {
+	r.mu.Lock()
+	order, generation := Order{Incarnation: r.former.unregistered, Fence: r.orderFence()}, r.generation
+	needed := r.worker == nil && !r.former.unregistered.IsZero() && r.leader.fence != 0
+	r.mu.Unlock()
+	if !needed {
+		return
+	}
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	_, _, err := r.sync(ctx, syncCall{order: order})
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var restarted *restartedError
+	switch {
+	case generation != r.generation || r.worker != nil:
+	case errors.As(err, &restarted):
+		// It has restarted once more, and the new incarnation has heard the fence by this call.
+		r.former.unregistered = restarted.present
+	case errors.Is(err, ErrOtherIncarnation):
+		r.former.unregistered = incarnation.ID{}
 	}
-	r.odd = said
-	r.metrics.odd.Inc(1)
-	r.parts.Logger.Warn().Str("step", "runner.heartbeat").Stringer("life", l.ID).Str("service", l.Service).Str("zone", l.Zone).Strs("labels", l.Labels).
-		Msg("heartbeat says otherwise what can't change; it is not taken")
-	return false
 }
-
-// isOrUnknown reports whether a value is the one that the settings name, if they name one.
-func isOrUnknown(expected, value string) bool { return expected == "" || expected == value }
--- a/jobs/runner/leader_client.go
+++ b/jobs/runner/leader_client.go
@@ -17,91 +17,103 @@
 	"yarrowgrade.example/yarrowgrade/jobs/directory"
 )
 
-// Bounds of the exchange with a leader.
 const (
+	// maxAnswerBytes bounds an answer of a leader or an entry.
 	maxAnswerBytes = 4 << 20
-	// askTimeout bounds the question who the leader is; askPause is the shortest time between two rounds of it.
+	// askTimeout bounds the question to an entry who the leader is; askPause is the shortest
+	// time between two rounds.
 	askTimeout = 500 * time.Millisecond
 	askPause   = 300 * time.Millisecond
-	// askedAtOnce is how many entries are asked in a round, drawn anew each time. Where a third of them are gone or know nothing, 26 rounds of 27 find one that
-	// knows, and the next round comes after askPause.
+	// askedAtOnce is how many entries are asked in a round, drawn at random: so few that an
+	// outage of the store doesn't let all agents flood all entries, and enough that one of them
+	// most likely knows.
 	askedAtOnce = 3
 )
 
-// LeaderClient finds the leader and carries polls to it: by the directory in the log, by what entries say, and by
-// their word when the directory can't be read. It implements Leader.
+// LeaderClient carries polls to the leader. It finds the leader by the directory, and while
+// that can't be read by what entries say. It implements Leader.
 type LeaderClient struct {
 	directory *directory.Directory
 	client    *http.Client
 
-	mu    sync.Mutex
-	asked time.Time
+	mu sync.Mutex
+	// askedAt is when the newest round of questions began.
+	askedAt time.Time
 }
 
-// NewLeaderClient returns the way to the leader.
+// NewLeaderClient returns a client that looks the leader up in the directory.
 func NewLeaderClient(d *directory.Directory, client *http.Client) *LeaderClient {
 	return &LeaderClient{directory: d, client: client}
 }
 
-// errNobody says that no leader is known.
-var errNobody = errors.New("no leader is known")
+// errNoLeader says that no leader is known.
+var errNoLeader = errors.New("no leader is known")
 
-// Poll implements Leader.
+// Poll implements Leader. A poll that failed asks entries who the leader is, so that a later
+// one may find it.
 func (l *LeaderClient) Poll(ctx context.Context, p assignment.Poll) (assignment.Answer, error) {
 	leader, changed := l.directory.Leader(), l.directory.Changed()
 	if leader.Address == "" {
 		l.ask(ctx)
-		return assignment.Answer{}, errNobody
+		return assignment.Answer{}, errNoLeader
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go func() {
-		// A poll that waits at a leader that has been succeeded ends.
-		select {
-		case <-changed:
-			if l.directory.Leader().Term > leader.Term {
-				cancel()
-			}
-		case <-ctx.Done():
-		}
-	}()
+	go l.cancelAfter(ctx, leader.Term, changed, cancel)
 	var answer assignment.Answer
 	status, err := l.exchange(ctx, http.MethodPost, leader.Address, assignment.Path, p, &answer)
+	if err == nil && status != http.StatusOK {
+		err = fmt.Errorf("status %d", status)
+	}
 	if err != nil {
 		l.ask(ctx)
 		return answer, fault.New("runner.Poll", leader.Address, err)
 	}
-	if status != http.StatusOK {
-		l.ask(ctx)
-		return answer, fault.New("runner.Poll", leader.Address, fmt.Errorf("status %d", status))
-	}
 	return answer, nil
 }
 
-// ask asks a few entries who the leader is, not too often.
+// cancelAfter cancels a poll at the leader of a term once the directory, which then has
+// changed, names a later one.
+func (l *LeaderClient) cancelAfter(ctx context.Context, term int64, changed <-chan struct{}, cancel func()) {
+	select {
+	case <-changed:
+		if l.directory.Leader().Term > term {
+			cancel()
+		}
+	case <-ctx.Done():
+	}
+}
+
+// ask begins a round of questions to a few entries, unless one has begun within askPause.
 func (l *LeaderClient) ask(ctx context.Context) {
 	l.mu.Lock()
-	early := time.Since(l.asked) < askPause
+	early := time.Since(l.askedAt) < askPause
 	if !early {
-		l.asked = time.Now()
+		l.askedAt = time.Now()
 	}
 	l.mu.Unlock()
 	if early {
 		return
 	}
 	for _, address := range sample.Draw(l.directory.Addresses(), askedAtOnce) {
-		go func() {
-			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), askTimeout)
-			defer cancel()
-			var r assignment.Redirect
-			if status, err := l.exchange(ctx, http.MethodGet, address, assignment.LeaderPath, nil, &r); err == nil && status == http.StatusOK {
-				l.directory.ObserveLeader(directory.Leader{Term: r.Term, Address: r.Address})
-			}
-		}()
+		go l.askEntry(context.WithoutCancel(ctx), address)
+	}
+}
+
+// askEntry asks an entry who the leader is. One that doesn't know or doesn't answer is passed
+// over.
+func (l *LeaderClient) askEntry(ctx context.Context, address string) {
+	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	defer cancel()
+	var r assignment.Redirect
+	status, err := l.exchange(ctx, http.MethodGet, address, assignment.LeaderPath, nil, &r)
+	if err == nil && status == http.StatusOK {
+		l.directory.ObserveLeader(directory.Leader{Term: r.Term, Address: r.Address})
 	}
 }
 
-// exchange makes one exchange. A redirect is learnt from.
+// exchange makes one exchange, and decodes the body of a success into out. From a redirect it
+// learns the leader.
 func (l *LeaderClient) exchange(ctx context.Context, method, address, path string, body, out any) (int, error) {
 	var data []byte
 	if body != nil {
--- a/jobs/runner/metrics.go
+++ b/jobs/runner/metrics.go
@@ -10,15 +10,15 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// outcome is what came of an order to the worker, or of a poll, as it is counted.
+// outcome is how a call to the worker, or a poll, ended, as it is counted.
 type outcome string
 
 const (
-	outcomeDone      outcome = "done"
-	outcomeOtherLife outcome = "other_life"
-	outcomeFenced    outcome = "fenced"
-	outcomeRefused   outcome = "refused"
-	outcomeNone      outcome = "no_answer"
+	outcomeDone             outcome = "done"
+	outcomeOtherIncarnation outcome = "other_life"
+	outcomeFenced           outcome = "fenced"
+	outcomeRefused          outcome = "refused"
+	outcomeNoAnswer         outcome = "no_answer"
 )
 
 func outcomeOf(err error) outcome {
@@ -26,57 +26,74 @@
 	case err == nil:
 		return outcomeDone
 	case errors.Is(err, ErrOtherIncarnation):
-		return outcomeOtherLife
+		return outcomeOtherIncarnation
 	case errors.Is(err, ErrFenced):
 		return outcomeFenced
-	case errors.Is(err, ErrAlreadyRan), errors.Is(err, ErrLeaseOver), errors.Is(err, ErrNoCapacity), errors.Is(err, ErrUnavailable), errors.Is(err, ErrRejected):
+	}
+	refusals := []error{ErrAlreadyRan, ErrLeaseOver, ErrNoCapacity, ErrUnavailable, ErrRejected}
+	if isAny(err, refusals) {
 		return outcomeRefused
 	}
-	return outcomeNone
+	return outcomeNoAnswer
 }
 
-// lifeOutcome is how a life of the worker ended, as it is counted.
-type lifeOutcome string
+// endOutcome is how an incarnation of the worker ended, as it is counted.
+type endOutcome string
 
 const (
-	lifeLeft    lifeOutcome = "left"
-	lifeCrashed lifeOutcome = "crashed"
+	endDrained endOutcome = "left"
+	endCrashed endOutcome = "crashed"
 )
 
-func lifeOutcomeOf(end assignment.IncarnationEnd) lifeOutcome {
+func endOutcomeOf(end assignment.IncarnationEnd) endOutcome {
 	if end.Drained {
-		return lifeLeft
+		return endDrained
 	}
-	return lifeCrashed
+	return endCrashed
 }
 
 // metrics are a runner's.
 type metrics struct {
-	lives                       telemetry.Counters[lifeOutcome]
-	starts, stops, holds, polls telemetry.Counters[outcome]
-	ends                        telemetry.Counters[job.EndReason]
-	// cordoned counts starts that had to wait until it was known that the zone is not cordoned.
-	cordoned tally.Counter
-	// passedOver counts ends that count as read by their number and were not read, gone the runs that went from a list without an end.
-	passedOver, gone tally.Counter
-	// unreadable counts rows of lists that could not be read.
-	unreadable tally.Counter
-	// odd counts heartbeats that said otherwise what can't change.
-	odd tally.Counter
+	incarnations telemetry.Counters[endOutcome]
+
+	starts, stops, syncs, polls telemetry.Counters[outcome]
+
+	ends telemetry.Counters[job.EndReason]
+	// zoneWaits counts starts that had to wait for a proof that the zone is not cordoned.
+	zoneWaits tally.Counter
+	// skippedEnds counts ends that were skipped, since their numbers count as stored.
+	skippedEnds tally.Counter
+	// goneRuns counts runs that went from a list without an end.
+	goneRuns tally.Counter
+	// unreadableRows counts rows of lists that could not be read.
+	unreadableRows tally.Counter
+	// implausible counts heartbeats that were dropped for the identity that they claim.
+	implausible tally.Counter
 }
 
 func newMetrics(scope tally.Scope) metrics {
 	counters := func(name string) telemetry.Counters[outcome] {
-		return telemetry.NewCounters(scope, name, "outcome", outcomeDone, outcomeOtherLife, outcomeFenced, outcomeRefused, outcomeNone)
+		return telemetry.NewCounters(scope, name, "outcome",
+			outcomeDone, outcomeOtherIncarnation, outcomeFenced, outcomeRefused, outcomeNoAnswer)
 	}
 	return metrics{
-		lives:      telemetry.NewCounters(scope, "lives_over", "how", lifeLeft, lifeCrashed),
-		cordoned:   scope.Counter("starts_held_for_cordon"),
-		odd:        scope.Counter("heartbeats_odd"),
-		unreadable: scope.Counter("rows_unreadable"),
-		passedOver: scope.Counter("ends_passed_over"), gone: scope.Counter("runs_gone_without_end"),
-		starts: counters("starts_ordered"), stops: counters("stops_ordered"), holds: counters("holds"), polls: counters("polls"),
-		ends: telemetry.NewCounters(scope, "ends_listed", "how", job.EndDone, job.EndFailed, job.EndStopped, job.EndLeaseExpired, job.EndGangBroken,
-			job.EndGangIncomplete),
+		incarnations:   telemetry.NewCounters(scope, "lives_over", "how", endDrained, endCrashed),
+		starts:         counters("starts_ordered"),
+		stops:          counters("stops_ordered"),
+		syncs:          counters("holds"),
+		polls:          counters("polls"),
+		zoneWaits:      scope.Counter("starts_held_for_cordon"),
+		skippedEnds:    scope.Counter("ends_passed_over"),
+		goneRuns:       scope.Counter("runs_gone_without_end"),
+		unreadableRows: scope.Counter("rows_unreadable"),
+		implausible:    scope.Counter("heartbeats_odd"),
+		ends: telemetry.NewCounters(scope, "ends_listed", "how",
+			job.EndDone,
+			job.EndFailed,
+			job.EndStopped,
+			job.EndLeaseExpired,
+			job.EndGangBroken,
+			job.EndGangIncomplete,
+		),
 	}
 }
--- /dev/null
+++ b/jobs/runner/poll.go
@@ -0,0 +1,106 @@
+package runner
+
+import (
+	"context"
+	"time"
+
+	"yarrowgrade.example/yarrowgrade/internal/pause"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+)
+
+const (
+	// pollTimeout bounds a poll; it must be well above the time for which a leader holds one.
+	pollTimeout = 1800 * time.Millisecond
+	// repeatPause holds back the next waiting poll after an answer that was held for less than
+	// heldAtLeast: it would only repeat what has just been said.
+	heldAtLeast = 5 * time.Millisecond
+	repeatPause = 30 * time.Millisecond
+)
+
+// pollLoop polls the leader. One loop waits there for orders, the other one brings news at once.
+func (r *Runner) pollLoop(ctx context.Context, wait bool, news chan struct{}) {
+	for ctx.Err() == nil {
+		if news != nil {
+			select {
+			case <-news:
+			case <-ctx.Done():
+				return
+			}
+		}
+		held, err := r.pollOnce(ctx, wait)
+		switch {
+		case err != nil:
+			pause.For(ctx, retryPause)
+			if news != nil {
+				signal(news)
+			}
+		case wait && held < heldAtLeast:
+			pause.For(ctx, repeatPause)
+		}
+	}
+}
+
+// pollOnce makes one poll and applies the answer. It returns for how long the leader held the
+// poll.
+func (r *Runner) pollOnce(ctx context.Context, wait bool) (held time.Duration, err error) {
+	poll, generation := r.nextPoll(wait)
+	sent := r.dependencies.Suspension.Now()
+	attempt, cancel := context.WithTimeout(ctx, pollTimeout)
+	answer, err := r.dependencies.Leader.Poll(attempt, poll)
+	cancel()
+	r.metrics.polls.Inc(outcomeOf(err))
+	if err != nil {
+		return 0, err
+	}
+	r.applyAnswer(ctx, answer, sent, generation)
+	return answer.Held(), nil
+}
+
+// nextPoll describes the worker, in full or as a delta, and returns the generation that is
+// described.
+func (r *Runner) nextPoll(wait bool) (assignment.Poll, int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.polls.sequence++
+	now := time.Now()
+	p := assignment.Poll{
+		Worker:        r.settings.Name,
+		Agent:         r.settings.Agent,
+		Sequence:      r.polls.sequence,
+		Term:          r.leader.term,
+		Complete:      r.present.complete,
+		AckedEnd:      r.present.ends.acked,
+		Wait:          wait,
+		Unresponsive:  r.worker != nil && r.present.contact.unresponsive(now),
+		FailingMillis: r.present.contact.failingFor().Milliseconds(),
+	}
+	p.EndedIncarnations = r.reportEnded()
+	p.ClosingIncarnations = r.former.closing()
+	if r.worker != nil {
+		state := *r.worker
+		p.State = &state
+	}
+	if !r.present.complete {
+		return p, r.generation
+	}
+	p.Runs = r.present.runs.report(now)
+	p.Ends = r.present.ends.list()
+	for _, refused := range r.present.refusals {
+		p.Refused = append(p.Refused, refused.Refusal)
+	}
+	return r.shorten(p), r.generation
+}
+
+// report lists the runs for a poll.
+func (t *runTable) report(now time.Time) []assignment.Run {
+	var runs []assignment.Run
+	for id, k := range t.known {
+		runs = append(runs, assignment.Run{
+			RunID:        id,
+			Percent:      k.percent,
+			AgeMillis:    k.age(now).Milliseconds(),
+			ListedMillis: k.listedAge().Milliseconds(),
+		})
+	}
+	return runs
+}
--- a/jobs/runner/runner_test.go
+++ b/jobs/runner/runner_test.go
@@ -458,7 +458,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := runner.PaceAfter(serving, filling, 100, test.gauges); got != test.want {
+			if got := runner.SpeedAfter(serving, filling, 100, test.gauges); got != test.want {
 				t.Errorf("the pace is %d %%, want %d", got, test.want)
 			}
 		})
--- a/jobs/runner/starts.go
+++ b/jobs/runner/starts.go
@@ -9,245 +9,185 @@
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 )
 
-// maxBusy is how often a start is tried on a worker that does nothing, before the leader is told.
-const maxBusy = 8
+const (
+	// maxUnavailable is how often a start is tried on a worker that is unavailable before the
+	// leader is told.
+	maxUnavailable = 8
+	// wakeMargin is for how long this process may have to wait for a processor between looking
+	// at a clock and sending.
+	wakeMargin = 150 * time.Millisecond
+)
+
+// zoneProofMaxAge is how old the proof that the worker's zone is not cordoned may be when a
+// start is sent. An operator's cordon is acknowledged no earlier than the proof was taken, and
+// the start is carried out no later than its call ends, so with this bound nothing starts later
+// than CordonWithin after it.
+func (s Settings) zoneProofMaxAge() time.Duration {
+	return time.Duration(float64(s.CordonWithin)*(1-s.Drift)) - callTimeout - wakeMargin
+}
+
+// pendingStart is a start that the agent tries to get carried out.
+type pendingStart struct {
+	assignment.Start
+	generation int
+	// unavailable counts the attempts at which the worker was unavailable.
+	unavailable int
+	// zoneLogged says that it was logged that the start waits for a proof of the zone.
+	zoneLogged bool
+}
 
 // beginStart starts a run in the background unless it is known already. The lock must be held.
 func (r *Runner) beginStart(ctx context.Context, s assignment.Start) {
-	if r.life == nil || r.runs[s.RunID] != nil {
+	if r.worker == nil || r.present.runs.known[s.RunID] != nil {
 		return
 	}
-	if r.endedTask(s.Task, s.Run) {
-		r.insist(s.RunID)
+	if r.present.runs.over(s.RunID) {
+		r.reportOver(s.RunID)
 		return
 	}
-	if r.life.Draining {
-		r.refuse(assignment.Refusal{RunID: s.RunID, Reason: "the worker leaves"})
+	if r.worker.Draining {
+		r.refuse(assignment.Refusal{RunID: s.RunID, Reason: reasonDraining})
 		return
 	}
-	r.runs[s.RunID] = &known{phase: starting, percent: -1}
-	generation := r.generation
-	r.work.Go(func() { r.start(ctx, s, generation) })
+	r.present.runs.known[s.RunID] = newRun()
+	pending := &pendingStart{Start: s, generation: r.generation}
+	r.background.Go(func() { r.start(ctx, pending) })
 }
 
-// start tries until it is settled whether the run is there.
-func (r *Runner) start(ctx context.Context, s assignment.Start, generation int) {
-	waits := false
-	for busy := 0; ctx.Err() == nil; {
-		r.mu.Lock()
-		k := r.runs[s.RunID]
-		order, ok := r.order()
-		until, leased := r.deadline(time.Now())
-		open := r.zoneOpen(time.Now())
-		fits := r.roomKnown(time.Now())
-		gone := generation != r.generation || k == nil || k.phase == there || k.stopping
-		before := !gone && k.ordered
-		looked := gone || r.looked(k)
-		if !gone && ok && leased && open && fits && looked {
-			k.ordered = true
-		}
-		r.mu.Unlock()
-		if gone {
+// start tries until it is known whether the run has started, or until the run is no longer
+// wanted.
+func (r *Runner) start(ctx context.Context, s *pendingStart) {
+	for ctx.Err() == nil {
+		attempt := r.prepareStart(s)
+		if attempt.obsolete {
 			return
 		}
-		if ok && !open && !waits {
-			waits = true
-			r.parts.Logger.Info().Str("step", "runner.start").Stringer("task", s.Task).Int("run", s.Run).
-				Msg("start waits until it is known that the zone is not cordoned")
-			r.metrics.cordoned.Inc(1)
-		}
-		if !ok || !leased || !open || !fits || !looked {
-			pause.For(ctx, retryPause)
-			continue
-		}
-		attempt, cancel := context.WithTimeout(ctx, callTimeout)
-		clock, err := r.parts.Worker.Start(attempt, order, s, until)
-		cancel()
-		r.metrics.starts.Inc(outcomeOf(err))
-		if !before && didNothing(err) {
-			r.takeBack(s.RunID, generation)
-		}
-		if r.settleStart(ctx, s, generation, clock, err, &busy) {
+		if attempt.allowed && r.tryStart(ctx, s, attempt) {
 			return
 		}
 		pause.For(ctx, retryPause)
 	}
 }
 
-// looked reports whether it is known what became of the last start of a run. A start that got no answer may have crashed the worker, and the
-// next one would reach the new start under the same id, again and again, and be counted by nobody. So the worker's list is asked first whether it is
-// still in the same life. Where each start has an id of its own, the order itself does that. The lock must be held.
-func (r *Runner) looked(k *known) bool {
-	if k.doubted.IsZero() || r.life == nil || r.life.ID.StartMillis == 0 || r.listedAt.After(k.doubted) {
-		return true
-	}
-	signal(r.extend)
-	return false
+// startAttempt says whether a start may be sent now, and what it brings.
+type startAttempt struct {
+	// obsolete says that nothing is left to do: the run is running or stopping, or its
+	// incarnation is over.
+	obsolete bool
+	allowed  bool
+	order    Order
+	// until is the end of the lease by the worker's clock, in milliseconds.
+	until int64
+	// repeated says that an earlier attempt may have been carried out.
+	repeated bool
 }
 
-// takeBack notes that no start of a run was carried out so far.
-func (r *Runner) takeBack(id assignment.RunID, generation int) {
+// prepareStart decides whether a start may be sent now. It takes a fence, a lease that is not
+// over, a new enough proof that the zone is not cordoned, a leader that knows the worker's
+// capacity, and that nothing is unknown of the last attempt.
+func (r *Runner) prepareStart(s *pendingStart) startAttempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if k := r.runs[id]; generation == r.generation && k != nil {
-		k.ordered = false
+	now := time.Now()
+	order, fenced := r.order()
+	until, leased := r.leaseDeadline(now)
+	k := r.present.runs.known[s.RunID]
+	if s.generation != r.generation || k == nil || k.running || k.stopping {
+		return startAttempt{obsolete: true}
+	}
+	open := r.zoneOpen(now)
+	if fenced && !open {
+		r.noteZoneWait(s)
+	}
+	resolved := r.outcomeKnown(k)
+	attempt := startAttempt{order: order, until: until, repeated: k.ordered}
+	attempt.allowed = fenced && leased && open && r.capacityCurrent(now) && resolved
+	if attempt.allowed {
+		k.ordered = true
+	}
+	return attempt
+}
+
+// zoneOpen reports whether the proof that the worker's zone is not cordoned is new enough. The
+// lock must be held.
+func (r *Runner) zoneOpen(now time.Time) bool {
+	return now.Sub(r.monotonic(r.present.zoneOpenAt)) <= r.settings.zoneProofMaxAge()
+}
+
+// noteZoneWait logs and counts, once for each start, that it waits for a proof of the zone.
+func (r *Runner) noteZoneWait(s *pendingStart) {
+	if s.zoneLogged {
+		return
+	}
+	s.zoneLogged = true
+	r.dependencies.Logger.Info().Str("step", "runner.start").Stringer("task", s.Task).Int("run", s.Run).
+		Msg("start waits until the zone is known not to be cordoned")
+	r.metrics.zoneWaits.Inc(1)
+}
+
+// outcomeKnown reports whether it is known what became of the last attempt to start a run. One
+// that got no answer may have crashed the worker, and the next one would reach the incarnation
+// that follows under the same instance, and crash it too, uncounted. So a list has to say first
+// that the worker is still in the same incarnation. Where each incarnation has an instance of
+// its own, the order itself makes sure of that. The lock must be held.
+func (r *Runner) outcomeKnown(k *run) bool {
+	sharesInstance := r.worker != nil && r.worker.ID.StartMillis != 0
+	if k.uncertainAt.IsZero() || !sharesInstance || r.present.listedAt.After(k.uncertainAt) {
+		return true
 	}
+	signal(r.extend)
+	return false
 }
 
-// settleStart takes over the answer to a start, and reports whether there is nothing left to try.
-func (r *Runner) settleStart(ctx context.Context, s assignment.Start, generation int, clock int64, err error, busy *int) bool {
+// tryStart sends a start, and reports whether there is nothing left to try.
+func (r *Runner) tryStart(ctx context.Context, s *pendingStart, attempt startAttempt) (done bool) {
+	call, cancel := context.WithTimeout(ctx, callTimeout)
+	clock, err := r.dependencies.Worker.Start(call, attempt.order, s.Start, attempt.until)
+	cancel()
+	r.metrics.starts.Inc(outcomeOf(err))
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if generation != r.generation {
+	k := r.present.runs.known[s.RunID]
+	if s.generation != r.generation || k == nil {
 		return true
 	}
-	k := r.runs[s.RunID]
-	if k == nil {
-		return true
+	if !attempt.repeated && notApplied(err) {
+		k.ordered = false
 	}
 	r.noteAnswer(clock, err)
-	r.parts.Logger.Info().Str("step", "runner.start").Stringer("task", s.Task).Int("run", s.Run).Err(err).Msg("start ordered")
+	r.dependencies.Logger.Info().Str("step", "runner.start").Stringer("task", s.Task).Int("run", s.Run).Err(err).
+		Msg("start ordered")
+	return r.applyStart(ctx, s, k, err)
+}
+
+// applyStart applies the answer to a start, and reports whether there is nothing left to try.
+// The lock must be held.
+func (r *Runner) applyStart(ctx context.Context, s *pendingStart, k *run, err error) (done bool) {
 	switch {
 	case err == nil:
-		k.phase, k.percent, k.began = there, 0, time.Now()
+		k.running, k.percent, k.startedAt = true, 0, time.Now()
 		return true
 	case errors.Is(err, ErrOtherIncarnation):
-		r.endLife(err)
+		r.endIncarnation(err)
 		return true
 	case errors.Is(err, ErrAlreadyRan):
-		// It may have been there, started by a call without an answer, and have ended: only a listing can tell.
-		r.beginStop(ctx, s.RunID, "old")
+		// An attempt without an answer may have started it, and it may have ended: only a list
+		// can tell.
+		r.beginStop(ctx, s.RunID, reasonAlreadyRan)
 		return true
 	case errors.Is(err, ErrNoCapacity):
-		r.beginStop(ctx, s.RunID, "room")
+		r.beginStop(ctx, s.RunID, reasonNoCapacity)
 		return true
 	case errors.Is(err, ErrRejected):
-		r.beginStop(ctx, s.RunID, "rejected")
+		r.beginStop(ctx, s.RunID, reasonRejected)
 		return true
 	case errors.Is(err, ErrUnavailable):
-		if *busy++; *busy >= maxBusy {
-			r.beginStop(ctx, s.RunID, "busy")
+		if s.unavailable++; s.unavailable >= maxUnavailable {
+			r.beginStop(ctx, s.RunID, reasonUnavailable)
 			return true
 		}
-	case !didNothing(err):
-		k.doubted = time.Now()
+	case !notApplied(err):
+		k.uncertainAt = time.Now()
 	}
 	return false
 }
-
-// insist tells the leader once more that a run is over which it still asks for, unless the end is about to be told
-// anyway. Where the order was only overtaken by the news of the end, the leader passes over it. The lock must be held.
-func (r *Runner) insist(id assignment.RunID) {
-	for _, e := range r.ends {
-		if e.RunID == id {
-			return
-		}
-	}
-	if _, told := r.refused[id]; !told {
-		r.refuse(assignment.Refusal{RunID: id, Reason: "over"})
-	}
-}
-
-// refuse notes that a run will never start here. The lock must be held.
-func (r *Runner) refuse(refused assignment.Refusal) {
-	r.noteEnded(refused.RunID)
-	r.refused[refused.RunID] = refusal{Refusal: refused, told: r.sequence}
-	signal(r.report)
-}
-
-// beginStop stops a run in the background; if it turns out that it never was there, it is refused with the reason. The
-// lock must be held.
-func (r *Runner) beginStop(ctx context.Context, id assignment.RunID, reason string) {
-	if r.life == nil {
-		return
-	}
-	k := r.runs[id]
-	if k == nil {
-		k = &known{phase: starting, percent: -1}
-		r.runs[id] = k
-	}
-	if k.stopping {
-		return
-	}
-	k.stopping = true
-	generation := r.generation
-	r.work.Go(func() { r.stop(ctx, id, generation, reason) })
-}
-
-// stop tries until the worker has heard it, and then looks whether the run was there at all.
-func (r *Runner) stop(ctx context.Context, id assignment.RunID, generation int, reason string) {
-	for ctx.Err() == nil {
-		r.mu.Lock()
-		order, ok := r.order()
-		gone := generation != r.generation || r.runs[id] == nil
-		r.mu.Unlock()
-		if gone {
-			return
-		}
-		if !ok {
-			pause.For(ctx, retryPause)
-			continue
-		}
-		attempt, cancel := context.WithTimeout(ctx, callTimeout)
-		clock, err := r.parts.Worker.Stop(attempt, order, id)
-		cancel()
-		r.metrics.stops.Inc(outcomeOf(err))
-		r.mu.Lock()
-		if generation != r.generation {
-			r.mu.Unlock()
-			return
-		}
-		r.noteAnswer(clock, err)
-		r.parts.Logger.Info().Str("step", "runner.stop").Stringer("task", id.Task).Int("run", id.Run).Err(err).Msg("stop ordered")
-		if errors.Is(err, ErrOtherIncarnation) {
-			r.endLife(err)
-		}
-		r.mu.Unlock()
-		if err == nil && r.settleStop(ctx, id, generation, reason) {
-			return
-		}
-		pause.For(ctx, retryPause)
-	}
-}
-
-// settleStop looks whether a run that was told to stop is there. If it is neither running nor among the ends, it never
-// was, and never will be.
-func (r *Runner) settleStop(ctx context.Context, id assignment.RunID, generation int, reason string) bool {
-	r.mu.Lock()
-	order, ok := r.order()
-	r.mu.Unlock()
-	if !ok {
-		return false
-	}
-	attempt, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
-	listing, clock, err := r.hold(attempt, order, 0, 0, 0)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if generation != r.generation || r.runs[id] == nil {
-		return true
-	}
-	if errors.Is(err, ErrOtherIncarnation) {
-		r.endLife(err)
-		return true
-	}
-	if err != nil || order.Fence != r.fenceOfLife() {
-		return false
-	}
-	r.noteClock(clock)
-	for _, run := range listing.Runs {
-		if run.RunID == id {
-			// It ends soon; the listings will show it.
-			r.runs[id].phase = there
-			return true
-		}
-	}
-	r.takeListing(listing, nil)
-	if !listing.whole() {
-		return false
-	}
-	if r.runs[id] != nil {
-		r.refuse(assignment.Refusal{RunID: id, Reason: reason})
-	}
-	return true
-}
--- a/jobs/runner/throttle.go
+++ b/jobs/runner/throttle.go
@@ -8,150 +8,156 @@
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 )
 
-// Bounds of the pace of what fills beside tasks that serve users. A worker's figures are of the last half second, and an order
-// is in force a tenth of a second later, so the pace is looked at every paceEvery. From 100 % it is at zero after four looks,
-// well within the 4 s for which a task may be over its target by the doing of others.
+// Best-effort runs are throttled while runs with a latency target share their worker. The
+// worker's latency figures are of the last half second, so a look each throttleInterval sees
+// the effect of the one before.
 const (
-	paceEvery = 700 * time.Millisecond
-	// paceFirst is the pace with which filling begins beside a task that serves.
-	paceFirst = 50
-	// A look that finds a task above closeShare of its target halves the pace, and below paceLeast it is zero. One that
-	// finds all below calmShare raises it by paceStep.
-	closeShare = 0.9
-	calmShare  = 0.7
-	paceLeast  = 10
-	paceStep   = 10
+	throttleInterval = 700 * time.Millisecond
+	// fullSpeed, in percent, is the speed of a run that is not throttled.
+	fullSpeed = 100
+	// firstSpeed is the speed at which best-effort runs begin beside a run with a latency target.
+	firstSpeed = 50
+	// Above highLatency, as a share of the target, the speed is halved, and below minSpeed it
+	// is zero. Below lowLatency it is raised by speedStep.
+	highLatency = 0.9
+	lowLatency  = 0.7
+	minSpeed    = 10
+	speedStep   = 10
 )
 
-// pacer sets the pace of the tasks that fill on one worker.
-type pacer struct {
+// throttle sets the speed of the best-effort runs on one worker.
+type throttle struct {
 	roles map[assignment.RunID]assignment.Role
-	// percent is the pace of all that fills here, as long as something serves.
-	percent int
-	// told is what the worker has heard for each run; nothing is 100.
-	told map[assignment.RunID]int
+	// speed is that of all best-effort runs, in percent, while the worker is shared.
+	speed int
+	// applied is the speed that the worker was told for each run; none is fullSpeed.
+	applied map[assignment.RunID]int
 }
 
-func newPacer() pacer {
-	return pacer{percent: paceFirst, told: map[assignment.RunID]int{}}
+func newThrottle() throttle {
+	return throttle{speed: firstSpeed, applied: map[assignment.RunID]int{}}
 }
 
 // assign takes over the roles of the worker's runs.
-func (p *pacer) assign(roles []assignment.Role) {
-	p.roles = make(map[assignment.RunID]assignment.Role, len(roles))
+func (t *throttle) assign(roles []assignment.Role) {
+	t.roles = make(map[assignment.RunID]assignment.Role, len(roles))
 	for _, role := range roles {
-		p.roles[role.RunID] = role
+		t.roles[role.RunID] = role
 	}
 }
 
-// shared reports whether something serves and something fills among the runs.
-func (p *pacer) shared(runs map[assignment.RunID]*known) bool {
-	serves, fills := false, false
+// shared reports whether runs with a latency target and best-effort runs are beside one another.
+func (t *throttle) shared(runs map[assignment.RunID]*run) bool {
+	targeted, bestEffort := false, false
 	for id := range runs {
-		role := p.roles[id]
-		serves = serves || role.LatencyTargetMillis > 0
-		fills = fills || role.BestEffort
+		role := t.roles[id]
+		targeted = targeted || role.LatencyTargetMillis > 0
+		bestEffort = bestEffort || role.BestEffort
 	}
-	return serves && fills
+	return targeted && bestEffort
 }
 
-// look sets the pace by how the tasks that serve do.
-func (p *pacer) look(runs map[assignment.RunID]*known) {
-	if !p.shared(runs) {
-		p.percent = paceFirst
+// adjust sets the speed by the latency of the run that is closest to its target, or furthest
+// above it.
+func (t *throttle) adjust(runs map[assignment.RunID]*run) {
+	if !t.shared(runs) {
+		t.speed = firstSpeed
 		return
 	}
 	worst := 0.0
 	for id, k := range runs {
-		if target := p.roles[id].LatencyTargetMillis; target > 0 {
-			worst = max(worst, float64(k.gauge)/float64(target))
+		if target := t.roles[id].LatencyTargetMillis; target > 0 {
+			worst = max(worst, float64(k.latencyMillis)/float64(target))
 		}
 	}
 	switch {
-	case worst > closeShare:
-		if p.percent /= 2; p.percent < paceLeast {
-			p.percent = 0
+	case worst > highLatency:
+		if t.speed /= 2; t.speed < minSpeed {
+			t.speed = 0
 		}
-	case worst < calmShare:
-		p.percent = min(p.percent+paceStep, 100)
+	case worst < lowLatency:
+		t.speed = min(t.speed+speedStep, fullSpeed)
 	}
 }
 
-// orders returns the runs whose pace at the worker is another one than it should be.
-func (p *pacer) orders(runs map[assignment.RunID]*known) map[assignment.RunID]int {
-	want := 100
-	if p.shared(runs) {
-		want = p.percent
+// changes returns the runs whose speed on the worker is to change, with the new speed in percent.
+func (t *throttle) changes(runs map[assignment.RunID]*run) map[assignment.RunID]int {
+	want := fullSpeed
+	if t.shared(runs) {
+		want = t.speed
 	}
-	orders := map[assignment.RunID]int{}
+	changes := map[assignment.RunID]int{}
 	for id, k := range runs {
-		told, ok := p.told[id]
+		applied, ok := t.applied[id]
 		if !ok {
-			told = 100
+			applied = fullSpeed
 		}
-		if k.phase == there && p.roles[id].BestEffort && told != want {
-			orders[id] = want
+		if k.running && t.roles[id].BestEffort && applied != want {
+			changes[id] = want
 		}
 	}
-	for id := range p.told {
+	for id := range t.applied {
 		if runs[id] == nil {
-			delete(p.told, id)
+			delete(t.applied, id)
 		}
 	}
-	return orders
+	return changes
 }
 
-// paceLoop paces what fills as long as something serves beside it. It sleeps until an answer of the leader names roles.
-func (r *Runner) paceLoop(ctx context.Context) {
+// throttleLoop throttles best-effort runs while the worker is shared. It sleeps until an answer
+// of the leader names roles.
+func (r *Runner) throttleLoop(ctx context.Context) {
 	for {
 		select {
-		case <-r.sharing:
+		case <-r.shared:
 		case <-ctx.Done():
 			return
 		}
-		for r.paceOnce(ctx) && ctx.Err() == nil {
-			pause.For(ctx, paceEvery)
+		for r.throttleOnce(ctx) && ctx.Err() == nil {
+			pause.For(ctx, throttleInterval)
 		}
 	}
 }
 
-// paceOnce looks at the worker's tasks and paces what fills. It reports whether there is anything to watch.
-func (r *Runner) paceOnce(ctx context.Context) bool {
+// throttleOnce sets the speed by the worker's newest figures. It reports whether there is
+// anything to watch.
+func (r *Runner) throttleOnce(ctx context.Context) bool {
 	r.mu.Lock()
-	shared := r.pacer.shared(r.runs)
+	shared := r.present.throttle.shared(r.present.runs.known)
 	r.mu.Unlock()
-	if shared && !r.list(ctx, 0) {
+	if shared && !r.syncOnce(ctx, 0) {
 		return true
 	}
 	r.mu.Lock()
-	r.pacer.look(r.runs)
-	orders := r.pacer.orders(r.runs)
+	r.present.throttle.adjust(r.present.runs.known)
+	changes := r.present.throttle.changes(r.present.runs.known)
 	order, ok := r.order()
 	generation := r.generation
 	r.mu.Unlock()
 	if !ok {
 		return false
 	}
-	for id, percent := range orders {
-		r.pace(ctx, order, id, percent, generation)
+	for id, percent := range changes {
+		r.setSpeed(ctx, order, id, percent, generation)
 	}
-	return shared || len(orders) > 0
+	return shared || len(changes) > 0
 }
 
-// pace tells the worker the pace of a run; without an answer the next look tells it again.
-func (r *Runner) pace(ctx context.Context, order Order, id assignment.RunID, percent, generation int) {
+// setSpeed tells the worker the speed of a run, in percent. If no answer comes, the next look
+// tells it again.
+func (r *Runner) setSpeed(ctx context.Context, order Order, id assignment.RunID, percent, generation int) {
 	attempt, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	clock, err := r.parts.Worker.Throttle(attempt, order, id, percent)
+	clock, err := r.dependencies.Worker.Throttle(attempt, order, id, percent)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if generation != r.generation {
 		return
 	}
 	r.noteAnswer(clock, err)
-	r.parts.Logger.Info().Str("step", "runner.pace").Stringer("task", id.Task).Int("run", id.Run).Int("percent", percent).
-		Err(err).Msg("pace ordered")
+	r.dependencies.Logger.Info().Str("step", "runner.pace").Stringer("task", id.Task).Int("run", id.Run).
+		Int("percent", percent).Err(err).Msg("speed ordered")
 	if err == nil {
-		r.pacer.told[id] = percent
+		r.present.throttle.applied[id] = percent
 	}
 }
