--- a/cmd/yarrowgraded/imports_test.go
+++ b/cmd/yarrowgraded/imports_test.go
@@ -8,10 +8,16 @@
 
 const module = "yarrowgrade.example/yarrowgrade/"
 
-// imports returns what each package of the module imports, without its tests.
-func imports(t *testing.T) map[string][]string {
+// Formats of go list: what a package imports, without and with its tests.
+const (
+	ofPackage  = `{{.ImportPath}}: {{join .Imports " "}}`
+	ofItsTests = `{{.ImportPath}}: {{join .Imports " "}} {{join .TestImports " "}} {{join .XTestImports " "}}`
+)
+
+// imports returns the imports of each package of the module, as the format of go list says.
+func imports(t *testing.T, format string) map[string][]string {
 	t.Helper()
-	out, err := exec.Command("go", "list", "-f", "{{.ImportPath}}: {{join .Imports \" \"}}", module+"...").Output()
+	out, err := exec.Command("go", "list", "-f", format, module+"...").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,23 +29,25 @@
 	return found
 }
 
-// TestImports: only commands know the folder that meets the users' platform, and the two schedulers share plumbing only.
+// TestImports: only commands import the adapter to the users' platform, and the two schedulers share internal
+// packages only, also in their tests.
 func TestImports(t *testing.T) {
 	tests := []struct {
 		folder string
 		// users are the folders that may import it.
-		users []string
+		users  []string
+		format string
 	}{
-		{"platform", []string{"platform", "cmd"}},
-		{"jobs", []string{"jobs", "platform", "client", "cmd"}},
-		{"sessions", []string{"sessions", "client", "cmd"}},
-		{"client", []string{"cmd"}},
-		{"cmd", []string{}},
+		{"platform", []string{"platform", "cmd"}, ofPackage},
+		{"jobs", []string{"jobs", "platform", "client", "cmd"}, ofItsTests},
+		{"sessions", []string{"sessions", "client", "cmd", "e2e"}, ofItsTests},
+		{"client", []string{"cmd", "e2e", "sessions/oracle"}, ofItsTests},
+		{"cmd", []string{}, ofItsTests},
 	}
-	all := imports(t)
+	all := map[string]map[string][]string{ofPackage: imports(t, ofPackage), ofItsTests: imports(t, ofItsTests)}
 	for _, test := range tests {
 		seen := false
-		for name, list := range all {
+		for name, list := range all[test.format] {
 			for _, i := range list {
 				if !in(test.folder, strings.TrimPrefix(i, module)) {
 					continue
--- a/sessions/hosting/standin/network.go
+++ b/internal/memnet/network.go
@@ -1,4 +1,16 @@
-package standin
+// Package memnet is an in-memory HTTP network for tests. Clients and handlers are the real ones; only the connections
+// between them are simulated, so it works under the paused clock of testing/synctest, where sockets don't.
+//
+// Links can be cut in one direction, and processes killed, frozen and thawed. Every message takes a millisecond each
+// way. The package owns no goroutine beyond those of requests in flight.
+//
+// # Usage
+//
+//	network := memnet.New()
+//	network.Attach("http://entry-1", handler)
+//	client := network.Client("http://worker-1")      // requests come from worker-1
+//	network.Cut("http://worker-1", "http://entry-1", true)
+package memnet
 
 import (
 	"bytes"
@@ -12,7 +24,7 @@
 	"time"
 )
 
-// networkDelay is the time that a message takes one way.
+// networkDelay is how long a message takes in one direction.
 const networkDelay = time.Millisecond
 
 // link is one direction between two hosts.
@@ -23,21 +35,19 @@
 	handler http.Handler
 	// gone is closed when the process is killed.
 	gone chan struct{}
-	// thawed is closed when the process is not frozen.
+	// thawed is closed while the process is not frozen.
 	thawed chan struct{}
 }
 
-// Network carries HTTP between handlers in memory. Links can be cut one way, and processes killed and frozen.
-// It is an http.RoundTripper for each host, so that the real clients and handlers are used, and it works on a paused
-// clock where sockets do not.
+// Network carries HTTP between handlers in memory. It is safe for concurrent use.
 type Network struct {
 	mu    sync.Mutex
 	hosts map[string]*host
 	cuts  map[link]bool
 }
 
-// NewNetwork returns a network without hosts.
-func NewNetwork() *Network {
+// New returns a network without hosts.
+func New() *Network {
 	return &Network{hosts: make(map[string]*host), cuts: make(map[link]bool)}
 }
 
@@ -50,7 +60,7 @@
 	n.hosts[address] = &host{handler: h, gone: make(chan struct{}), thawed: thawed}
 }
 
-// Kill takes a process off the network. What it was answering is lost, and so is what it was asking.
+// Kill removes a process from the network. Its open requests and answers are lost.
 func (n *Network) Kill(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -60,7 +70,7 @@
 	}
 }
 
-// Freeze stops all messages to and from a process until Thaw. They are delivered then.
+// Freeze holds all messages to and from a process; Thaw delivers them.
 func (n *Network) Freeze(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -78,7 +88,7 @@
 	}
 }
 
-// Cut loses all messages in one direction, or carries them again.
+// Cut drops all messages in one direction while cut is true.
 func (n *Network) Cut(from, to string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -120,10 +130,10 @@
 	from    string
 }
 
-// errReset says that a connection broke after the request may have arrived.
+// errReset means that the connection broke after the request may have arrived.
 var errReset = errors.New("connection reset")
 
-// errRefused says that the connection was never made.
+// errRefused means that no connection was made.
 var errRefused = &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 
 func (n *Network) host(address string) *host {
@@ -138,7 +148,7 @@
 	return n.cuts[link{from, to}]
 }
 
-// awake waits until the process is not frozen. It reports false if the process is killed or ctx ends first.
+// awake waits until the process is thawed. It returns false if the process is killed or ctx ends first.
 func (n *Network) awake(ctx context.Context, h *host) bool {
 	n.mu.Lock()
 	thawed := h.thawed
@@ -162,15 +172,15 @@
 		return nil, err
 	}
 	sender, receiver := t.network.host(t.from), t.network.host(to)
-	// A frozen process that was about to send does so when it wakes, whatever its timers say: this is the worst place
-	// to be frozen.
+	// A process frozen just before sending sends when it is thawed, even if its own deadline has passed: the worst
+	// moment to be frozen.
 	if sender != nil && !t.network.awake(context.WithoutCancel(ctx), sender) {
 		return nil, errReset
 	}
 	if receiver == nil || t.network.isCut(t.from, to) {
 		return nil, t.refuse(ctx, receiver == nil)
 	}
-	// The handler's context ends with the connection: when the answer's body is closed, or there is no answer.
+	// The handler's context ends with the connection: when the response body is closed, or there is no response.
 	serving, closed := context.WithCancel(ctx)
 	answers := make(chan *http.Response, 1)
 	go t.deliver(r.Clone(serving), body, receiver, answers)
@@ -192,7 +202,7 @@
 	}
 }
 
-// breakWith ends the connection when the receiver is killed.
+// breakWith closes the connection when the receiver is killed.
 func (t *transport) breakWith(serving context.Context, receiver *host, closed func()) {
 	select {
 	case <-receiver.gone:
@@ -201,7 +211,7 @@
 	}
 }
 
-// connection is the body of an answer whose end ends the exchange.
+// connection is a response body whose Close ends the exchange.
 type connection struct {
 	io.ReadCloser
 	close func()
@@ -213,19 +223,25 @@
 	return c.ReadCloser.Close()
 }
 
-// refuse fails at once where nothing listens, and after the dial timeout where the link is cut.
+// dialTimeout is how long a connection attempt over a cut link takes to fail.
+const dialTimeout = time.Second
+
+// lostTimeout is how long a request waits for a response that was dropped, unless its caller gives up before.
+const lostTimeout = 30 * time.Second
+
+// refuse fails at once if nothing listens, and after the dial timeout if the link is cut.
 func (t *transport) refuse(ctx context.Context, closed bool) error {
 	if closed {
 		wait(ctx, networkDelay)
 		return errRefused
 	}
-	wait(ctx, time.Second)
+	wait(ctx, dialTimeout)
 	return errRefused
 }
 
-// lost waits for the caller to give up on an answer that will not come.
+// lost waits until the caller gives up on a response that was dropped.
 func (t *transport) lost(ctx context.Context) error {
-	wait(ctx, 30*time.Second)
+	wait(ctx, lostTimeout)
 	return errReset
 }
 
@@ -238,8 +254,8 @@
 	}
 }
 
-// deliver runs the handler and hands over its answer, or nil if the process was killed meanwhile. The answer is handed
-// over when the handler flushes or ends, and its body as it is written.
+// deliver runs the handler and sends its response on answers, or nil if the process was killed. The response is sent
+// when the handler first flushes or returns; its body follows as it is written.
 func (t *transport) deliver(r *http.Request, body []byte, receiver *host, answers chan<- *http.Response) {
 	time.Sleep(networkDelay)
 	if !t.network.awake(context.Background(), receiver) {
@@ -249,7 +265,16 @@
 	r.Body = io.NopCloser(bytes.NewReader(body))
 	r.RequestURI = r.URL.RequestURI()
 	reader, writer := io.Pipe()
-	w := &streamWriter{transport: t, receiver: receiver, request: r, header: make(http.Header), status: http.StatusOK, reader: reader, writer: writer, answers: answers}
+	w := &streamWriter{
+		transport: t,
+		receiver:  receiver,
+		request:   r,
+		header:    make(http.Header),
+		status:    http.StatusOK,
+		reader:    reader,
+		writer:    writer,
+		answers:   answers,
+	}
 	stop := context.AfterFunc(r.Context(), func() { writer.CloseWithError(errReset) })
 	defer stop()
 	receiver.handler.ServeHTTP(w, r)
@@ -264,7 +289,7 @@
 	request   *http.Request
 	header    http.Header
 	status    int
-	// pending is what has been written and not flushed.
+	// pending was written and not flushed yet.
 	pending bytes.Buffer
 	reader  *io.PipeReader
 	writer  *io.PipeWriter
@@ -281,7 +306,7 @@
 // Write implements http.ResponseWriter.
 func (w *streamWriter) Write(p []byte) (int, error) { return w.pending.Write(p) }
 
-// Flush implements http.Flusher. What is flushed over a cut link is lost.
+// Flush implements http.Flusher. What is flushed over a cut link is dropped.
 func (w *streamWriter) Flush() {
 	time.Sleep(networkDelay)
 	if !w.transport.network.awake(w.request.Context(), w.receiver) {
--- /dev/null
+++ b/internal/rapidseed/seed.go
@@ -0,0 +1,31 @@
+// Package rapidseed fixes the seed of package rapid, so that drawn tests draw the same cases in every run.
+//
+// # Usage
+//
+//	func TestMain(m *testing.M) { rapidseed.Main(m) }
+//
+// Give -rapid.seed=N to draw other cases. A failing test prints its seed.
+package rapidseed
+
+import (
+	"flag"
+	"os"
+	"testing"
+)
+
+// defaultSeed is used when the command line names no seed.
+const defaultSeed = "20261202"
+
+// Main runs the tests of a package with defaultSeed, unless the command line names another seed.
+func Main(m *testing.M) {
+	flag.Parse()
+	seed := flag.Lookup("rapid.seed")
+	given := false
+	flag.Visit(func(f *flag.Flag) { given = given || f == seed })
+	if seed != nil && !given {
+		if err := seed.Value.Set(defaultSeed); err != nil {
+			panic(err)
+		}
+	}
+	os.Exit(m.Run())
+}
--- a/jobs/catalog/relay_test.go
+++ b/jobs/catalog/relay_test.go
@@ -10,17 +10,17 @@
 
 	"github.com/rs/zerolog"
 
+	"yarrowgrade.example/yarrowgrade/internal/memnet"
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
-	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
 )
 
 // relays are followers of which some read the log and the others are told by these.
 type relays struct {
 	ctx     context.Context
 	log     *jobtest.Log
-	network *standin.Network
+	network *memnet.Network
 	reads   *jobtest.CountedLog
 	told    []*catalog.Follower
 	readers []*catalog.Follower
@@ -31,7 +31,7 @@
 func withRelays(t *testing.T, n int, f func(t *testing.T, r *relays)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		r := &relays{ctx: ctx, log: jobtest.NewLog(1), network: standin.NewNetwork(), sources: []string{"source-0", "source-1"}}
+		r := &relays{ctx: ctx, log: jobtest.NewLog(1), network: memnet.New(), sources: []string{"source-0", "source-1"}}
 		defer func() { r.network.Heal(); cancel(); time.Sleep(30 * time.Second) }()
 		r.put(t, 1)
 		r.reads = &jobtest.CountedLog{Log: r.log.Client("told")}
--- a/jobs/jobstore/golden_test.go
+++ b/jobs/jobstore/golden_test.go
@@ -20,13 +20,13 @@
 
 	"yarrowgrade.example/yarrowgrade/internal/goldentest"
 	"yarrowgrade.example/yarrowgrade/internal/hedge"
+	"yarrowgrade.example/yarrowgrade/internal/memnet"
 	"yarrowgrade.example/yarrowgrade/jobs/directory"
 	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
-	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
 )
 
 var goldenTime = time.Date(2026, 3, 4, 5, 6, 7, 8_000_000, time.UTC)
@@ -238,7 +238,7 @@
 		var asked []byte
 		peer := jobstore.NewWriter(log.Client("b"), hedge.NewLatency(), followed(ctx, log, "b"), func() []string { return nil }, "b", http.DefaultClient, zerolog.New(&logged))
 		keep := http.HandlerFunc(peer.ServeWrite)
-		network := standin.NewNetwork()
+		network := memnet.New()
 		router := httprouter.New()
 		router.HandlerFunc(http.MethodPost, "/internal/records", func(w http.ResponseWriter, r *http.Request) {
 			asked, _ = io.ReadAll(r.Body)
--- a/jobs/jobstore/writer_test.go
+++ b/jobs/jobstore/writer_test.go
@@ -15,15 +15,15 @@
 	"github.com/rs/zerolog"
 
 	"yarrowgrade.example/yarrowgrade/internal/hedge"
+	"yarrowgrade.example/yarrowgrade/internal/memnet"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
-	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
 )
 
 // writers starts two entries that keep records for each other.
 func writers(t *testing.T, ctx context.Context, log *jobtest.Log) *jobstore.Writer {
-	network := standin.NewNetwork()
+	network := memnet.New()
 	var first *jobstore.Writer
 	peers := func() []string { return []string{"a", "b"} }
 	for _, name := range peers() {
@@ -114,7 +114,7 @@
 // TestGonePeer: an entry whose box is gone holds up one refusal, and no later one; once it is back its way is used again.
 func TestGonePeer(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
-		network := standin.NewNetwork()
+		network := memnet.New()
 		peer := jobstore.NewWriter(log.Client("b"), hedge.NewLatency(), followed(ctx, log, "b"), func() []string { return nil }, "b", http.DefaultClient, zerolog.Nop())
 		router := httprouter.New()
 		router.HandlerFunc(http.MethodPost, jobstore.RecordsPath, peer.ServeWrite)
@@ -168,7 +168,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
-				network := standin.NewNetwork()
+				network := memnet.New()
 				var names []string
 				for i := range entries {
 					names = append(names, fmt.Sprintf("entry-%02d", i))
--- a/jobs/jobtest/system_test.go
+++ b/jobs/jobtest/system_test.go
@@ -18,6 +18,7 @@
 	"github.com/rs/zerolog"
 	"github.com/uber-go/tally/v4"
 
+	"yarrowgrade.example/yarrowgrade/internal/memnet"
 	"yarrowgrade.example/yarrowgrade/jobs/admission"
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
@@ -29,7 +30,6 @@
 	"yarrowgrade.example/yarrowgrade/jobs/leader"
 	"yarrowgrade.example/yarrowgrade/jobs/runner"
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
-	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
 )
 
 // Shape of the system under test.
@@ -70,7 +70,7 @@
 	log       *jobtest.Log
 	config    *jobtest.Log
 	directory *jobtest.Log
-	network   *standin.Network
+	network   *memnet.Network
 	workers   *jobtest.Workers
 	worker    []*jobtest.Worker
 	entries   []*process
@@ -104,7 +104,7 @@
 	s := &system{
 		t: t, ctx: ctx, logger: zerolog.Nop(), random: rand.New(rand.NewPCG(seed, 2)),
 		log: jobtest.NewLog(seed), config: jobtest.NewLog(seed + 1), directory: jobtest.NewLog(seed + 2),
-		network: standin.NewNetwork(), workers: jobtest.NewWorkers(seed),
+		network: memnet.New(), workers: jobtest.NewWorkers(seed),
 		accepted: map[job.ID]bool{}, refused: map[job.ID]bool{}, cancelled: map[job.ID]bool{},
 	}
 	if testing.Verbose() {
--- a/jobs/topic/golden_test.go
+++ b/jobs/topic/golden_test.go
@@ -15,10 +15,10 @@
 	"github.com/rs/zerolog"
 
 	"yarrowgrade.example/yarrowgrade/internal/goldentest"
+	"yarrowgrade.example/yarrowgrade/internal/memnet"
 	"yarrowgrade.example/yarrowgrade/internal/suspend"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
-	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
 )
 
 // TestGoldenJSON: the forms that are plain JSON.
@@ -43,7 +43,7 @@
 		goldentest.Bytes(t, "relay-answer-unknown", answerOf(source, http.MethodGet, "?from=4000", ""))
 
 		var asked string
-		network := standin.NewNetwork()
+		network := memnet.New()
 		network.Attach("http://10.1.0.19:7000", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			asked = r.Method + " " + r.URL.RequestURI() + "\n"
 			w.Header().Set("Content-Type", "application/json")
--- a/sessions/agent/fuzz_test.go
+++ b/sessions/agent/fuzz_test.go
@@ -12,6 +12,7 @@
 
 	"github.com/sourcegraph/conc"
 
+	"yarrowgrade.example/yarrowgrade/internal/memnet"
 	"yarrowgrade.example/yarrowgrade/internal/telemetry"
 	"yarrowgrade.example/yarrowgrade/sessions/gang"
 	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
@@ -32,7 +33,7 @@
 		Worker:  ledger.Worker{Name: "w0", Zone: "z", Rack: "r", Accelerators: 4, Address: "http://w0", Incarnation: "one", Slots: 2},
 		Entries: []string{"http://e"}, Timing: gang.DefaultTiming(),
 	}, Parts{
-		Target: okTarget{}, Platform: standin.New(), Client: standin.NewNetwork().Client("http://w0"),
+		Target: okTarget{}, Platform: standin.New(), Client: memnet.New().Client("http://w0"),
 		Telemetry: telemetry.Discard(), Random: func(int) int { return 0 },
 	})
 }
--- a/sessions/entry/fuzz_test.go
+++ b/sessions/entry/fuzz_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/internal/memnet"
 	"yarrowgrade.example/yarrowgrade/internal/telemetry"
 	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
 	"yarrowgrade.example/yarrowgrade/sessions/ledger"
@@ -48,7 +49,7 @@
 
 func fuzzOne(t *testing.T, r *http.Request) {
 	ctx, cancel := context.WithCancel(t.Context())
-	network := standin.NewNetwork()
+	network := memnet.New()
 	settings := DefaultSettings()
 	settings.Name, settings.Zone, settings.Address = "e", "z", "http://e"
 	e := New(settings, Parts{
--- a/sessions/entry/peers_test.go
+++ b/sessions/entry/peers_test.go
@@ -8,6 +8,7 @@
 
 	"github.com/julienschmidt/httprouter"
 
+	"yarrowgrade.example/yarrowgrade/internal/memnet"
 	"yarrowgrade.example/yarrowgrade/internal/telemetry"
 	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
@@ -25,7 +26,7 @@
 // that: it would then neither ask it for its state nor send agents to it.
 func TestPingWithoutPlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := standin.NewNetwork()
+		network := memnet.New()
 		other := New(Settings{Name: "b", Zone: "z", Address: "http://b"}, Parts{Telemetry: telemetry.Discard()})
 		other.ready.Store(true)
 		r := httprouter.New()
--- a/sessions/ledger/main_test.go
+++ b/sessions/ledger/main_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"yarrowgrade.example/yarrowgrade/sessions/oracle"
+	"yarrowgrade.example/yarrowgrade/internal/rapidseed"
 )
 
-func TestMain(m *testing.M) { oracle.Main(m) }
+func TestMain(m *testing.M) { rapidseed.Main(m) }
--- a/sessions/oracle/main_test.go
+++ b/sessions/oracle/main_test.go
@@ -1,5 +1,9 @@
 package oracle
 
-import "testing"
+import (
+	"testing"
 
-func TestMain(m *testing.M) { Main(m) }
+	"yarrowgrade.example/yarrowgrade/internal/rapidseed"
+)
+
+func TestMain(m *testing.M) { rapidseed.Main(m) }
--- a/sessions/oracle/system_test.go
+++ b/sessions/oracle/system_test.go
@@ -22,6 +22,7 @@
 
 	"yarrowgrade.example/yarrowgrade/client"
 	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
+	"yarrowgrade.example/yarrowgrade/internal/memnet"
 	"yarrowgrade.example/yarrowgrade/internal/telemetry"
 	"yarrowgrade.example/yarrowgrade/sessions/agent"
 	"yarrowgrade.example/yarrowgrade/sessions/entry"
@@ -57,7 +58,7 @@
 	t        *testing.T
 	slots    int
 	platform *standin.Platform
-	network  *standin.Network
+	network  *memnet.Network
 	ctx      context.Context
 	cancel   context.CancelFunc
 	wg       sync.WaitGroup
@@ -85,7 +86,7 @@
 // newSystemOf starts entries and the given number of agents, each with a target of the given slots.
 func newSystemOf(t *testing.T, seed uint64, agents, slots int) *system {
 	s := &system{
-		t: t, slots: slots, platform: standin.New(), network: standin.NewNetwork(), random: rand.New(rand.NewPCG(seed, 1)),
+		t: t, slots: slots, platform: standin.New(), network: memnet.New(), random: rand.New(rand.NewPCG(seed, 1)),
 		entries: make(map[int]*running[*entry.Entry]), agents: make(map[int]*running[*agent.Agent]),
 		targets: make(map[int]*fakeTarget), runs: make(map[string]int),
 	}
