--- a/cmd/yarrowgraded/agent.go
+++ b/cmd/yarrowgraded/agent.go
@@ -5,14 +5,12 @@
 	"errors"
 	"math/rand/v2"
 	"net/url"
-	"os"
 	"strings"
 	"time"
 
 	"github.com/google/uuid"
 
 	"yarrowgrade.example/yarrowgrade/internal/fault"
-	"yarrowgrade.example/yarrowgrade/internal/telemetry"
 	"yarrowgrade.example/yarrowgrade/sessions/agent"
 	"yarrowgrade.example/yarrowgrade/sessions/gang"
 	"yarrowgrade.example/yarrowgrade/sessions/hosting"
@@ -21,12 +19,12 @@
 )
 
 const agentUsage = `
-An agent runs beside each target and is the only way to it. It admits requests into the target's slots, remembers the
-keys of requests that must not be repeated, and answers. It also starts and stops this worker's part of each gang, and
-keeps the gang's lease with the other members.
+An agent runs beside each target, which is reached through it alone. It admits requests into the target's slots,
+remembers the keys of requests that must not be repeated, and answers. It also starts and stops this worker's part of
+each gang, and renews the gang's lease with the other members.
 
-On SIGTERM it says that it leaves, takes no new work, finishes its requests, waits until its gangs have been moved
-away, and exits.
+On SIGTERM it announces that it is leaving, takes no new work, finishes its requests, waits until its gangs have been
+moved away, and exits.
 
 Example:
 
@@ -69,11 +67,23 @@
 	}
 	s := agent.Settings{
 		Worker: ledger.Worker{
-			Name: c.Name, Region: c.Region, Zone: c.Zone, Rack: c.Rack, Accelerators: c.Accelerators, Service: c.Service,
-			Address: c.Address, Slots: c.Slots, Incarnation: uuid.NewString(),
+			Name:         c.Name,
+			Region:       c.Region,
+			Zone:         c.Zone,
+			Rack:         c.Rack,
+			Accelerators: c.Accelerators,
+			Service:      c.Service,
+			Address:      c.Address,
+			Slots:        c.Slots,
+			Incarnation:  uuid.NewString(),
 		},
 		Entries: c.Entries,
-		Timing:  gang.Timing{Beat: c.GangBeat, Fresh: c.GangFresh, Lease: c.GangLease, Checkpoint: c.GangCheckpoint},
+		Timing: gang.Timing{
+			Beat:       c.GangBeat,
+			Fresh:      c.GangFresh,
+			Lease:      c.GangLease,
+			Checkpoint: c.GangCheckpoint,
+		},
 	}
 	if err := checkListen("listen", c.Listen); err != nil {
 		return s, err
@@ -84,7 +94,7 @@
 	return s, asSetting(s.Validate())
 }
 
-// asSetting names the flag where the worker's description is wrong.
+// asSetting turns an error about a field of the worker into one about the flag.
 func asSetting(err error) error {
 	var field *fault.Field
 	if !errors.As(err, &field) {
@@ -115,17 +125,26 @@
 	if err != nil {
 		return err
 	}
-	t, err := telemetry.New(ctx, telemetry.Settings{Role: "agent", Name: c.Name, Log: os.Stderr, Level: c.LogLevel, TraceAddress: c.TraceAddress})
+	t, err := c.telemetry(ctx, "agent", c.Name)
 	if err != nil {
 		return err
 	}
 	client := newClient(t)
 	a := agent.New(settings, agent.Parts{
-		Target:   request.NewHTTPTarget(c.Target, c.Connections, t.Transport),
-		Platform: hosting.NewClient(c.Platform, client), Client: client, Telemetry: t, Random: rand.IntN,
+		Target:    request.NewHTTPTarget(c.Target, c.Connections, t.Transport),
+		Platform:  hosting.NewClient(c.Platform, client),
+		Client:    client,
+		Telemetry: t,
+		Random:    rand.IntN,
 	})
 	return role{
-		name: "agent", listen: c.Listen, address: c.Address, handler: a.Handler(), run: a.Run, leave: a.Leave,
-		stopTimeout: c.StopTimeout, telemetry: t,
+		name:        "agent",
+		listen:      c.Listen,
+		address:     c.Address,
+		handler:     a.Handler(),
+		run:         a.Run,
+		drain:       a.Leave,
+		stopTimeout: c.StopTimeout,
+		telemetry:   t,
 	}.serve(ctx)
 }
--- a/cmd/yarrowgraded/dev.go
+++ b/cmd/yarrowgraded/dev.go
@@ -24,9 +24,9 @@
 )
 
 const devUsage = `
-dev brings up everything in one process, over loopback: an in-memory stand-in of the platform, two entries, and six
-agents with 8 accelerators each in two racks, each with a small target that echoes. It is for a first look and for
-trying policies; it keeps nothing. Ctrl-C ends it.
+dev runs a whole system in one process, over loopback: an in-memory stand-in of the platform, two entries, and six
+agents with 8 accelerators each in two racks, each with a target that echoes. It is for a first look and for trying
+policies; it stores nothing. Ctrl-C ends it.
 
 Then, in another terminal:
 
@@ -34,7 +34,7 @@
   yarrowgrade worker list
 `
 
-// What dev brings up.
+// The system that dev starts.
 const (
 	devAgents       = 6
 	devAccelerators = 8
@@ -51,7 +51,7 @@
 // Help implements kong.HelpProvider.
 func (*devCommand) Help() string { return devUsage }
 
-// dev is what the parts of the one process share.
+// dev is what the entries and agents of the process share.
 type dev struct {
 	platform  *standin.Platform
 	telemetry *telemetry.Telemetry
@@ -101,9 +101,14 @@
 		s := entry.DefaultSettings()
 		s.Name, s.Zone, s.Address = fmt.Sprintf("entry-%d", i+1), devZone, d.entries[i]
 		s.Peers = []string{d.entries[1-i]}
-		e := entry.New(s, entry.Parts{Platform: d.platform, Client: d.client, Telemetry: d.telemetry, Random: rand.IntN})
+		e := entry.New(s, entry.Parts{
+			Platform:  d.platform,
+			Client:    d.client,
+			Telemetry: d.telemetry,
+			Random:    rand.IntN,
+		})
 		wg.Go(func() { e.Run(ctx) })
-		serveUntil(ctx, wg, l, e.Handler())
+		d.serveUntil(ctx, wg, l, e.Handler())
 	}
 	return nil
 }
@@ -113,31 +118,39 @@
 	if err != nil {
 		return err
 	}
-	serveUntil(ctx, wg, target, http.HandlerFunc(echo))
+	d.serveUntil(ctx, wg, target, http.HandlerFunc(echo))
 	l, err := listen("dev", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	s := agent.Settings{
 		Worker: ledger.Worker{
-			Name: fmt.Sprintf("worker-%d", number), Zone: devZone, Rack: fmt.Sprintf("rack-%d", (number+2)/3),
-			Accelerators: devAccelerators, Service: devService, Address: "http://" + l.Addr().String(),
-			Slots: devSlots, Incarnation: uuid.NewString(),
+			Name:         fmt.Sprintf("worker-%d", number),
+			Zone:         devZone,
+			Rack:         fmt.Sprintf("rack-%d", (number+2)/3),
+			Accelerators: devAccelerators,
+			Service:      devService,
+			Address:      "http://" + l.Addr().String(),
+			Slots:        devSlots,
+			Incarnation:  uuid.NewString(),
 		},
 		Entries: d.entries,
 		Timing:  gang.DefaultTiming(),
 	}
 	a := agent.New(s, agent.Parts{
-		Target:   request.NewHTTPTarget("http://"+target.Addr().String()+"/", devConnections, d.telemetry.Transport),
-		Platform: d.platform, Client: d.client, Telemetry: d.telemetry, Random: rand.IntN,
+		Target:    request.NewHTTPTarget("http://"+target.Addr().String()+"/", devConnections, d.telemetry.Transport),
+		Platform:  d.platform,
+		Client:    d.client,
+		Telemetry: d.telemetry,
+		Random:    rand.IntN,
 	})
 	wg.Go(func() { a.Run(ctx) })
-	serveUntil(ctx, wg, l, a.Handler())
+	d.serveUntil(ctx, wg, l, a.Handler())
 	return nil
 }
 
-// echo is the target of dev: it answers with the body that it gets. It reads all of it before it writes, because a server
-// that writes first may stop reading.
+// echo is the target of dev: it answers with the body that it gets. It reads the whole body before it writes, because
+// net/http may stop reading a request once its handler has written.
 func echo(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(request.IDHeader, r.Header.Get(request.IDHeader))
 	body, err := io.ReadAll(io.LimitReader(r.Body, request.MaxBody))
@@ -148,9 +161,15 @@
 	_, _ = w.Write(body)
 }
 
-func serveUntil(ctx context.Context, wg *conc.WaitGroup, l net.Listener, h http.Handler) {
+// serveUntil serves until ctx ends.
+func (d *dev) serveUntil(ctx context.Context, wg *conc.WaitGroup, l net.Listener, h http.Handler) {
+	log := d.telemetry.Log
 	server := newServer(h)
-	wg.Go(func() { _ = serve(server, l) })
+	wg.Go(func() {
+		if err := serve(server, l); err != nil {
+			log.Error().Str("step", "serve").Err(err).Msg("listener failed")
+		}
+	})
 	wg.Go(func() {
 		<-ctx.Done()
 		_ = server.Close()
@@ -160,9 +179,12 @@
 // seed declares two teams, so that sessions and requests can be tried at once.
 func (d *dev) seed(ctx context.Context) error {
 	c := client.New(d.entries[0], d.client)
+	guarantee := func(accelerators int, a placement.Adjacency) []placement.Guarantee {
+		return []placement.Guarantee{{Shape: placement.Shape{Accelerators: accelerators, Adjacency: a}, Count: 1}}
+	}
 	teams := []ledger.Team{
-		{Name: "plates", Share: 2, Guarantees: []placement.Guarantee{{Shape: placement.Shape{Accelerators: 16, Adjacency: placement.SameRack}, Count: 1}}},
-		{Name: "notices", Share: 1, Guarantees: []placement.Guarantee{{Shape: placement.Shape{Accelerators: 8, Adjacency: placement.SameWorker}, Count: 1}}},
+		{Name: "plates", Share: 2, Guarantees: guarantee(16, placement.SameRack)},
+		{Name: "notices", Share: 1, Guarantees: guarantee(8, placement.SameWorker)},
 	}
 	for _, team := range teams {
 		if _, err := c.PutConfigWhenReady(ctx, ledger.TeamPrefix+team.Name, team, "dev"); err != nil {
--- a/cmd/yarrowgraded/entry.go
+++ b/cmd/yarrowgraded/entry.go
@@ -3,21 +3,20 @@
 import (
 	"context"
 	"math/rand/v2"
-	"os"
 	"time"
 
 	"yarrowgrade.example/yarrowgrade/internal/pause"
-	"yarrowgrade.example/yarrowgrade/internal/telemetry"
 	"yarrowgrade.example/yarrowgrade/sessions/entry"
 	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 )
 
 const entryUsage = `
 An entry takes callers' requests and operators' calls. It follows the platform's log, decides where sessions run, and
-tells agents what is in force. Run two or more behind the platform's balancer; each needs its own --name.
+gives agents their configuration and assignments. Run two or more behind the platform's load balancer, each with a
+--name of its own.
 
-On SIGTERM it fails /ready, goes on serving for --drain so that the balancer can look away, finishes what is in flight,
-and exits. It keeps nothing on disk: any entry can be replaced at any time.
+On SIGTERM it fails /ready, serves on for --drain until the load balancer has taken it out, finishes the requests in
+flight, and exits. It stores nothing on disk, so any entry can be replaced at any time.
 
 Example:
 
@@ -37,7 +36,7 @@
 	PrepareTimeout  time.Duration `help:"How long a gang may prepare before its placement is given up, 1s to 1m." default:"10s"`
 	SnapshotRecords int64         `help:"Number of records after which a snapshot is written, at least 10." default:"500"`
 	SnapshotAge     time.Duration `help:"Age after which a snapshot is written; keep it well below the log's retention." default:"10m"`
-	Drain           time.Duration `help:"How long to serve on after readiness fails." default:"3s"`
+	Drain           time.Duration `help:"How long to serve on after /ready fails." default:"3s"`
 	StopTimeout     time.Duration `help:"How long a planned stop may take in all." default:"60s"`
 }
 
@@ -49,8 +48,14 @@
 		c.Address = "http://" + c.Listen
 	}
 	s := entry.Settings{
-		Name: c.Name, Region: c.Region, Zone: c.Zone, Address: c.Address, Peers: c.Peers,
-		PrepareTimeout: c.PrepareTimeout, SnapshotRecords: c.SnapshotRecords, SnapshotAge: c.SnapshotAge,
+		Name:            c.Name,
+		Region:          c.Region,
+		Zone:            c.Zone,
+		Address:         c.Address,
+		Peers:           c.Peers,
+		PrepareTimeout:  c.PrepareTimeout,
+		SnapshotRecords: c.SnapshotRecords,
+		SnapshotAge:     c.SnapshotAge,
 	}
 	if err := checkListen("listen", c.Listen); err != nil {
 		return s, err
@@ -64,19 +69,29 @@
 	if err != nil {
 		return err
 	}
-	t, err := telemetry.New(ctx, telemetry.Settings{Role: "entry", Name: c.Name, Log: os.Stderr, Level: c.LogLevel, TraceAddress: c.TraceAddress})
+	t, err := c.telemetry(ctx, "entry", c.Name)
 	if err != nil {
 		return err
 	}
 	client := newClient(t)
-	e := entry.New(settings, entry.Parts{Platform: hosting.NewClient(c.Platform, client), Client: client, Telemetry: t, Random: rand.IntN})
+	e := entry.New(settings, entry.Parts{
+		Platform:  hosting.NewClient(c.Platform, client),
+		Client:    client,
+		Telemetry: t,
+		Random:    rand.IntN,
+	})
 	return role{
-		name: "entry", listen: c.Listen, address: c.Address, handler: e.Handler(), run: e.Run,
-		leave: func(ctx context.Context) error {
+		name:    "entry",
+		listen:  c.Listen,
+		address: c.Address,
+		handler: e.Handler(),
+		run:     e.Run,
+		drain: func(ctx context.Context) error {
 			e.Leave()
 			pause.For(ctx, c.Drain)
 			return nil
 		},
-		stopTimeout: c.StopTimeout, telemetry: t,
+		stopTimeout: c.StopTimeout,
+		telemetry:   t,
 	}.serve(ctx)
 }
--- a/cmd/yarrowgraded/hangup_test.go
+++ b/cmd/yarrowgraded/hangup_test.go
@@ -11,7 +11,7 @@
 	"github.com/rs/zerolog"
 )
 
-// safeBuffer is a buffer for two goroutines.
+// safeBuffer is a buffer that is safe for concurrent use.
 type safeBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -29,16 +29,18 @@
 	return b.buf.String()
 }
 
-// TestHangup: SIGHUP does not end the process, and what came of reading the settings again is told.
+// TestHangup: SIGHUP does not end the process, and the result of reading the settings again is logged.
 func TestHangup(t *testing.T) {
 	var out safeBuffer
 	ready := make(chan struct{})
-	go onHangup(t.Context(), zerolog.New(&out), ready)
+	go reloadOnHangup(t.Context(), zerolog.New(&out), ready)
 	<-ready
-	for deadline := time.Now().Add(5 * time.Second); !strings.Contains(out.String(), "settings read again"); time.Sleep(time.Millisecond) {
+	deadline := time.Now().Add(5 * time.Second)
+	for !strings.Contains(out.String(), "settings read again") {
 		if time.Now().After(deadline) {
-			t.Fatalf("nothing is told: %q", out.String())
+			t.Fatalf("no line is logged: %q", out.String())
 		}
+		time.Sleep(time.Millisecond)
 		if err := syscall.Kill(syscall.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/yarrowgraded/jobagent.go
+++ b/cmd/yarrowgraded/jobagent.go
@@ -5,7 +5,6 @@
 	"net/http"
 	"os"
 	"runtime/debug"
-	"time"
 
 	"github.com/google/uuid"
 	"github.com/julienschmidt/httprouter"
@@ -20,11 +19,10 @@
 )
 
 const jobAgentUsage = `
-job-agent is the agent for jobs on the users' platform. It runs beside one worker, takes its heartbeats, and keeps it
-running what the leader wants: it starts and stops runs, and extends their lease as long as the leader does. It
-decides nothing and keeps nothing.
+job-agent runs beside one worker of the users' platform. It receives the worker's heartbeats, starts and stops runs as
+the leader decides, and renews their lease as long as the leader renews its own. It decides nothing and stores nothing.
 
-Its settings come from the file that the platform names. On SIGTERM it ends at once: what runs goes on, and the next
+Its settings come from the file that the platform names. On SIGTERM it exits at once: what runs goes on, and the next
 agent on the box takes it over.
 
 Example:
@@ -32,12 +30,11 @@
   yarrowgraded job-agent
 `
 
-// agentGCPercent is how much an agent's heap may grow until it is collected, in percent. There is one beside each worker, so its memory is
-// the largest part of the system's: with 20 instead of 100 its peak is 5.8 MB instead of 7.2, for 0.16 % of a core instead of 0.14 (one calm
-// day of 55 s each).
+// agentGCPercent lets the heap grow by this many percent between collections. There is an agent beside each worker,
+// so memory counts for more than the processor time that frequent collections take.
 const agentGCPercent = 20
 
-// workerDrift is the most by which a worker's clock may be slow, as a share.
+// workerDrift is how much slower than real time a worker's clock may run, as a share.
 const workerDrift = 0.03
 
 type jobAgentCommand struct {
@@ -54,37 +51,70 @@
 		return err
 	}
 	lines := telemetry.NewWriter(os.Stdout)
-	defer lines.Close(time.Second)
+	defer lines.Close(logCloseTimeout)
 	t, err := telemetry.New(ctx, telemetry.Settings{Role: "agent", Name: s.Node, Log: lines, Level: c.LogLevel})
 	if err != nil {
 		return err
 	}
 	debug.SetGCPercent(agentGCPercent)
-	directory, r, heartbeats := newJobAgent(s, t)
-	inner := httprouter.New()
-	inner.Handler(http.MethodGet, "/metrics", t.MetricsHandler)
-	handlers := map[string]http.Handler{s.Listen.Control: heartbeats, s.InnerAddress(innerPlace): inner}
-	if _, err := serveAll(handlers); err != nil {
-		return err
-	}
-	t.Log.Info().Str("step", "start").Str("zone", s.Zone).Str("worker", s.App).Msg("agent starts")
-	go onHangup(ctx, t.Log, make(chan struct{}))
-	var wg conc.WaitGroup
-	wg.Go(func() { directory.Run(ctx) })
-	wg.Go(func() { r.Run(ctx) })
-	wg.Wait()
-	t.Log.Info().Str("step", "stop").Msg("agent stopped")
-	return nil
+	return newJobAgent(s, t).run(ctx)
+}
+
+// jobAgent is the process of an agent for jobs.
+type jobAgent struct {
+	settings   *platform.Settings
+	telemetry  *telemetry.Telemetry
+	directory  *directory.Directory
+	runner     *runner.Runner
+	heartbeats http.Handler
 }
 
-// newJobAgent returns what an agent consists of: the way to the leader, the runner, and the handler of the worker's heartbeats.
-func newJobAgent(s *platform.Settings, t *telemetry.Telemetry) (*directory.Directory, *runner.Runner, http.Handler) {
+func newJobAgent(s *platform.Settings, t *telemetry.Telemetry) *jobAgent {
 	client := newClient(t)
-	topic := topic.WithMetrics(platform.NewStore(s, client).Topic(platform.DirectoryTopic), t.Metrics)
-	directory := directory.NewDirectory(topic, t.Log)
+	log := topic.WithMetrics(platform.NewStore(s, client).Topic(platform.DirectoryTopic), t.Metrics)
+	entries := directory.NewDirectory(log, t.Log)
 	r := runner.New(
-		runner.Settings{Name: s.Node, Agent: uuid.NewString(), Service: s.Service, Zone: s.Zone, Lease: s.MaxLease(), Drift: workerDrift, CordonWithin: s.CordonWithin()},
-		runner.Dependencies{Worker: platform.NewWorker(s, client), Leader: runner.NewLeaderClient(directory, client), Logger: t.Log, Metrics: t.Metrics, Suspension: suspend.SystemClock()},
+		runner.Settings{
+			Name:         s.Node,
+			Agent:        uuid.NewString(),
+			Service:      s.Service,
+			Zone:         s.Zone,
+			Lease:        s.MaxLease(),
+			Drift:        workerDrift,
+			CordonWithin: s.CordonWithin(),
+		},
+		runner.Dependencies{
+			Worker:     platform.NewWorker(s, client),
+			Leader:     runner.NewLeaderClient(entries, client),
+			Logger:     t.Log,
+			Metrics:    t.Metrics,
+			Suspension: suspend.SystemClock(),
+		},
 	)
-	return directory, r, platform.NewHeartbeats(r, t.Log, t.Metrics)
+	return &jobAgent{
+		settings:   s,
+		telemetry:  t,
+		directory:  entries,
+		runner:     r,
+		heartbeats: platform.NewHeartbeats(r, t.Log, t.Metrics),
+	}
+}
+
+// run serves until ctx ends.
+func (a *jobAgent) run(ctx context.Context) error {
+	s, log := a.settings, a.telemetry.Log
+	internal := httprouter.New()
+	internal.Handler(http.MethodGet, "/metrics", a.telemetry.MetricsHandler)
+	handlers := map[string]http.Handler{s.Listen.Control: a.heartbeats, s.InnerAddress(internalPort): internal}
+	if _, err := serveAll(log, handlers); err != nil {
+		return err
+	}
+	log.Info().Str("step", "start").Str("zone", s.Zone).Str("worker", s.App).Msg("agent starts")
+	go reloadOnHangup(ctx, log, make(chan struct{}))
+	var wg conc.WaitGroup
+	wg.Go(func() { a.directory.Run(ctx) })
+	wg.Go(func() { a.runner.Run(ctx) })
+	wg.Wait()
+	log.Info().Str("step", "stop").Msg("agent stopped")
+	return nil
 }
--- a/cmd/yarrowgraded/main.go
+++ b/cmd/yarrowgraded/main.go
@@ -2,14 +2,17 @@
 //
 // # Usage
 //
-//	yarrowgraded dev      everything in one process on a laptop
-//	yarrowgraded entry    the process on an entry box
-//	yarrowgraded agent    the process beside a target
+//	yarrowgraded dev          a whole system for sessions in one process, on a laptop
+//	yarrowgraded entry        the process on an entry box
+//	yarrowgraded agent        the process beside a target
 //	yarrowgraded job-entry    the process on an entry box of the users' platform
 //	yarrowgraded job-agent    the process beside a worker of the users' platform
 //
 // Every flag can be set by an environment variable, YARROWGRADE_ and the flag's name. SIGTERM and SIGINT are planned
-// stops: nothing in flight is cut.
+// stops: requests in flight are finished.
+//
+// entry and agent are the programs of the scheduler for sessions (folder sessions/); job-entry and job-agent are those
+// of the scheduler for jobs on the users' platform (jobs/ and platform/).
 package main
 
 import (
@@ -25,13 +28,13 @@
 	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
-// exitBadSettings is the exit code for settings that won't do; all other failures exit with 1.
+// exitBadSettings is the exit code for invalid settings; all other failures exit with 1.
 const exitBadSettings = 2
 
 type commands struct {
-	Dev   devCommand   `cmd:"" help:"Run a platform stand-in, two entries and six agents in this process, for a first look."`
+	Dev   devCommand   `cmd:"" help:"Run a whole system for sessions in this process, for a first look."`
 	Entry entryCommand `cmd:"" help:"Run an entry: it takes requests and operators' calls and decides placements."`
-	Agent agentCommand `cmd:"" help:"Run the agent beside a target: the only way to the target, and the member of gangs."`
+	Agent agentCommand `cmd:"" help:"Run the agent beside a target, which takes part in gangs."`
 
 	JobEntry jobEntryCommand `cmd:"" help:"Run an entry for jobs on the users' platform."`
 	JobAgent jobAgentCommand `cmd:"" help:"Run the agent for jobs beside a worker of the users' platform."`
--- a/cmd/yarrowgraded/metrics_test.go
+++ b/cmd/yarrowgraded/metrics_test.go
@@ -15,10 +15,11 @@
 	"yarrowgrade.example/yarrowgrade/platform"
 )
 
-// registered are the names of all metrics that a process for jobs registers.
+// registered returns the names of all metrics that a process for jobs registers.
 func registered(t *testing.T, start func(s *platform.Settings, t *telemetry.Telemetry)) []string {
 	t.Helper()
-	s, err := platform.DecodeSettings([]byte(`{"node":"n","ip":"127.0.0.1","portRange":[7000,7015],"platform":{"address":"127.0.0.1:1"}}`))
+	const settings = `{"node":"n","ip":"127.0.0.1","portRange":[7000,7015],"platform":{"address":"127.0.0.1:1"}}`
+	s, err := platform.DecodeSettings([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,14 +42,16 @@
 	return slices.Compact(names)
 }
 
-// TestMetricsAreDocumented compares the table of the page for operators with what is registered.
+// TestMetricsAreDocumented compares the table in docs/OPERATIONS.md with what is registered.
 func TestMetricsAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	documented := map[string][]string{}
-	for _, row := range regexp.MustCompile(`(?m)^\| `+"`"+`(\w+)(?:\{\w+\})?`+"`"+` \| (entry|agent|both) \|`).FindAllStringSubmatch(string(page), -1) {
+	// A row is: | `name{label}` | entry | ...
+	rows := regexp.MustCompile("(?m)^\\| `(\\w+)(?:\\{\\w+\\})?` \\| (entry|agent|both) \\|")
+	for _, row := range rows.FindAllStringSubmatch(string(page), -1) {
 		for _, role := range []string{"entry", "agent"} {
 			if row[2] == role || row[2] == "both" {
 				documented[role] = append(documented[role], row[1])
--- /dev/null
+++ b/cmd/yarrowgraded/reload.go
@@ -0,0 +1,30 @@
+package main
+
+import (
+	"context"
+	"os"
+	"os/signal"
+	"syscall"
+
+	"github.com/rs/zerolog"
+
+	"yarrowgrade.example/yarrowgrade/platform"
+)
+
+// reloadOnHangup reads the settings again at each SIGHUP until ctx ends, and logs whether they are valid. None of them
+// takes effect in a running process: a change is for the next start. ready is closed once signals are caught.
+func reloadOnHangup(ctx context.Context, log zerolog.Logger, ready chan<- struct{}) {
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
+	close(ready)
+	for {
+		select {
+		case <-hangups:
+			_, err := platform.ReadSettings()
+			log.Info().Str("step", "reload").Err(err).Msg("settings read again")
+		case <-ctx.Done():
+			return
+		}
+	}
+}
--- a/cmd/yarrowgraded/serve_test.go
+++ b/cmd/yarrowgraded/serve_test.go
@@ -6,10 +6,11 @@
 	"testing"
 )
 
-// TestCloseWhenLeaving: a connection that was idle when the process began to leave is served once more, and ends with that.
-func TestCloseWhenLeaving(t *testing.T) {
-	leaving := make(chan struct{})
-	server := httptest.NewServer(closeWhenLeaving(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}), leaving))
+// TestCloseWhenDraining: a connection that is idle when the drain begins serves one more request and is closed.
+func TestCloseWhenDraining(t *testing.T) {
+	draining := make(chan struct{})
+	handler := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
+	server := httptest.NewServer(closeWhenDraining(handler, draining))
 	defer server.Close()
 	call := func() *http.Response {
 		t.Helper()
@@ -21,10 +22,10 @@
 		return response
 	}
 	if call().Close {
-		t.Error("a connection ends before the process leaves")
+		t.Error("a connection is closed before the drain")
 	}
-	close(leaving)
+	close(draining)
 	if !call().Close {
-		t.Error("a connection goes on after the process has begun to leave")
+		t.Error("a connection stays open in the drain")
 	}
 }
