--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -18,7 +18,8 @@
 		var out bytes.Buffer
 		log := newLogger(Settings{Role: "entry", Name: "entry-1", Log: &out}, zerolog.InfoLevel)
 		log.Info().Str("step", "dispatch.start").Int("run", 2).Float64("lost_core_s", 1.5).Time("due", time.Now()).
-			Bool("guaranteed", true).Str("why", `a "word" = x`).Str("empty", "").Err(errors.New("no answer")).Msg("run is placed")
+			Bool("guaranteed", true).Str("why", `a "word" = x`).Str("empty", "").Err(errors.New("no answer")).
+			Msg("run is placed")
 		goldentest.Bytes(t, "line.txt", out.Bytes())
 	})
 }
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -6,16 +6,16 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// other is the label of values that were not known beforehand: the number of series stays bounded.
+// other is the label for values that were not registered, which keeps the number of series bounded.
 const other = "other"
 
-// Counters is one counter for each value of a label.
+// Counters is a counter for each registered value of a label. It is safe for concurrent use.
 type Counters[L ~string] struct {
 	counters map[L]tally.Counter
 	other    tally.Counter
 }
 
-// NewCounters registers a counter for each of the values, and one for all others.
+// NewCounters registers a counter for each of the values, and one labelled "other" for the rest.
 func NewCounters[L ~string](scope tally.Scope, name, label string, values ...L) Counters[L] {
 	c := Counters[L]{counters: make(map[L]tally.Counter, len(values)), other: labelled(scope, name, label, other)}
 	for _, v := range values {
@@ -28,10 +28,10 @@
 	return scope.Tagged(map[string]string{label: value}).Counter(name)
 }
 
-// Inc counts one.
+// Inc adds 1 to the counter of the value.
 func (c Counters[L]) Inc(value L) { c.Add(value, 1) }
 
-// Add counts n.
+// Add adds n to the counter of the value.
 func (c Counters[L]) Add(value L, n int) {
 	counter, ok := c.counters[value]
 	if !ok {
@@ -40,7 +40,7 @@
 	counter.Inc(int64(n))
 }
 
-// Times registers a histogram of times between a millisecond and 8 s.
+// Times registers a histogram with buckets from 1 ms to 8 s, each twice as wide as the one before.
 func Times(scope tally.Scope, name string) tally.Histogram {
 	return scope.Histogram(name, tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 14))
 }
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,4 +1,4 @@
-// Package telemetry shows what a process does: logs by zerolog, metrics by tally, traces by OpenTelemetry.
+// Package telemetry sets up the logs (zerolog), metrics (tally) and traces (OpenTelemetry) of a process.
 //
 // # Usage
 //
@@ -8,8 +8,8 @@
 //	t.Metrics.Counter("requests").Inc(1)
 //	http.Handle("/metrics", t.MetricsHandler)
 //
-// A log line is one event of key=value pairs. Spans cross processes in the W3C traceparent header; they are exported
-// over OTLP/HTTP if an address is set, and dropped otherwise.
+// A log line is one event of key=value pairs. Traces cross processes in the W3C traceparent header; spans are exported
+// over OTLP/HTTP if a collector is set, and not recorded otherwise.
 package telemetry
 
 import (
@@ -35,22 +35,22 @@
 	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
-// reportInterval is how often tally hands its values to the scrape endpoint.
+// reportInterval is how often tally updates the values that MetricsHandler serves.
 const reportInterval = time.Second
 
 // Settings of a process's telemetry.
 type Settings struct {
-	// Role is "entry", "agent" or "dev"; Name is that of the process.
+	// Role is "entry", "agent" or "dev"; Name is the name of the process.
 	Role string
 	Name string
-	// Log is where log lines go; Level is the lowest level that is written, such as "info".
+	// Log receives the log lines; Level is the lowest level that is written, such as "info".
 	Log   io.Writer
 	Level string
 	// TraceAddress is the base URL of an OTLP/HTTP collector, such as http://127.0.0.1:4318; empty for none.
 	TraceAddress string
 }
 
-// Telemetry is what a process logs, counts and traces with.
+// Telemetry holds the logger, metrics and tracer of a process.
 type Telemetry struct {
 	Log     zerolog.Logger
 	Metrics tally.Scope
@@ -58,12 +58,13 @@
 	MetricsHandler http.Handler
 
 	provider *sdktrace.TracerProvider
-	// traced says that spans go to a collector.
-	traced  bool
+	// traced means that spans go to a collector.
+	traced bool
+	// closers flush and stop the exporters.
 	closers []func(context.Context) error
 }
 
-// New returns the telemetry of a process. Its errors name the setting.
+// New returns the telemetry of a process. An error is a *fault.Field that names the setting. Close must be called.
 func New(ctx context.Context, s Settings) (*Telemetry, error) {
 	level, err := zerolog.ParseLevel(s.Level)
 	if err != nil {
@@ -77,11 +78,13 @@
 	return t, nil
 }
 
-// Discard returns telemetry that goes nowhere, for tests.
+// Discard returns telemetry that drops everything, for tests.
 func Discard() *Telemetry {
 	return &Telemetry{
-		Log: zerolog.Nop(), Metrics: tally.NoopScope, MetricsHandler: http.NotFoundHandler(),
-		provider: sdktrace.NewTracerProvider(sdktrace.WithSampler(sdktrace.NeverSample())),
+		Log:            zerolog.Nop(),
+		Metrics:        tally.NoopScope,
+		MetricsHandler: http.NotFoundHandler(),
+		provider:       sdktrace.NewTracerProvider(sdktrace.WithSampler(sdktrace.NeverSample())),
 	}
 }
 
@@ -98,13 +101,13 @@
 	return zerolog.New(writer).Level(level).With().Timestamp().Str("role", s.Role).Str("name", s.Name).Logger()
 }
 
-// formatValue quotes what would not read as one value.
+// formatValue quotes values that a reader of key=value pairs would split.
 func formatValue(v any) string {
 	text := fmt.Sprintf("%v", v)
 	if raw, ok := v.([]byte); ok {
 		text = string(raw)
 	}
-	// Some values come as JSON, with quotes and escapes of their own.
+	// zerolog passes some values as JSON strings; quoting those again would double the quotes.
 	var decoded string
 	if json.Unmarshal([]byte(text), &decoded) == nil {
 		text = decoded
@@ -144,7 +147,8 @@
 	} else {
 		exporter, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(s.TraceAddress+"/v1/traces"))
 		if err != nil {
-			return fault.BadField("trace-address", "want a URL such as http://127.0.0.1:4318, got %q: %v", s.TraceAddress, err)
+			return fault.BadField("trace-address",
+				"want a URL such as http://127.0.0.1:4318, got %q: %v", s.TraceAddress, err)
 		}
 		options = append(options, sdktrace.WithBatcher(exporter))
 		t.traced = true
@@ -156,8 +160,8 @@
 
 var propagator = propagation.TraceContext{}
 
-// Transport wraps a transport so that each exchange is a span and carries its context. Without a collector it is left
-// as it is.
+// Transport wraps a transport so that each request is a span and carries the trace on. Without a collector it returns
+// base.
 func (t *Telemetry) Transport(base http.RoundTripper) http.RoundTripper {
 	if !t.traced {
 		return base
@@ -165,7 +169,7 @@
 	return otelhttp.NewTransport(base, otelhttp.WithTracerProvider(t.provider), otelhttp.WithPropagators(propagator))
 }
 
-// Handler wraps a handler so that each exchange is a span below that of its caller, if there is a collector.
+// Handler wraps a handler so that each request is a span below its caller's. Without a collector it returns h.
 func (t *Telemetry) Handler(h http.Handler) http.Handler {
 	if !t.traced {
 		return h
@@ -175,11 +179,11 @@
 		otelhttp.WithSpanNameFormatter(func(_ string, r *http.Request) string { return r.Method + " " + r.URL.Path }))
 }
 
-// traceHeader is the name under which the propagator puts a trace.
+// traceHeader is the key that the propagator uses.
 const traceHeader = "traceparent"
 
-// TraceOf returns the W3C traceparent of ctx, or nothing if there is no collector. It is what WithTrace takes, in this
-// process or another one, where no HTTP exchange carries the trace on.
+// TraceOf returns the W3C traceparent of ctx, or "" without a collector. WithTrace accepts it, in this process or in
+// another one, where no HTTP request carries the trace on.
 func (t *Telemetry) TraceOf(ctx context.Context) string {
 	if !t.traced {
 		return ""
@@ -189,7 +193,7 @@
 	return carrier[traceHeader]
 }
 
-// WithTrace returns ctx within a trace that TraceOf returned. What is not a trace changes nothing.
+// WithTrace returns ctx within the trace that TraceOf returned. It returns ctx if trace is not a valid traceparent.
 func (t *Telemetry) WithTrace(ctx context.Context, trace string) context.Context {
 	if !t.traced || trace == "" {
 		return ctx
@@ -197,7 +201,7 @@
 	return propagator.Extract(ctx, propagation.MapCarrier{traceHeader: trace})
 }
 
-// Close flushes what is left.
+// Close flushes and stops the exporters. Errors are logged.
 func (t *Telemetry) Close(ctx context.Context) {
 	for _, c := range t.closers {
 		if err := c(ctx); err != nil {
--- a/internal/telemetry/writer.go
+++ b/internal/telemetry/writer.go
@@ -10,84 +10,85 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// bufferedLines bounds what waits to be written: some 300 KB of lines.
+// bufferedLines bounds the lines that wait to be written, about 300 KB.
 const bufferedLines = 1024
 
-// Writer hands log lines to another writer in the background. It never blocks: when the other side does not take them, as a
-// pipe that nobody reads, lines are left out, and the next line that is written says how many. Steps that write very many
-// lines are thinned, and what was left out of each is told.
+// Writer writes log lines to another writer in the background. It never blocks its callers: while the other side does
+// not read, as with a full pipe, lines are dropped, and the next line that is written is preceded by their number. Steps
+// that log very many lines are sampled; see sampler. It is safe for concurrent use.
 type Writer struct {
 	lines chan []byte
-	lost  atomic.Int64
-	// left counts all lines that were left out, and counter is where they are counted too, if that is set.
-	left    atomic.Int64
+	// unreported is the number of lines dropped since the last line that said so.
+	unreported atomic.Int64
+	// counter, if set, counts all lines that were dropped.
 	counter atomic.Pointer[tally.Counter]
 	done    chan struct{}
 	once    sync.Once
 
-	mu   sync.Mutex
-	thin *thinner
+	mu      sync.Mutex
+	sampler *sampler
 }
 
-// NewWriter returns a writer in front of w.
+// NewWriter returns a Writer to w. Close ends its goroutine.
 func NewWriter(w io.Writer) *Writer {
-	b := &Writer{lines: make(chan []byte, bufferedLines), done: make(chan struct{}), thin: newThinner()}
+	b := &Writer{lines: make(chan []byte, bufferedLines), done: make(chan struct{}), sampler: newSampler()}
 	go b.run(w)
 	return b
 }
 
-// Left is how many lines have been left out so far.
-func (b *Writer) Left() int64 { return b.left.Load() }
-
-// Count lets the lines that are left out be counted by a counter too.
+// Count counts the lines that are dropped from now on in c.
 func (b *Writer) Count(c tally.Counter) { b.counter.Store(&c) }
 
-func (b *Writer) leave() {
-	b.left.Add(1)
+func (b *Writer) drop() {
 	if c := b.counter.Load(); c != nil {
 		(*c).Inc(1)
 	}
 }
 
-// Write implements io.Writer. It always takes the whole line, or leaves it out.
+// Write implements io.Writer. It takes or drops the whole line, and always reports it as written.
 func (b *Writer) Write(line []byte) (int, error) {
 	b.mu.Lock()
-	told := b.thin.next(time.Now())
-	keeps := b.thin.keeps(line)
+	dropped := b.sampler.roll(time.Now())
+	keep := b.sampler.keep(line)
 	b.mu.Unlock()
-	for step, n := range told {
-		b.put(fmt.Appendf(nil, "time=%s level=warn event=\"log lines thinned\" step=%s count=%d\n", time.Now().Format(time.RFC3339Nano), step, n))
+	for step, n := range dropped {
+		b.put(warning(fmt.Sprintf(`event="log lines thinned" step=%s count=%d`, step, n)))
 	}
-	if !keeps {
-		b.leave()
+	if !keep {
+		b.drop()
 		return len(line), nil
 	}
 	b.put(append([]byte(nil), line...))
 	return len(line), nil
 }
 
-// put hands a line to the background, or leaves it out.
+// warning returns a log line of the writer itself.
+func warning(fields string) []byte {
+	return fmt.Appendf(nil, "time=%s level=warn %s\n", time.Now().Format(time.RFC3339Nano), fields)
+}
+
+// put queues a line, or drops it if the queue is full.
 func (b *Writer) put(line []byte) {
 	select {
 	case b.lines <- line:
 	default:
-		b.lost.Add(1)
-		b.leave()
+		b.unreported.Add(1)
+		b.drop()
 	}
 }
 
 func (b *Writer) run(w io.Writer) {
 	defer close(b.done)
 	for line := range b.lines {
-		if n := b.lost.Swap(0); n > 0 {
-			fmt.Fprintf(w, "time=%s level=warn event=\"log lines left out\" count=%d\n", time.Now().Format(time.RFC3339Nano), n)
+		if n := b.unreported.Swap(0); n > 0 {
+			// The log itself can't be written, so its errors have nowhere to go, here and below.
+			_, _ = w.Write(warning(fmt.Sprintf(`event="log lines left out" count=%d`, n)))
 		}
-		// A failure to write has nowhere to go.
 		_, _ = w.Write(line)
 	}
 }
 
-// Close writes what waits, but for no longer than the limit. Nothing may be written after it.
+// Close writes the queued lines, for at most limit. Nothing may be written after it.
 func (b *Writer) Close(limit time.Duration) {
 	b.once.Do(func() { close(b.lines) })
 	select {
--- a/internal/telemetry/writer_test.go
+++ b/internal/telemetry/writer_test.go
@@ -9,9 +9,11 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"github.com/uber-go/tally/v4"
 )
 
-// TestWriterNeverBlocks: a reader that stops reading stops nobody, memory stays bounded, and what was left out is told.
+// TestWriterNeverBlocks: a reader that stops reading blocks nobody, memory stays bounded, and dropped lines are reported.
 func TestWriterNeverBlocks(t *testing.T) {
 	reader, pipe := io.Pipe()
 	w := NewWriter(pipe)
@@ -20,7 +22,7 @@
 	go func() {
 		defer close(written)
 		for range lines {
-			// Warnings are not thinned, so each of them asks for room.
+			// Warnings are not sampled, so each of them is queued.
 			_, _ = w.Write([]byte("level=warn line\n"))
 		}
 	}()
@@ -42,20 +44,22 @@
 	_ = pipe.Close()
 	<-read
 	if !strings.Contains(out.String(), "log lines left out") {
-		t.Error("nobody is told that lines were left out")
+		t.Error("no line reports the dropped lines")
 	}
 	if got := strings.Count(out.String(), "line\n"); got > bufferedLines+1 || got == 0 {
 		t.Errorf("%d lines came through", got)
 	}
 }
 
-// TestThinning: a step that writes very many lines is thinned, others and warnings are not, and it is told how many lines are
-// missing.
-func TestThinning(t *testing.T) {
+// TestSampling: a step that logs very many lines is sampled, others and warnings are not, and the number of dropped
+// lines is logged.
+func TestSampling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		w := NewWriter(&out)
-		const flood = 10 * thinAfter
+		scope := tally.NewTestScope("", nil)
+		w.Count(scope.Counter("dropped"))
+		const flood = 10 * sampleAfter
 		for i := range flood {
 			_, _ = w.Write([]byte("level=info step=busy event=x\n"))
 			if i < 5 {
@@ -64,32 +68,36 @@
 			}
 			synctest.Wait()
 		}
-		time.Sleep(2 * thinWindow)
+		time.Sleep(2 * sampleWindow)
 		_, _ = w.Write([]byte("level=info step=calm event=last\n"))
 		w.Close(time.Second)
 		text := out.String()
-		kept := thinAfter + (flood-thinAfter)/thinShare
+		kept := sampleAfter + (flood-sampleAfter)/sampleEvery
 		if got := strings.Count(text, "step=busy event=x"); got != kept {
 			t.Errorf("%d of %d lines are written, want %d", got, flood, kept)
 		}
 		if strings.Count(text, "step=calm event=x") != 5 || strings.Count(text, "event=bad") != 5 {
 			t.Error("lines of another step, or warnings, are missing")
 		}
-		if want := fmt.Sprintf("event=\"log lines thinned\" step=busy count=%d", flood-kept); !strings.Contains(text, want) {
+		want := fmt.Sprintf("event=\"log lines thinned\" step=busy count=%d", flood-kept)
+		if !strings.Contains(text, want) {
 			t.Errorf("nothing says %q", want)
 		}
-		if got := w.Left(); got != int64(flood-kept) {
-			t.Errorf("%d lines are counted as left out, want %d", got, flood-kept)
+		if got := scope.Snapshot().Counters()["dropped+"].Value(); got != int64(flood-kept) {
+			t.Errorf("%d lines are counted as dropped, want %d", got, flood-kept)
 		}
 	})
 }
 
-// TestLine: a line is key=value pairs, and what would not read as one value is quoted once.
+// TestLine: a line consists of key=value pairs, and values that a reader would split are quoted once.
 func TestLine(t *testing.T) {
 	var out bytes.Buffer
 	log := newLogger(Settings{Role: "entry", Name: "e", Log: &out}, 0)
-	log.Warn().Str("step", "x").Str("empty", "").Str("plain", "a").Str("text", `say "no"`).Err(errors.New("one\ntwo")).Msg("it happened")
-	for _, want := range []string{`event="it happened"`, `step=x`, `empty=""`, `plain=a`, `text="say \"no\""`, `error="one\ntwo"`} {
+	log.Warn().Str("step", "x").Str("empty", "").Str("plain", "a").Str("text", `say "no"`).
+		Err(errors.New("one\ntwo")).Msg("it happened")
+	for _, want := range []string{
+		`event="it happened"`, `step=x`, `empty=""`, `plain=a`, `text="say \"no\""`, `error="one\ntwo"`,
+	} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("%s is not in %s", want, out.String())
 		}
