--- a/jobs/dispatch/plan.go
+++ b/jobs/dispatch/plan.go
@@ -257,7 +257,7 @@
 			continue
 		}
 		p.noteNextRound(t)
-		units := t.job.Waiting(t.progress, p.now, 0)
+		units := t.job.Waiting(t.progress, p.now)
 		if len(units) == 0 {
 			continue
 		}
--- a/jobs/job/job.go
+++ b/jobs/job/job.go
@@ -210,9 +210,6 @@
 	return longest
 }
 
-// Estimate is the caller's guess of the time that a task of a step takes.
-func (j *Job) Estimate(step int) time.Duration { return j.Steps[step].Estimate }
-
 // Objective is when round k is to be completed if its longest chain of work is that long.
 func (j *Job) Objective(k int, chain time.Duration) time.Time {
 	from := j.Accepted
--- a/jobs/job/job_test.go
+++ b/jobs/job/job_test.go
@@ -68,7 +68,7 @@
 
 // begin places all units that wait.
 func begin(j *Job, p *Progress, now time.Time) int {
-	units := j.Waiting(p, now, 0)
+	units := j.Waiting(p, now)
 	for _, u := range units {
 		run := p.NextRun(u.Tasks)
 		for _, n := range u.Tasks {
@@ -97,7 +97,7 @@
 			if got := begin(test.job, p, now); got != test.units {
 				t.Errorf("%d units wait, want %d", got, test.units)
 			}
-			if got := len(test.job.Waiting(p, now, 0)); got != 0 {
+			if got := len(test.job.Waiting(p, now)); got != 0 {
 				t.Errorf("%d units wait after all were placed", got)
 			}
 		})
@@ -130,7 +130,7 @@
 		begin(j, p, now)
 		p.End(j, task(0), 1, present, EndFailed, "")
 		p.End(j, task(1), 1, present, EndFailed, "")
-		if len(j.Waiting(p, now, 0)) != 0 {
+		if len(j.Waiting(p, now)) != 0 {
 			t.Error("the gang waits while a member is placed")
 		}
 		p.End(j, task(2), 1, present, EndGangBroken, "")
@@ -222,11 +222,12 @@
 	j := &Job{ID: id, Accepted: accepted, ObjectiveFactor: 2, ObjectiveSlack: time.Second, Steps: []Step{
 		{Tasks: 1, Estimate: 3 * time.Second}, {Tasks: 1, Estimate: 5 * time.Second}, {Tasks: 1, Estimate: time.Second, DependsOn: []int{0, 1}},
 	}}
-	if got, want := j.Objective(0, j.Chain(j.Estimate)), accepted.Add(13*time.Second); !got.Equal(want) {
+	estimates := func(step int) time.Duration { return j.Steps[step].Estimate }
+	if got, want := j.Objective(0, j.Chain(estimates)), accepted.Add(13*time.Second); !got.Equal(want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
 	j.RoundCount, j.FirstRound, j.RoundInterval = 3, accepted.Add(time.Minute), 10*time.Second
-	if got, want := j.Objective(2, j.Chain(j.Estimate)), accepted.Add(80*time.Second+13*time.Second); !got.Equal(want) {
+	if got, want := j.Objective(2, j.Chain(estimates)), accepted.Add(80*time.Second+13*time.Second); !got.Equal(want) {
 		t.Errorf("round 2: got %v, want %v", got, want)
 	}
 }
--- a/jobs/job/progress.go
+++ b/jobs/job/progress.go
@@ -407,15 +407,15 @@
 	Tasks []TaskName
 }
 
-// Waiting returns the units that may start now: their round is due (early at most before), their step's dependencies are
+// Waiting returns the units that may start now: their round is due, their step's dependencies are
 // done, and nothing of them is placed.
-func (j *Job) Waiting(p *Progress, now time.Time, early time.Duration) []Unit {
+func (j *Job) Waiting(p *Progress, now time.Time) []Unit {
 	if p.Phase.Final() || p.PlacedTasks() == j.tasks() {
 		return nil
 	}
 	var units []Unit
 	for round := range j.Rounds() {
-		if j.DueAt(round).After(now.Add(early)) {
+		if j.DueAt(round).After(now) {
 			break
 		}
 		for step := range j.Steps {
