--- a/jobs/dispatch/advice.go
+++ b/jobs/dispatch/advice.go
@@ -29,116 +29,116 @@
 // Bounds of advice. The service works on one call of a machine at a time and takes time for each worker that it is asked
 // about, so a call names a few, and one call is under way.
 const (
-	adviceTimeout = 8 * time.Second
-	advicePause   = 300 * time.Millisecond
-	adviceBatch   = 30
-	// ticketMargin is how long before its end a ticket is not used any more: an order takes its way.
-	ticketMargin = time.Second
+	permitTimeout    = 8 * time.Second
+	permitRetryDelay = 300 * time.Millisecond
+	permitBatch      = 30
+	// permitMargin is how long before its end a ticket is not used any more: an order takes its way.
+	permitMargin = time.Second
 )
 
-// stepOf names a step of one round as workers and the advice service know it.
-func stepOf(name job.TaskName) string {
+// stepKey names a step of one round as workers and the advice service know it.
+func stepKey(name job.TaskName) string {
 	return fmt.Sprintf("%s.%d.%d", name.Job, name.Round, name.Step)
 }
 
-// advice is what the adviser has said. The control goroutine owns it; calls are made beside it.
-type advice struct {
-	adviser PermitIssuer
-	logger  zerolog.Logger
-	answers chan PermitResult
-	busy    bool
-	// known holds for each step what was said of a life; a missing life was not asked about.
-	known map[string]map[incarnation.ID]word
+// permitCache is what the adviser has said. The control goroutine owns it; calls are made beside it.
+type permitCache struct {
+	issuer     PermitIssuer
+	logger     zerolog.Logger
+	results    chan PermitResult
+	requesting bool
+	// byStep holds for each step what was said of a life; a missing life was not asked about.
+	byStep map[string]map[incarnation.ID]permitAnswer
 }
 
-// word is what was said of a life: no ticket is a no, which stays.
-type word struct {
-	text  string
-	until time.Time
+// permitAnswer is what was said of a life: no ticket is a no, which stays.
+type permitAnswer struct {
+	token      string
+	validUntil time.Time
 }
 
 // PermitResult is the answer to a call to the adviser.
 type PermitResult struct {
-	step    string
-	asked   []incarnation.ID
-	tickets []Permit
-	sent    time.Time
-	valid   time.Duration
-	err     error
+	step     string
+	asked    []incarnation.ID
+	permits  []Permit
+	sentAt   time.Time
+	validFor time.Duration
+	err      error
 }
 
-func newAdvice(adviser PermitIssuer, logger zerolog.Logger) *advice {
-	return &advice{adviser: adviser, logger: logger, answers: make(chan PermitResult, 1), known: map[string]map[incarnation.ID]word{}}
+func newPermitCache(adviser PermitIssuer, logger zerolog.Logger) *permitCache {
+	return &permitCache{issuer: adviser, logger: logger, results: make(chan PermitResult, 1), byStep: map[string]map[incarnation.ID]permitAnswer{}}
 }
 
-// ticket returns a ticket that still holds.
-func (a *advice) ticket(step string, at incarnation.ID, now time.Time) (string, bool) {
-	w, ok := a.known[step][at]
-	return w.text, ok && w.text != "" && now.Add(ticketMargin).Before(w.until)
+// permit returns a ticket that still holds.
+func (a *permitCache) permit(step string, at incarnation.ID, now time.Time) (string, bool) {
+	w, ok := a.byStep[step][at]
+	return w.token, ok && w.token != "" && now.Add(permitMargin).Before(w.validUntil)
 }
 
-// unasked returns those of the lives of which nothing is known, or whose ticket has ended.
-func (a *advice) unasked(step string, lives []incarnation.ID, now time.Time) []incarnation.ID {
+// missing returns those of the lives of which nothing is known, or whose ticket has ended.
+func (a *permitCache) missing(step string, lives []incarnation.ID, now time.Time) []incarnation.ID {
 	var open []incarnation.ID
 	for _, id := range lives {
-		w, ok := a.known[step][id]
-		if !ok || w.text != "" && !now.Add(ticketMargin).Before(w.until) {
+		w, ok := a.byStep[step][id]
+		if !ok || w.token != "" && !now.Add(permitMargin).Before(w.validUntil) {
 			open = append(open, id)
 		}
 	}
 	return open
 }
 
-// ask asks about a step unless a call is under way.
-func (a *advice) ask(ctx context.Context, step string, lives []incarnation.ID) {
-	if a.busy || a.adviser == nil || len(lives) == 0 {
+// request asks about a step unless a call is under way.
+func (a *permitCache) request(ctx context.Context, step string, lives []incarnation.ID) {
+	if a.requesting || a.issuer == nil || len(lives) == 0 {
 		return
 	}
-	a.busy = true
-	lives = lives[:min(len(lives), adviceBatch)]
+	a.requesting = true
+	lives = lives[:min(len(lives), permitBatch)]
 	go func() {
-		answer := PermitResult{step: step, asked: lives, sent: time.Now()}
-		attempt, cancel := context.WithTimeout(ctx, adviceTimeout)
+		answer := PermitResult{step: step, asked: lives, sentAt: time.Now()}
+		attempt, cancel := context.WithTimeout(ctx, permitTimeout)
 		defer cancel()
-		answer.tickets, answer.valid, answer.err = a.adviser.Issue(attempt, step, lives)
+		answer.permits, answer.validFor, answer.err = a.issuer.Issue(attempt, step, lives)
 		if answer.err != nil && !errors.Is(answer.err, context.Canceled) {
 			// Others may be waiting for the service too.
 			select {
-			case <-time.After(advicePause):
+			case <-time.After(permitRetryDelay):
 			case <-ctx.Done():
 			}
 		}
-		a.answers <- answer
+		a.results <- answer
 	}()
 }
 
-// take takes an answer over.
-func (a *advice) take(answer PermitResult) {
-	a.busy = false
+// apply takes an answer over.
+func (a *permitCache) apply(answer PermitResult) {
+	a.requesting = false
 	if answer.err != nil {
 		a.logger.Warn().Str("step", "dispatch.advice").Str("about", answer.step).Err(answer.err).Msg("no advice")
 		return
 	}
-	if a.known[answer.step] == nil {
-		a.known[answer.step] = map[incarnation.ID]word{}
+	if a.byStep[answer.step] == nil {
+		a.byStep[answer.step] = map[incarnation.ID]permitAnswer{}
 	}
-	words := a.known[answer.step]
+	words := a.byStep[answer.step]
 	for _, id := range answer.asked {
-		words[id] = word{}
+		words[id] = permitAnswer{}
 	}
-	for _, t := range answer.tickets {
+	for _, t := range answer.permits {
 		// The time is counted from before the call, which is the safe side.
-		words[t.Incarnation] = word{text: t.Token, until: answer.sent.Add(answer.valid)}
+		words[t.Incarnation] = permitAnswer{token: t.Token, validUntil: answer.sentAt.Add(answer.validFor)}
 	}
 	a.logger.Info().Str("step", "dispatch.advice").Str("about", answer.step).Int("asked", len(answer.asked)).
-		Int("tickets", len(answer.tickets)).Msg("advice")
+		Int("tickets", len(answer.permits)).Msg("advice")
 }
 
-// forget drops what was said of a job's steps.
-func (a *advice) forget(id job.ID) {
-	for step := range a.known {
+// dropJob drops what was said of a job's steps.
+func (a *permitCache) dropJob(id job.ID) {
+	for step := range a.byStep {
 		if len(step) > len(id) && step[:len(id)] == string(id) {
-			delete(a.known, step)
+			delete(a.byStep, step)
 		}
 	}
 }
--- a/jobs/dispatch/carried_test.go
+++ b/jobs/dispatch/carried_test.go
@@ -41,8 +41,8 @@
 			j.job.MaxAttempts = 1
 			b.plan(0)
 			w, id, poll := b.reported(j)
-			former := w.life.ID
-			next := *w.life
+			former := w.state.ID
+			next := *w.state
 			next.ID.StartMillis++
 			poll.State, poll.EndedIncarnations = &next, []assignment.IncarnationEnd{{ID: former, Complete: true}}
 			test.list(&poll, id)
@@ -73,7 +73,7 @@
 	if seen := b.control.TakeDesired(b.now)[w.name].AckedEnd; seen != 9 {
 		t.Fatalf("ends are kept up to %d, want 9", seen)
 	}
-	next := *w.life
+	next := *w.state
 	next.ID.StartMillis++
 	b.control.ApplyPoll(b.now, assignment.Poll{Worker: w.name, State: &next, Complete: true})
 	if want := b.control.TakeDesired(b.now)[w.name]; want.AckedEnd != 0 || want.Incarnation != next.ID {
@@ -98,15 +98,15 @@
 	b := newFixture(t, 1, 1)
 	j := b.job(1, "other", job.Step{Tasks: 1})
 	w := b.control.workers["w0-0"]
-	poll := assignment.Poll{Worker: w.name, ClosingIncarnations: []incarnation.ID{w.life.ID}}
+	poll := assignment.Poll{Worker: w.name, ClosingIncarnations: []incarnation.ID{w.state.ID}}
 	b.control.ApplyPoll(b.now, poll)
 	b.plan(0)
 	if got := b.at(j); len(got) != 0 {
 		t.Errorf("it is placed on %v, whose life is over", got)
 	}
-	next := *w.life
+	next := *w.state
 	next.ID.StartMillis++
-	poll.ClosingIncarnations, poll.State, poll.Complete, poll.EndedIncarnations = nil, &next, true, []assignment.IncarnationEnd{{ID: w.life.ID}}
+	poll.ClosingIncarnations, poll.State, poll.Complete, poll.EndedIncarnations = nil, &next, true, []assignment.IncarnationEnd{{ID: w.state.ID}}
 	b.control.ApplyPoll(b.now, poll)
 	b.plan(10 * time.Millisecond)
 	if got := b.at(j); len(got) != 1 {
@@ -129,7 +129,7 @@
 	}
 	b.finish(former, job.EndDone)
 	next := b.job(1, "other", whole)
-	poll := assignment.Poll{Worker: w.name, State: w.life, Complete: true, Runs: []assignment.Run{{RunID: stray, Percent: 3}}}
+	poll := assignment.Poll{Worker: w.name, State: w.state, Complete: true, Runs: []assignment.Run{{RunID: stray, Percent: 3}}}
 	b.control.ApplyPoll(b.now, poll)
 	b.plan(0)
 	if got := b.at(next); len(got) != 0 {
@@ -176,7 +176,7 @@
 			for range 2 {
 				// A new leader reads an end again that is kept and not forgotten.
 				b.control.ApplyPoll(b.now, poll)
-				w.ends = 0
+				w.ackedEnd = 0
 			}
 			if j.progress.Phase != test.phase || task.Failures != test.failures {
 				t.Errorf("the job is %v with %d failures, want %v with %d", j.progress.Phase, task.Failures, test.phase, test.failures)
--- a/jobs/dispatch/chance.go
+++ b/jobs/dispatch/chance.go
@@ -8,24 +8,24 @@
 
 // What the chance of an urgent unit to be in time is reckoned with.
 const (
-	// lengthSpread is how far forecasts of urgent tasks' lengths are off, as the standard deviation of the logarithm: 0.42 for 785 jobs of ten
+	// durationSpread is how far forecasts of urgent tasks' lengths are off, as the standard deviation of the logarithm: 0.42 for 785 jobs of ten
 	// days of the users' shifted work.
-	lengthSpread = 0.4
-	// pathTime is from the decision to start until the work begins, and from its end until callers are told: 0.09 s at the leader for 521
+	durationSpread = 0.4
+	// reportingDelay is from the decision to start until the work begins, and from its end until callers are told: 0.09 s at the leader for 521
 	// jobs that found room at once, and up to 0.06 s until other entries have read it.
-	pathTime = 150 * time.Millisecond
+	reportingDelay = 150 * time.Millisecond
 )
 
-// chance is the probability that the unit is in time if it is started at that time on workers that take so much longer than average ones
+// chanceInTime is the probability that the unit is in time if it is started at that time on workers that take so much longer than average ones
 // (as a logarithm) at the slowest. It is in time if delay + path + length x slowness <= stretch x length + aim, which long
 // tasks are sooner than short ones.
-func (p *plan) chance(w waiting, start time.Time, slowness float64) float64 {
+func (p *plan) chanceInTime(w waitingUnit, start time.Time, slowness float64) float64 {
 	j := w.tracked.job
 	from := j.Accepted
 	if j.RoundCount > 0 {
 		from = j.DueAt(w.unit.Round)
 	}
-	missing := start.Sub(from) + pathTime - j.ObjectiveSlack
+	missing := start.Sub(from) + reportingDelay - j.ObjectiveSlack
 	spare := j.ObjectiveFactor - math.Exp(slowness)
 	switch {
 	case missing <= 0 && spare >= 0:
@@ -34,7 +34,7 @@
 		return 0
 	}
 	shortest := missing.Seconds() / spare
-	return 0.5 * math.Erfc(math.Log(shortest/w.length.Seconds())/lengthSpread/math.Sqrt2)
+	return 0.5 * math.Erfc(math.Log(shortest/w.duration.Seconds())/durationSpread/math.Sqrt2)
 }
 
 // slowestOf is how much longer the slowest of the nodes takes than an average worker, as a logarithm.
--- a/jobs/dispatch/chance_test.go
+++ b/jobs/dispatch/chance_test.go
@@ -33,7 +33,7 @@
 			tracked := b.job(0, "sure", job.Step{Tasks: 1})
 			tracked.job.ObjectiveFactor, tracked.job.ObjectiveSlack, tracked.job.Accepted = 1.5, 250*time.Millisecond, b.now
 			p := &plan{c: b.control, now: b.now}
-			got := p.chance(waiting{tracked: tracked, length: test.length}, b.now.Add(test.delay), test.slowness)
+			got := p.chanceInTime(waitingUnit{tracked: tracked, duration: test.length}, b.now.Add(test.delay), test.slowness)
 			if got < test.from || got > test.to {
 				t.Errorf("the chance is %.3f, want %.2f to %.2f", got, test.from, test.to)
 			}
@@ -89,11 +89,11 @@
 		}
 		name := job.TaskName{Job: tracked.job.ID}
 		poll := assignment.Poll{
-			Worker: other.name, State: other.life, Complete: true,
+			Worker: other.name, State: other.state, Complete: true,
 			Ends: []assignment.End{{RunID: assignment.RunID{Task: name, Run: 1}, Number: 1, Reason: job.EndDone, TookMillis: took.Milliseconds()}},
 		}
 		b.control.ApplyPoll(b.now, poll)
-		if got := tracked.took[0]; (got - want).Abs() > 10*time.Millisecond {
+		if got := tracked.durations[0]; (got - want).Abs() > 10*time.Millisecond {
 			t.Errorf("gang %v: %s took %v on %s, which counts as %v, want %v", gang, name, took, strings.Join(at, ", "), got, want)
 		}
 	}
--- a/jobs/dispatch/controller.go
+++ b/jobs/dispatch/controller.go
@@ -60,38 +60,38 @@
 	settings Settings
 	logger   zerolog.Logger
 	catalog  *catalog.Follower
-	jobs     map[job.ID]*tracked
+	jobs     map[job.ID]*trackedJob
 	// active are the jobs that have not ended, or of which something is placed or to be kept. Ended ones are known for minutes, and there are many
 	// more of them.
-	active map[job.ID]*tracked
+	active map[job.ID]*trackedJob
 	// arrivals are the urgent jobs of the last while.
 	arrivals []urgentArrival
 	workers  map[string]*worker
-	advice   *advice
-	// openLives are lives of which it is open how they ended under a task, with their workers.
-	openLives map[incarnation.ID]string
+	permits  *permitCache
+	// unresolved are lives of which it is open how they ended under a task, with their workers.
+	unresolved map[incarnation.ID]string
 	// unreadable are jobs of which something is stored that can't be read. Nothing of them starts, and what runs goes on.
 	unreadable map[job.ID]bool
-	// wants is what workers should run, as it was told last.
-	wants *wants
+	// desired is what workers should run, as it was told last.
+	desired *desiredStates
 	// forecast predicts how long tasks work.
 	forecast *forecast
 	// stops is how long runs take to stop.
-	stops   stopTimes
+	stops   stopDurations
 	metrics *Metrics
-	// observed is when the room was noted last.
-	observed time.Time
+	// metricsAt is when the room was noted last.
+	metricsAt time.Time
 	// next is when the next decision is due by itself.
 	next time.Time
-	// forgot is when jobs that ended long ago were looked for last.
-	forgot time.Time
+	// droppedAt is when jobs that ended long ago were looked for last.
+	droppedAt time.Time
 }
 
 // New returns a controller that knows of no job and no worker.
 func New(s Settings, p Dependencies) *Controller {
 	return &Controller{
-		settings: s, logger: p.Logger, catalog: p.Catalog, advice: newAdvice(p.Permits, p.Logger), forecast: newForecast(),
-		metrics: p.Metrics, jobs: map[job.ID]*tracked{}, active: map[job.ID]*tracked{}, workers: map[string]*worker{}, wants: newWants(), openLives: map[incarnation.ID]string{}, unreadable: map[job.ID]bool{},
+		settings: s, logger: p.Logger, catalog: p.Catalog, permits: newPermitCache(p.Permits, p.Logger), forecast: newForecast(),
+		metrics: p.Metrics, jobs: map[job.ID]*trackedJob{}, active: map[job.ID]*trackedJob{}, workers: map[string]*worker{}, desired: newDesiredStates(), unresolved: map[incarnation.ID]string{}, unreadable: map[job.ID]bool{},
 	}
 }
 
@@ -111,53 +111,53 @@
 	}
 }
 
-func (c *Controller) open(v jobstore.StoredJob) *tracked {
+func (c *Controller) open(v jobstore.StoredJob) *trackedJob {
 	if v.Submission == nil {
 		return nil
 	}
 	j, err := job.Decode(v.ID, v.Submission)
 	if err != nil {
-		c.holdUnreadable(v.ID, err, "job is unreadable")
+		c.hold(v.ID, err, "job is unreadable")
 		return nil
 	}
-	t := newTracked(j)
+	t := newTrackedJob(j)
 	if v.Progress != nil {
 		if t.progress, err = job.DecodeProgress(v.Progress); err != nil {
-			c.holdUnreadable(v.ID, err, "progress is unreadable")
+			c.hold(v.ID, err, "progress is unreadable")
 			return nil
 		}
 	}
 	if c.unreadable[v.ID] {
 		delete(c.unreadable, v.ID)
-		c.wants.all = true
+		c.desired.all = true
 	}
 	c.add(t)
-	t.progress.OpenLives(func(worker string, open incarnation.ID) { c.openLives[open] = worker })
+	t.progress.EachUnresolved(func(worker string, open incarnation.ID) { c.unresolved[open] = worker })
 	return t
 }
 
 // add takes a job up.
-func (c *Controller) add(t *tracked) {
+func (c *Controller) add(t *trackedJob) {
 	c.jobs[t.job.ID], c.active[t.job.ID] = t, t
-	c.wants.change(t)
+	c.desired.markJob(t)
 	if t.job.Priority == 0 {
-		c.arrivals = append(c.arrivals, urgentArrival{service: t.job.Service, at: t.job.Accepted, width: widest(t.job)})
+		c.arrivals = append(c.arrivals, urgentArrival{service: t.job.Service, at: t.job.Accepted, accelerators: peakAccelerators(t.job)})
 	}
 }
 
 // touch notes that a job's progress has changes: they are to be kept, and may change what workers should run.
-func (c *Controller) touch(t *tracked) {
+func (c *Controller) touch(t *trackedJob) {
 	t.dirty = true
 	c.active[t.job.ID] = t
-	c.wants.change(t)
+	c.desired.markJob(t)
 }
 
-// holdUnreadable holds a job of which something that is stored can't be read. What it says may be that the job is done, so starting it anew could do it
+// hold holds a job of which something that is stored can't be read. What it says may be that the job is done, so starting it anew could do it
 // twice; and stopping what runs would lose it. It goes on with the next leader that can read it.
-func (c *Controller) holdUnreadable(id job.ID, err error, what string) {
+func (c *Controller) hold(id job.ID, err error, what string) {
 	if !c.unreadable[id] {
 		c.logger.Error().Str("step", "dispatch.open").Str("job", string(id)).Err(err).Msg(what)
-		c.wants.all = true
+		c.desired.all = true
 	}
 	c.unreadable[id] = true
 }
@@ -172,18 +172,18 @@
 func (c *Controller) Next() time.Time { return c.next }
 
 // Permits brings answers of the adviser, which are for TakeAdvice.
-func (c *Controller) Permits() <-chan PermitResult { return c.advice.answers }
+func (c *Controller) Permits() <-chan PermitResult { return c.permits.results }
 
 // ApplyPermits takes an answer of the adviser over.
-func (c *Controller) ApplyPermits(a PermitResult) { c.advice.take(a) }
+func (c *Controller) ApplyPermits(a PermitResult) { c.permits.apply(a) }
 
-// observeEvery is the time between two looks at the room for the metrics.
-const observeEvery = time.Second
+// metricsInterval is the time between two looks at the room for the metrics.
+const metricsInterval = time.Second
 
 // UpdateMetrics notes the room in the metrics, now and then.
 func (c *Controller) UpdateMetrics(now time.Time) {
-	if now.Sub(c.observed) >= observeEvery {
-		c.observed = now
+	if now.Sub(c.metricsAt) >= metricsInterval {
+		c.metricsAt = now
 		c.metrics.observe(c)
 	}
 }
@@ -218,24 +218,24 @@
 			delete(c.active, id)
 		}
 	}
-	if now.Sub(c.forgot) >= forgetEvery {
-		c.forgot = now
-		records = append(records, c.forget(now)...)
+	if now.Sub(c.droppedAt) >= dropInterval {
+		c.droppedAt = now
+		records = append(records, c.dropEnded(now)...)
 	}
 	return records, nil
 }
 
-// forgetEvery is the time between two looks for jobs that ended long ago: each looks at all jobs that are known.
-const forgetEvery = time.Second
+// dropInterval is the time between two looks for jobs that ended long ago: each looks at all jobs that are known.
+const dropInterval = time.Second
 
-// forget drops jobs that ended long ago, and returns the records that drop what is stored of them.
-func (c *Controller) forget(now time.Time) []topic.Record {
+// dropEnded drops jobs that ended long ago, and returns the records that drop what is stored of them.
+func (c *Controller) dropEnded(now time.Time) []topic.Record {
 	var records []topic.Record
 	for id, t := range c.jobs {
 		if c.active[id] == nil && now.Sub(t.progress.EndedAt) > c.settings.KeepEnded {
 			records = append(records, jobstore.DeleteRecords(id)...)
 			delete(c.jobs, id)
-			c.advice.forget(id)
+			c.permits.dropJob(id)
 		}
 	}
 	return records
--- a/jobs/dispatch/controller_test.go
+++ b/jobs/dispatch/controller_test.go
@@ -12,11 +12,11 @@
 )
 
 // reported is a poll of the worker on which the only task of a job is placed.
-func (b *fixture) reported(t *tracked) (w *worker, id assignment.RunID, poll assignment.Poll) {
+func (b *fixture) reported(t *trackedJob) (w *worker, id assignment.RunID, poll assignment.Poll) {
 	name := job.TaskName{Job: t.job.ID}
 	task := t.progress.Task(name)
 	w = b.control.workers[task.Worker]
-	return w, assignment.RunID{Task: name, Run: task.Run}, assignment.Poll{Worker: w.name, State: w.life, Complete: true}
+	return w, assignment.RunID{Task: name, Run: task.Run}, assignment.Poll{Worker: w.name, State: w.state, Complete: true}
 }
 
 // TestEndsBeforeOver: what has ended done is done, also if the same poll says that its life is over.
@@ -26,7 +26,7 @@
 	b.plan(0)
 	w, id, poll := b.reported(j)
 	poll.Ends = []assignment.End{{RunID: id, Number: 1, Reason: job.EndDone}}
-	poll.EndedIncarnations = []assignment.IncarnationEnd{{ID: w.life.ID}}
+	poll.EndedIncarnations = []assignment.IncarnationEnd{{ID: w.state.ID}}
 	b.control.ApplyPoll(b.now, poll)
 	if j.progress.Phase != job.Completed {
 		t.Errorf("the job is %v, want completed", j.progress.Phase)
@@ -56,7 +56,7 @@
 	j := b.job(1, "other", job.Step{Tasks: 1})
 	b.plan(0)
 	w, _, poll := b.reported(j)
-	next := *w.life
+	next := *w.state
 	next.ID = nextLife
 	poll.State = &next
 	b.control.ApplyPoll(b.now, poll)
@@ -75,7 +75,7 @@
 	j := b.job(1, "other", job.Step{Tasks: 1})
 	b.plan(0)
 	w, _, poll := b.reported(j)
-	over := w.life.ID
+	over := w.state.ID
 	poll.State, poll.Complete, poll.EndedIncarnations = nil, false, []assignment.IncarnationEnd{{ID: over}}
 	for range 3 {
 		b.control.ApplyPoll(b.now, poll)
@@ -113,7 +113,7 @@
 	}
 	progress := job.NewProgress()
 	name := job.TaskName{Job: held.ID}
-	progress.Assign(b.now, name, 1, "w0-0", b.control.workers["w0-0"].life.ID)
+	progress.Assign(b.now, name, 1, "w0-0", b.control.workers["w0-0"].state.ID)
 	if view.Progress, err = progress.Encode(); err != nil {
 		t.Fatal(err)
 	}
--- a/jobs/dispatch/cordon_test.go
+++ b/jobs/dispatch/cordon_test.go
@@ -36,7 +36,7 @@
 	}
 	put("config", []byte("1"))
 	for _, w := range b.control.workers {
-		w.life.Zone = w.life.Rack
+		w.state.Zone = w.state.Rack
 	}
 	return func(zone string, value []byte) { put("cordon/"+zone, value) }
 }
@@ -106,8 +106,8 @@
 		placed := b.at(tracked)
 		// The first has begun, the second not.
 		first := job.TaskName{Job: tracked.job.ID}
-		b.control.workers[placed[0]].runs[assignment.RunID{Task: first, Run: 1}] = observed{percent: 3, since: b.now, advanced: b.now, baseAt: b.now}
-		zone := b.control.workers[placed[0]].life.Zone
+		b.control.workers[placed[0]].runs[assignment.RunID{Task: first, Run: 1}] = observedRun{percent: 3, startedAt: b.now, advancedAt: b.now, baseAt: b.now}
+		zone := b.control.workers[placed[0]].state.Zone
 		cordon(zone, []byte("{}"))
 		b.plan(10 * time.Millisecond)
 		want := 1
@@ -119,11 +119,11 @@
 		}
 		for name, run := range tracked.stopping {
 			task := tracked.progress.Task(name)
-			b.control.endTask(tracked, task.Incarnation, assignment.End{RunID: assignment.RunID{Task: name, Run: run}, Reason: job.EndRefused})
+			b.control.endRun(tracked, task.Incarnation, assignment.End{RunID: assignment.RunID{Task: name, Run: run}, Reason: job.EndRefused})
 		}
 		b.plan(10 * time.Millisecond)
 		for i, name := range b.at(tracked) {
-			if begun := i == 0 && !gang; !begun && b.control.workers[name].life.Zone == zone {
+			if begun := i == 0 && !gang; !begun && b.control.workers[name].state.Zone == zone {
 				t.Errorf("gang %v: task %d is in the cordoned zone again", gang, i)
 			}
 		}
@@ -152,7 +152,7 @@
 // what is open.
 func TestCordonedRackIsNotWaitedFor(t *testing.T) {
 	b := newFixture(t, 3, 2)
-	b.control.workers["w2-0"].life.Rack = "r0"
+	b.control.workers["w2-0"].state.Rack = "r0"
 	cordon := b.cordonable()
 	cordon("r0", []byte("{}"))
 	gang := b.job(1, "other", job.Step{Tasks: 3, Gang: true, SameRack: true})
--- a/jobs/dispatch/earliest.go
+++ b/jobs/dispatch/earliest.go
@@ -8,11 +8,11 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// fit is room that a unit would find by itself.
-type fit struct {
+// opening is room that a unit would find by itself.
+type opening struct {
 	// at holds a node for each task, and when is the time from which all of it is free.
 	at     []*node
-	when   time.Time
+	from   time.Time
 	domain []*node
 	// room is what is free by then on each node of the domain.
 	room map[*node]job.Resources
@@ -20,9 +20,9 @@
 
 // earliest forecasts where and when the unit fits first, if nothing else starts and nothing more is told to stop; false if it never
 // does.
-func (p *plan) earliest(w waiting) (best fit, ok bool) {
+func (p *plan) earliest(w waitingUnit) (best opening, ok bool) {
 	for _, domain := range p.domains(w) {
-		if f, fits := p.earliestIn(w, domain); fits && (!ok || f.when.Before(best.when)) {
+		if f, fits := p.earliestIn(w, domain); fits && (!ok || f.from.Before(best.from)) {
 			best, ok = f, true
 		}
 	}
@@ -30,7 +30,7 @@
 }
 
 // earliestIn is earliest within one domain.
-func (p *plan) earliestIn(w waiting, domain []*node) (fit, bool) {
+func (p *plan) earliestIn(w waitingUnit, domain []*node) (opening, bool) {
 	need, left := w.step.Reserved(), len(w.unit.Tasks)
 	room, fits := map[*node]job.Resources{}, map[*node]int{}
 	var runs []*running
@@ -38,29 +38,29 @@
 		if !allowed(w, n) || !n.usable {
 			continue
 		}
-		room[n], fits[n] = n.free, count(need, n.free, bound(w, n))
+		room[n], fits[n] = n.free, tasksFitting(need, n.free, tasksAllowed(w, n))
 		left -= fits[n]
 		runs = append(runs, n.runs...)
 	}
 	slices.SortFunc(runs, func(a, b *running) int { return p.endOf(a).Compare(p.endOf(b)) })
 	for _, r := range runs {
-		room[r.node] = room[r.node].Plus(r.need, 1)
-		now := count(need, room[r.node], bound(w, r.node))
+		room[r.node] = room[r.node].Plus(r.resources, 1)
+		now := tasksFitting(need, room[r.node], tasksAllowed(w, r.node))
 		left -= now - fits[r.node]
 		fits[r.node] = now
 		if left <= 0 {
-			return fit{at: fill(fits, len(w.unit.Tasks)), when: p.endOf(r), domain: domain, room: room}, true
+			return opening{at: fill(fits, len(w.unit.Tasks)), from: p.endOf(r), domain: domain, room: room}, true
 		}
 	}
-	return fit{}, false
+	return opening{}, false
 }
 
 // endOf is when a run's room is forecast to be free.
 func (p *plan) endOf(r *running) time.Time {
-	if soon := p.now.Add(p.stopTime); r.stopping && soon.Before(r.ends) {
+	if soon := p.now.Add(p.stopDuration); r.stopping && soon.Before(r.endsAt) {
 		return soon
 	}
-	return r.ends
+	return r.endsAt
 }
 
 // fill takes nodes for so many tasks, those that hold the most of them first.
@@ -79,22 +79,22 @@
 	return at
 }
 
-// holdBack keeps room for the unit on the nodes that would be free for it first: until then that room is for what ends in time. What the unit
+// reserveFor keeps room for the unit on the nodes that would be free for it first: until then that room is for what ends in time. What the unit
 // leaves there is for anybody, and so are the other nodes. With all nodes of the rack kept, batch work that fitted beside a waiting gang did
 // not start while most of the room was free.
-func (p *plan) holdBack(w waiting) {
+func (p *plan) reserveFor(w waitingUnit) {
 	f, ok := p.earliest(w)
 	if !ok {
 		return
 	}
-	p.held++
+	p.reservations++
 	for _, n := range f.at {
-		if n.heldUntil.IsZero() {
-			n.heldUntil, n.beside = f.when, f.room[n]
+		if n.reservedUntil.IsZero() {
+			n.reservedUntil, n.freeBesideReserved = f.from, f.room[n]
 		}
-		if f.when.Before(n.heldUntil) {
-			n.heldUntil = f.when
+		if f.from.Before(n.reservedUntil) {
+			n.reservedUntil = f.from
 		}
-		n.beside = n.beside.Plus(w.step.Reserved(), -1)
+		n.freeBesideReserved = n.freeBesideReserved.Plus(w.step.Reserved(), -1)
 	}
 }
--- a/jobs/dispatch/fixture_test.go
+++ b/jobs/dispatch/fixture_test.go
@@ -45,13 +45,13 @@
 	}
 	b := &fixture{t: t, now: time.Now()}
 	b.control = New(DefaultSettings(), Dependencies{Catalog: follower, Logger: zerolog.Nop(), Metrics: NewMetrics(tally.NoopScope)})
-	b.control.wants.all = true
+	b.control.desired.all = true
 	for r := range racks {
 		for w := range perRack {
 			name := fmt.Sprintf("w%d-%d", r, w)
 			b.control.workers[name] = &worker{
-				name: name, heard: b.now, runs: map[assignment.RunID]observed{},
-				life: &assignment.WorkerState{
+				name: name, heardAt: b.now, runs: map[assignment.RunID]observedRun{},
+				state: &assignment.WorkerState{
 					ID: incarnation.ID{Instance: name, StartMillis: 1}, Service: service, Rack: fmt.Sprintf("r%d", r), Labels: []string{"a", fmt.Sprintf("r%d", r)},
 					Capacity: job.Resources{CPU: 64_000, Memory: 128_000, Accelerators: 8},
 				},
@@ -62,7 +62,7 @@
 }
 
 // job adds a job of one step.
-func (b *fixture) job(priority int, team string, s job.Step) *tracked {
+func (b *fixture) job(priority int, team string, s job.Step) *trackedJob {
 	b.number++
 	if s.Resources == (job.Resources{}) {
 		s.Resources = job.Resources{CPU: 8000, Memory: 16_000, Accelerators: 8}
@@ -71,7 +71,7 @@
 		s.Estimate = 5 * time.Second
 	}
 	id := job.ID(fmt.Sprintf("%016x", b.number))
-	t := newTracked(&job.Job{
+	t := newTrackedJob(&job.Job{
 		ID: id, Service: service, Priority: priority, Team: team, MaxAttempts: 3, ObjectiveFactor: 3, ObjectiveSlack: time.Second,
 		Accepted: b.now.Add(time.Duration(b.number) * time.Millisecond), Steps: []job.Step{s},
 	})
@@ -83,7 +83,7 @@
 func (b *fixture) plan(after time.Duration) {
 	b.now = b.now.Add(after)
 	for _, w := range b.control.workers {
-		w.heard = b.now
+		w.heardAt = b.now
 	}
 	b.control.Plan(context.Background(), b.now)
 }
@@ -96,15 +96,15 @@
 }
 
 // observe lets workers report the progress of what is placed on them.
-func (b *fixture) observe(t *tracked, began time.Time, percent int) {
+func (b *fixture) observe(t *trackedJob, began time.Time, percent int) {
 	t.progress.Placed(t.job.ID, func(name job.TaskName, task *job.Task) {
 		id := assignment.RunID{Task: name, Run: task.Run}
-		b.control.workers[task.Worker].runs[id] = observed{percent: percent, since: began, advanced: b.now, baseAt: began}
+		b.control.workers[task.Worker].runs[id] = observedRun{percent: percent, startedAt: began, advancedAt: b.now, baseAt: began}
 	})
 }
 
 // at lists the workers of a job's tasks, by index.
-func (b *fixture) at(t *tracked) []string {
+func (b *fixture) at(t *trackedJob) []string {
 	var names []string
 	for i := range t.job.Steps[0].Tasks {
 		task := t.progress.Task(job.TaskName{Job: t.job.ID, Index: i})
@@ -123,9 +123,9 @@
 }
 
 // finish ends all that is placed of a job.
-func (b *fixture) finish(t *tracked, how job.EndReason) {
+func (b *fixture) finish(t *trackedJob, how job.EndReason) {
 	t.progress.Placed(t.job.ID, func(name job.TaskName, task *job.Task) {
-		b.control.endTask(t, task.Incarnation, assignment.End{RunID: assignment.RunID{Task: name, Run: task.Run}, Reason: how})
+		b.control.endRun(t, task.Incarnation, assignment.End{RunID: assignment.RunID{Task: name, Run: task.Run}, Reason: how})
 	})
 }
 
--- a/jobs/dispatch/forecast.go
+++ b/jobs/dispatch/forecast.go
@@ -12,8 +12,8 @@
 	priorSpread = 0.2
 )
 
-// mostWrong is by which factor at most a forecast differs from the estimate.
-const mostWrong = 8
+// maxCorrection is by which factor at most a forecast differs from the estimate.
+const maxCorrection = 8
 
 // forecast predicts how long tasks work. Callers' estimates are rough: on the users' sites those of urgent queues are wrong
 // by a factor of three either way, and the mean of the queue says more. So for each queue a line is fitted through the
@@ -30,8 +30,8 @@
 
 func newForecast() *forecast { return &forecast{queues: map[string]*line{}} }
 
-// note takes note of how long a step of a queue took.
-func (f *forecast) note(queue string, estimate, took time.Duration) {
+// record takes note of how long a step of a queue took.
+func (f *forecast) record(queue string, estimate, took time.Duration) {
 	if estimate <= 0 || took <= 0 {
 		return
 	}
@@ -48,8 +48,8 @@
 	l.sumXY += x * y
 }
 
-// of predicts how long a step with that estimate takes.
-func (f *forecast) of(queue string, estimate time.Duration) time.Duration {
+// expected predicts how long a step with that estimate takes.
+func (f *forecast) expected(queue string, estimate time.Duration) time.Duration {
 	l := f.queues[queue]
 	if l == nil || estimate <= 0 {
 		return estimate
@@ -62,6 +62,6 @@
 	slope := min(max((together+prior)/(spread+prior), 0), 1)
 	offset := (meanY - meanX) * l.steps / (l.steps + priorSteps)
 	y := meanX + offset + slope*(x-meanX)
-	y = min(max(y, x-math.Log(mostWrong)), x+math.Log(mostWrong))
+	y = min(max(y, x-math.Log(maxCorrection)), x+math.Log(maxCorrection))
 	return time.Duration(math.Exp(y) * float64(time.Second))
 }
--- a/jobs/dispatch/golden_test.go
+++ b/jobs/dispatch/golden_test.go
@@ -32,7 +32,7 @@
 		b.now = b.now.UTC()
 		var out bytes.Buffer
 		b.control.logger = zerolog.New(&out)
-		b.control.advice.logger = b.control.logger
+		b.control.permits.logger = b.control.logger
 		scene(b)
 		lines := strings.SplitAfter(out.String(), "\n")
 		slices.Sort(lines)
@@ -137,8 +137,8 @@
 			poll.Runs = []assignment.Run{{RunID: id, Percent: 3}}
 			b.control.ApplyPoll(b.now, poll)
 			time.Sleep(20 * time.Second)
-			over := assignment.IncarnationEnd{ID: w.life.ID, Complete: true, Runs: []assignment.InterruptedRun{{RunID: id, Started: true}}}
-			next := *w.life
+			over := assignment.IncarnationEnd{ID: w.state.ID, Complete: true, Runs: []assignment.InterruptedRun{{RunID: id, Started: true}}}
+			next := *w.state
 			next.ID.StartMillis++
 			b.now = time.Now().UTC()
 			b.control.ApplyPoll(b.now, assignment.Poll{Worker: w.name, State: &next, Complete: true, EndedIncarnations: []assignment.IncarnationEnd{over}})
@@ -169,9 +169,9 @@
 		b.control.ApplyPoll(b.now, refused)
 		b.plan(0)
 		w, id, poll := b.reported(j)
-		next := *w.life
+		next := *w.state
 		next.ID.StartMillis++
-		poll.State, poll.EndedIncarnations = &next, []assignment.IncarnationEnd{{ID: w.life.ID, Complete: true}}
+		poll.State, poll.EndedIncarnations = &next, []assignment.IncarnationEnd{{ID: w.state.ID, Complete: true}}
 		poll.Runs = []assignment.Run{{RunID: id, Percent: 3}}
 		b.control.ApplyPoll(b.now, poll)
 		leaving := next
@@ -201,8 +201,8 @@
 		j := b.job(1, "other", job.Step{Tasks: 1, LongRunning: true})
 		b.plan(0)
 		w, id, poll := b.reported(j)
-		over := assignment.IncarnationEnd{ID: w.life.ID, Complete: true, Runs: []assignment.InterruptedRun{{RunID: id, Started: true}}}
-		next := *w.life
+		over := assignment.IncarnationEnd{ID: w.state.ID, Complete: true, Runs: []assignment.InterruptedRun{{RunID: id, Started: true}}}
+		next := *w.state
 		next.ID.StartMillis++
 		poll.State, poll.EndedIncarnations = &next, []assignment.IncarnationEnd{over}
 		b.control.ApplyPoll(b.now, poll)
@@ -226,7 +226,7 @@
 		j := b.job(1, "other", job.Step{Tasks: 1})
 		j.job.NeedsPermit = true
 		for _, err := range []error{errors.New("not now"), nil} {
-			b.control.advice.adviser = goldenAdviser{err: err}
+			b.control.permits.issuer = goldenAdviser{err: err}
 			b.plan(time.Second)
 			b.control.ApplyPermits(<-b.control.Permits())
 		}
--- a/jobs/dispatch/health.go
+++ b/jobs/dispatch/health.go
@@ -8,8 +8,8 @@
 
 // Bounds of the judgement on a worker.
 const (
-	// suspectAfter is how many different jobs must have failed in a row on a worker before it is quarantined.
-	suspectAfter = 2
+	// quarantineAfter is how many different jobs must have failed in a row on a worker before it is quarantined.
+	quarantineAfter = 2
 	// firstQuarantine and longestQuarantine bound a quarantine; each further failure doubles it.
 	firstQuarantine   = 2 * time.Second
 	longestQuarantine = 8 * time.Second
@@ -26,37 +26,37 @@
 type health struct {
 	// failed holds the jobs that failed since the last run that was done.
 	failed map[job.ID]bool
-	// length is how long the newest quarantine lasts; zero after a run that was done.
-	length time.Duration
-	until  time.Time
+	// quarantine is how long the newest quarantine lasts; zero after a run that was done.
+	quarantine time.Duration
+	until      time.Time
 }
 
-// ended takes note of the end of a run that was there so long; zero is an unknown time.
-func (h *health) ended(now time.Time, id job.ID, how job.EndReason, took time.Duration) {
+// runEnded takes note of the end of a run that was there so long; zero is an unknown time.
+func (h *health) runEnded(now time.Time, id job.ID, how job.EndReason, took time.Duration) {
 	switch {
 	case how == job.EndDone:
-		h.failed, h.length = nil, 0
+		h.failed, h.quarantine = nil, 0
 	case how == job.EndFailed && took > 0 && took < quickFailure:
 		h.fault(now, id)
 	case how == job.EndFailed:
-		h.suspect(now, id)
+		h.countFailure(now, id)
 	}
 }
 
-func (h *health) suspect(now time.Time, id job.ID) {
+func (h *health) countFailure(now time.Time, id job.ID) {
 	if h.failed == nil {
 		h.failed = map[job.ID]bool{}
 	}
 	h.failed[id] = true
-	if len(h.failed) < suspectAfter {
+	if len(h.failed) < quarantineAfter {
 		return
 	}
-	h.length = min(max(2*h.length, firstQuarantine), longestQuarantine)
-	h.until = now.Add(h.length)
+	h.quarantine = min(max(2*h.quarantine, firstQuarantine), longestQuarantine)
+	h.until = now.Add(h.quarantine)
 }
 
-// refused takes note of a start that the worker refused.
-func (h *health) refused(now time.Time) {
+// startRefused takes note of a start that the worker refused.
+func (h *health) startRefused(now time.Time) {
 	if until := now.Add(refusalQuarantine); until.After(h.until) {
 		h.until = until
 	}
@@ -64,13 +64,13 @@
 
 // certain takes note of a failure that is surely the worker's: a run that stands still, or that failed as it began.
 func (h *health) fault(now time.Time, id job.ID) {
-	h.suspect(now, id)
-	h.length = max(h.length, firstQuarantine)
-	h.until = now.Add(h.length)
+	h.countFailure(now, id)
+	h.quarantine = max(h.quarantine, firstQuarantine)
+	h.until = now.Add(h.quarantine)
 }
 
 // quarantined reports whether the worker gets nothing now.
 func (h *health) quarantined(now time.Time) bool { return now.Before(h.until) }
 
 // onProbation reports whether the worker gets one trial at a time.
-func (h *health) onProbation() bool { return h.length > 0 }
+func (h *health) onProbation() bool { return h.quarantine > 0 }
--- a/jobs/dispatch/health_test.go
+++ b/jobs/dispatch/health_test.go
@@ -9,9 +9,9 @@
 )
 
 // failed lets the only run of a job fail, after it was there for a time, and makes a decision.
-func (b *fixture) failed(t *tracked, took time.Duration) {
+func (b *fixture) failed(t *trackedJob, took time.Duration) {
 	w, id, poll := b.reported(t)
-	poll.Ends = []assignment.End{{RunID: id, Number: w.ends + 1, Reason: job.EndFailed, TookMillis: took.Milliseconds()}}
+	poll.Ends = []assignment.End{{RunID: id, Number: w.ackedEnd + 1, Reason: job.EndFailed, TookMillis: took.Milliseconds()}}
 	b.now = time.Now()
 	b.control.ApplyPoll(b.now, poll)
 	b.plan(0)
--- a/jobs/dispatch/losses.go
+++ b/jobs/dispatch/losses.go
@@ -43,8 +43,8 @@
 	return lossMoved
 }
 
-// causeOf is why a run ended as it did, without regard to its gang.
-func (t *tracked) causeOf(e assignment.End) lossCause {
+// lossCause is why a run ended as it did, without regard to its gang.
+func (t *trackedJob) lossCause(e assignment.End) lossCause {
 	switch {
 	case e.Reason == job.EndDone || e.Reason == job.EndRefused:
 		return lossNone
@@ -65,10 +65,10 @@
 	return lossBroken
 }
 
-// account says why a run ended, and how much of its work was thrown away, in core-seconds (an accelerator counts as eight
+// recordWorkLost says why a run ended, and how much of its work was thrown away, in core-seconds (an accelerator counts as eight
 // cores). Work that is saved counts as kept, though the last half second of it may not be.
-func (t *tracked) account(e assignment.End) (lossCause, float64) {
-	cause := t.causeOf(e)
+func (t *trackedJob) recordWorkLost(e assignment.End) (lossCause, float64) {
+	cause := t.lossCause(e)
 	step := t.job.Steps[e.Task.Step]
 	delete(t.causes, e.Task)
 	if cause == lossNone {
@@ -77,10 +77,10 @@
 	if step.Gang {
 		// The first member that ends says why the others break.
 		first := firstOf(e.Task)
-		if b, ok := t.broken[first]; ok && b.run == e.Run {
+		if b, ok := t.gangEnds[first]; ok && b.run == e.Run {
 			cause = b.cause
 		} else {
-			t.broken[first] = brokenGang{run: e.Run, cause: cause}
+			t.gangEnds[first] = gangEnd{run: e.Run, cause: cause}
 		}
 	}
 	if step.Checkpoint || step.LongRunning {
@@ -89,8 +89,8 @@
 	return cause, e.Took().Seconds() * weight(step.Resources)
 }
 
-// brokenGang says why a run of a gang broke.
-type brokenGang struct {
+// gangEnd says why a run of a gang broke.
+type gangEnd struct {
 	run   int
 	cause lossCause
 }
--- a/jobs/dispatch/losses_test.go
+++ b/jobs/dispatch/losses_test.go
@@ -14,9 +14,9 @@
 	const took = 2 * time.Second
 	// A task of the fixture has 8 cores and 8 accelerators, which count as 8 cores each.
 	const each = 2 * (8 + 8*8)
-	end := func(j *tracked, index int, how job.EndReason) (lossCause, float64) {
+	end := func(j *trackedJob, index int, how job.EndReason) (lossCause, float64) {
 		id := assignment.RunID{Task: job.TaskName{Job: j.job.ID, Index: index}, Run: 1}
-		return j.account(assignment.End{RunID: id, Reason: how, TookMillis: took.Milliseconds()})
+		return j.recordWorkLost(assignment.End{RunID: id, Reason: how, TookMillis: took.Milliseconds()})
 	}
 	tests := []struct {
 		name  string
--- a/jobs/dispatch/metrics.go
+++ b/jobs/dispatch/metrics.go
@@ -19,19 +19,19 @@
 	// crashes counts tasks under which workers crashed, givenUp jobs that were given up.
 	crashes telemetry.Counters[string]
 	givenUp telemetry.Counters[string]
-	// carriedOver counts runs that a later start of their worker carried out.
-	carriedOver tally.Counter
-	// late counts ends of runs that had been given up.
-	late tally.Counter
+	// adopted counts runs that a later start of their worker carried out.
+	adopted tally.Counter
+	// lateEnds counts ends of runs that had been given up.
+	lateEnds tally.Counter
 
 	scope   tally.Scope
 	workers tally.Gauge
 	free    tally.Gauge
 	// cordoned is how many availability zones are cordoned, left how many runs go on there.
-	cordoned tally.Gauge
-	left     tally.Gauge
-	waiting  map[string]tally.Gauge
-	held     map[string]tally.Gauge
+	cordoned     tally.Gauge
+	cordonedRuns tally.Gauge
+	waiting      map[string]tally.Gauge
+	allocated    map[string]tally.Gauge
 }
 
 // Labels of what is counted. Stops and losses are counted by the first words of why.
@@ -60,24 +60,24 @@
 	m := &Metrics{
 		ends: telemetry.NewCounters(scope, "runs_ended", "how", job.EndDone, job.EndFailed, job.EndStopped, job.EndLeaseExpired, job.EndGangBroken,
 			job.EndGangIncomplete, job.EndLost, job.EndRefused),
-		stops:       telemetry.NewCounters(scope, "runs_stopped", "why", stopYields, stopStall, stopLeaves, stopCordoned, stopShrunk),
-		losses:      telemetry.NewCounters(scope, "runs_lost", "why", lossLease, lossLife),
-		lostWork:    telemetry.NewCounters(scope, "work_lost_core_s", "cause", lossCauses()...),
-		crashes:     telemetry.NewCounters(scope, "crashes_under_tasks", "certainty", crashSure, crashDoubtful),
-		givenUp:     telemetry.NewCounters(scope, "jobs_given_up", "why", gaveUpFailed, gaveUpCrashes),
-		carriedOver: scope.Counter("runs_carried_over"), late: scope.Counter("ends_of_given_up_runs"),
+		stops:    telemetry.NewCounters(scope, "runs_stopped", "why", stopYields, stopStall, stopLeaves, stopCordoned, stopShrunk),
+		losses:   telemetry.NewCounters(scope, "runs_lost", "why", lossLease, lossLife),
+		lostWork: telemetry.NewCounters(scope, "work_lost_core_s", "cause", lossCauses()...),
+		crashes:  telemetry.NewCounters(scope, "crashes_under_tasks", "certainty", crashSure, crashDoubtful),
+		givenUp:  telemetry.NewCounters(scope, "jobs_given_up", "why", gaveUpFailed, gaveUpCrashes),
+		adopted:  scope.Counter("runs_carried_over"), lateEnds: scope.Counter("ends_of_given_up_runs"),
 		scope: scope, workers: scope.Gauge("workers"), free: scope.Gauge("accelerators_free"),
-		cordoned: scope.Gauge("zones_cordoned"), left: scope.Gauge("runs_in_cordoned_zones"),
-		waiting: map[string]tally.Gauge{}, held: map[string]tally.Gauge{},
+		cordoned: scope.Gauge("zones_cordoned"), cordonedRuns: scope.Gauge("runs_in_cordoned_zones"),
+		waiting: map[string]tally.Gauge{}, allocated: map[string]tally.Gauge{},
 	}
 	// Jobs of open queues have no team.
 	m.byTeam(m.waiting, waitingName, map[string]int{"": 0})
-	m.byTeam(m.held, heldName, map[string]int{"": 0})
+	m.byTeam(m.allocated, heldName, map[string]int{"": 0})
 	return m
 }
 
 // crashLabel is the label under which a crash under a task counts.
-func crashLabel(f job.Fate) string {
+func crashLabel(f job.CrashVerdict) string {
 	if f == job.Crashed {
 		return crashSure
 	}
@@ -122,12 +122,12 @@
 	free, workers, left := 0, 0, 0
 	cordons, _ := c.catalog.Cordons()
 	for _, w := range c.workers {
-		if w.life == nil {
+		if w.state == nil {
 			continue
 		}
 		workers++
-		free += w.life.Capacity.Accelerators
-		if cordons.Has(w.life.Zone) {
+		free += w.state.Capacity.Accelerators
+		if cordons.Has(w.state.Zone) {
 			left += len(w.runs)
 		}
 	}
@@ -144,9 +144,9 @@
 	m.workers.Update(float64(workers))
 	m.free.Update(float64(free))
 	m.cordoned.Update(float64(len(cordons)))
-	m.left.Update(float64(left))
+	m.cordonedRuns.Update(float64(left))
 	m.byTeam(m.waiting, waitingName, waiting)
-	m.byTeam(m.held, heldName, held)
+	m.byTeam(m.allocated, heldName, held)
 }
 
 // byTeam sets a gauge for each team; one that has nothing any more is set to zero.
--- a/jobs/dispatch/plan.go
+++ b/jobs/dispatch/plan.go
@@ -11,14 +11,14 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// reservations is how many waiting gangs have room held back for them at once.
-const reservations = 2
+// maxReservations is how many waiting gangs have room held back for them at once.
+const maxReservations = 2
 
 // rack is the workers of a rack as the plan sees them.
 type rack struct {
 	nodes []*node
-	// place is the rack's place in the order of names; free is how many accelerators are free there.
-	place int
+	// order is the rack's place in the order of names; free is how many accelerators are free there.
+	order int
 	free  int
 }
 
@@ -26,67 +26,67 @@
 type node struct {
 	*worker
 	rack *rack
-	// place is the node's place in the order of names.
-	place int
+	// order is the node's place in the order of names.
+	order int
 	free  job.Resources
-	// later is what is free once all that was told to stop has ended.
-	later job.Resources
-	runs  []*running
-	// heldUntil is until when room is kept for a gang that waits for it, beside what is left then for work that does not end before.
-	heldUntil time.Time
-	beside    job.Resources
-	usable    bool
-	// closed says that operators have cordoned the worker's availability zone.
-	closed bool
-	// suspects says that tasks run there under which workers have crashed; trial is a run that has the worker for its own.
-	suspects bool
-	trial    *running
-	// fits is how many tasks fit of the unit that is looked for.
-	fits int
+	// freeAfterStops is what is free once all that was told to stop has ended.
+	freeAfterStops job.Resources
+	runs           []*running
+	// reservedUntil is until when room is kept for a gang that waits for it, beside what is left then for work that does not end before.
+	reservedUntil      time.Time
+	freeBesideReserved job.Resources
+	usable             bool
+	// cordoned says that operators have cordoned the worker's availability zone.
+	cordoned bool
+	// hasSuspects says that tasks run there under which workers have crashed; trial is a run that has the worker for its own.
+	hasSuspects bool
+	trialRun    *running
+	// taskCount is how many tasks fit of the unit that is looked for.
+	taskCount int
 }
 
-// take takes the room of a need off the node.
-func (n *node) take(need job.Resources) {
+// reserve takes the room of a need off the node.
+func (n *node) reserve(need job.Resources) {
 	n.free = n.free.Plus(need, -1)
 	n.rack.free -= need.Accelerators
 }
 
 // running is a run that takes room.
 type running struct {
-	tracked  *tracked
-	name     job.TaskName
-	run      int
-	node     *node
-	need     job.Resources
-	stopping bool
-	ends     time.Time
+	tracked   *trackedJob
+	name      job.TaskName
+	run       int
+	node      *node
+	resources job.Resources
+	stopping  bool
+	endsAt    time.Time
 	// lostWork is the work that a stop would lose, in core-seconds (an accelerator counts as 8 cores); cost is what a stop
 	// costs in all.
 	lostWork float64
-	cost     float64
+	stopCost float64
 }
 
-// waiting is a unit that may start now.
-type waiting struct {
-	tracked *tracked
+// waitingUnit is a unit that may start now.
+type waitingUnit struct {
+	tracked *trackedJob
 	unit    job.Unit
 	step    job.Step
 	due     time.Time
-	// length is how long a task is expected to work.
-	length time.Duration
+	// duration is how long a task is expected to work.
+	duration time.Duration
 	// guaranteed says that the team's guarantee covers the job; expired that it is so late that its caller has no use for it any more; late that it can't be
 	// completed in time any more.
 	guaranteed bool
 	expired    bool
 	late       bool
-	// preempts says that work was told to stop for it a moment ago: what that frees is not for others.
-	preempts bool
+	// preempting says that work was told to stop for it a moment ago: what that frees is not for others.
+	preempting bool
 	// work is what all tasks of the job do, in core-seconds.
 	work float64
 	// leavesHeadroom says that the unit can wait for room that is not kept for urgent jobs.
 	leavesHeadroom bool
 	// suspicion says whether workers have crashed under its tasks, suspectedAt when the last one did.
-	suspicion   suspicion
+	suspicion   suspicionLevel
 	suspectedAt time.Time
 }
 
@@ -94,19 +94,19 @@
 type plan struct {
 	c *Controller
 	// ctx ends with the term; questions to the adviser live in it.
-	ctx        context.Context
-	now        time.Time
-	nodes      []*node
-	racks      map[string]*rack
-	byName     map[string]*node
-	guaranteed map[job.ID]bool
-	held       int
-	// noRoom holds the searches that found nothing. Room only gets less during a decision, so they would find nothing again.
-	noRoom map[search]bool
+	ctx          context.Context
+	now          time.Time
+	nodes        []*node
+	racks        map[string]*rack
+	byName       map[string]*node
+	guaranteed   map[job.ID]bool
+	reservations int
+	// failedSearches holds the searches that found nothing. Room only gets less during a decision, so they would find nothing again.
+	failedSearches map[search]bool
 	// gangs holds the runs of each gang, by the name of its first task.
 	gangs map[job.TaskName][]*running
-	// stopTime is how long a stop is reckoned to take.
-	stopTime time.Duration
+	// stopDuration is how long a stop is reckoned to take.
+	stopDuration time.Duration
 	// headroom holds the nodes that are left free for urgent jobs by what can wait.
 	headroom map[*node]bool
 	// trials is how many workers are suspects' own.
@@ -116,21 +116,21 @@
 // Plan decides what to start and what to stop, and notes it in the jobs' progress. Questions to the adviser end with ctx.
 func (c *Controller) Plan(ctx context.Context, now time.Time) {
 	c.next = now.Add(c.settings.MaxInterval)
-	p := &plan{c: c, ctx: ctx, now: now, racks: map[string]*rack{}, byName: map[string]*node{}, noRoom: map[search]bool{}, gangs: map[job.TaskName][]*running{}, stopTime: c.stops.usual()}
+	p := &plan{c: c, ctx: ctx, now: now, racks: map[string]*rack{}, byName: map[string]*node{}, failedSearches: map[search]bool{}, gangs: map[job.TaskName][]*running{}, stopDuration: c.stops.expected()}
 	p.addNodes()
 	p.addRuns()
-	p.noteSuspects()
+	p.markSuspects()
 	p.guaranteed = p.guaranteedJobs()
-	p.withdraw()
-	p.withdrawUnfit()
+	p.stopInCordonedZones()
+	p.stopOverCapacity()
 	if c.has(MoveStalled) {
-		p.moveStalled()
+		p.stopStalled()
 	}
 	if c.has(Evacuation) {
-		p.evacuate()
+		p.stopOnLeavingWorkers()
 	}
-	p.keepHeadroom()
-	for _, w := range p.waiting() {
+	p.reserveHeadroom()
+	for _, w := range p.queue() {
 		p.place(w)
 	}
 }
@@ -139,50 +139,50 @@
 func (p *plan) addNodes() {
 	cordons, _ := p.c.catalog.Cordons()
 	for _, w := range p.c.workers {
-		if w.life == nil {
+		if w.state == nil {
 			continue
 		}
-		n := &node{worker: w, free: w.life.Capacity, later: w.life.Capacity}
-		silent := w.silent || p.now.Sub(w.heard) > p.c.settings.SilentAfter
-		n.closed = cordons.Has(w.life.Zone)
-		n.usable = !silent && !w.closing && !w.life.Draining && !n.closed && !w.health.quarantined(p.now)
+		n := &node{worker: w, free: w.state.Capacity, freeAfterStops: w.state.Capacity}
+		silent := w.unresponsive || p.now.Sub(w.heardAt) > p.c.settings.SilentAfter
+		n.cordoned = cordons.Has(w.state.Zone)
+		n.usable = !silent && !w.closing && !w.state.Draining && !n.cordoned && !w.health.quarantined(p.now)
 		p.nodes = append(p.nodes, n)
 		p.byName[w.name] = n
 	}
 	slices.SortFunc(p.nodes, func(a, b *node) int { return cmp.Compare(a.name, b.name) })
 	for i, n := range p.nodes {
-		n.place = i
+		n.order = i
 		p.addToRack(n)
 	}
 	for i, name := range slices.Sorted(maps.Keys(p.racks)) {
-		p.racks[name].place = i
+		p.racks[name].order = i
 	}
 }
 
 // addToRack lists a node with its rack.
 func (p *plan) addToRack(n *node) {
-	r := p.racks[n.life.Rack]
+	r := p.racks[n.state.Rack]
 	if r == nil {
 		r = &rack{}
-		p.racks[n.life.Rack] = r
+		p.racks[n.state.Rack] = r
 	}
 	n.rack = r
 	r.nodes = append(r.nodes, n)
 	r.free += n.free.Accelerators
 }
 
-// estimate guesses when a run ends and what a stop would lose.
-func (p *plan) estimate(r *running, step *job.Step) {
-	length := p.c.length(r.tracked, r.name.Step)
+// estimateRun guesses when a run ends and what a stop would lose.
+func (p *plan) estimateRun(r *running, step *job.Step) {
+	length := p.c.expectedDuration(r.tracked, r.name.Step)
 	worked, left := time.Duration(0), length
 	if o, known := r.node.worker.runs[runID(r)]; known {
-		worked = p.now.Sub(o.since)
+		worked = p.now.Sub(o.startedAt)
 		left = max(length-worked, length/10)
-		if l, ok := o.left(p.now); ok {
+		if l, ok := o.remaining(p.now); ok {
 			left = l
 		}
 	}
-	r.ends = p.now.Add(left)
+	r.endsAt = p.now.Add(left)
 	lost := restartCost
 	if !step.Checkpoint {
 		lost += worked
@@ -194,9 +194,9 @@
 	}
 	// An urgent job that stops is late: only what is guaranteed takes room from such, and the last of all.
 	if r.tracked.job.Priority == 0 {
-		lost += time.Duration(worthInTime * float64(length))
+		lost += time.Duration(worthOnTime * float64(length))
 	}
-	r.cost = lost.Seconds() * weight(step.Resources)
+	r.stopCost = lost.Seconds() * weight(step.Resources)
 }
 
 // Costs of a stop beside the work that it loses: the time until the task works again, and what is added for each
@@ -217,25 +217,25 @@
 	if c == nil || !p.c.has(Guarantees) {
 		return guaranteed
 	}
-	var urgent []*tracked
+	var urgent []*trackedJob
 	for _, t := range p.c.active {
 		if t.job.Priority == 0 && !t.progress.Phase.Final() && t.job.Team != "" {
 			urgent = append(urgent, t)
 		}
 	}
-	slices.SortFunc(urgent, func(a, b *tracked) int {
+	slices.SortFunc(urgent, func(a, b *trackedJob) int {
 		return cmp.Or(a.job.Accepted.Compare(b.job.Accepted), cmp.Compare(a.job.ID, b.job.ID))
 	})
 	used := map[string]int{}
 	for _, t := range urgent {
-		used[t.job.Team] += widest(t.job)
+		used[t.job.Team] += peakAccelerators(t.job)
 		guaranteed[t.job.ID] = used[t.job.Team] <= c.GuaranteedAccelerators(t.job.Team)
 	}
 	return guaranteed
 }
 
-// widest is the most accelerators that a step of the job takes at once.
-func widest(j *job.Job) int {
+// peakAccelerators is the most accelerators that a step of the job takes at once.
+func peakAccelerators(j *job.Job) int {
 	most := 0
 	for _, s := range j.Steps {
 		most = max(most, s.Tasks*s.Resources.Accelerators)
@@ -243,42 +243,42 @@
 	return most
 }
 
-// keptFor is how long the room that stops free is kept for the one they were for: stops take up to 0.9 s on the users'
+// freedKeptFor is how long the room that stops free is kept for the one they were for: stops take up to 0.9 s on the users'
 // sites.
-const keptFor = 1200 * time.Millisecond
+const freedKeptFor = 1200 * time.Millisecond
 
-// waiting lists what may start now, in the order in which it is looked at: by priority; the guaranteed first, and what has expired
+// queue lists what may start now, in the order in which it is looked at: by priority; the guaranteed first, and what has expired
 // last; then what is due first. Among jobs of priority 0 those come first that may still be in time, and of
 // these the small ones: most of them fit in beside a large one, which waits only a little longer for that.
-func (p *plan) waiting() []waiting {
-	var all []waiting
+func (p *plan) queue() []waitingUnit {
+	var all []waitingUnit
 	for id, t := range p.c.active {
 		if t.progress.Phase.Final() {
 			continue
 		}
-		p.noteNextRound(t)
+		p.wakeForNextRound(t)
 		units := t.job.Waiting(t.progress, p.now)
 		if len(units) == 0 {
 			continue
 		}
-		chain := t.job.Chain(func(step int) time.Duration { return p.c.length(t, step) })
+		chain := t.job.Chain(func(step int) time.Duration { return p.c.expectedDuration(t, step) })
 		for _, u := range units {
 			due := t.job.Objective(u.Round, chain)
 			late := p.now.Sub(due) > 2*due.Sub(t.job.Accepted)
-			all = append(all, waiting{
-				tracked: t, unit: u, step: t.job.Steps[u.Step], due: due, length: p.c.length(t, u.Step), guaranteed: p.guaranteed[id],
+			all = append(all, waitingUnit{
+				tracked: t, unit: u, step: t.job.Steps[u.Step], due: due, duration: p.c.expectedDuration(t, u.Step), guaranteed: p.guaranteed[id],
 				expired: late && t.job.RoundCount == 0 && !t.job.LongRunning(),
-				late:    t.job.Priority == 0 && p.now.Add(p.c.length(t, u.Step)).After(due),
-				work:    p.c.work(t), preempts: p.now.Sub(t.preemptedFor[u.Tasks[0]]) < keptFor,
+				late:    t.job.Priority == 0 && p.now.Add(p.c.expectedDuration(t, u.Step)).After(due),
+				work:    p.c.expectedWork(t), preempting: p.now.Sub(t.preemptedAt[u.Tasks[0]]) < freedKeptFor,
 				leavesHeadroom: p.leavesHeadroom(t, u, due, chain), suspicion: p.suspicionOfUnit(t, u), suspectedAt: t.suspectedAt(u, p.now),
 			})
 		}
 	}
-	slices.SortFunc(all, func(a, b waiting) int {
+	slices.SortFunc(all, func(a, b waitingUnit) int {
 		return cmp.Or(
 			cmp.Compare(a.tracked.job.Priority, b.tracked.job.Priority),
 			compareBool(b.guaranteed, a.guaranteed),
-			p.compareIf(KeepFreed, compareBool(b.preempts, a.preempts)),
+			p.compareIf(KeepFreed, compareBool(b.preempting, a.preempting)),
 			p.compareIf(ExpiredLast, compareBool(a.expired, b.expired)),
 			p.compareIf(InTimeFirst, compareBool(a.late, b.late)),
 			p.compareIf(SmallFirst, compareWork(a, b)),
@@ -301,7 +301,7 @@
 }
 
 // compareWork puts the smaller of two jobs of priority 0 first.
-func compareWork(a, b waiting) int {
+func compareWork(a, b waitingUnit) int {
 	if a.tracked.job.Priority != 0 || b.tracked.job.Priority != 0 {
 		return 0
 	}
@@ -318,8 +318,8 @@
 	return 1
 }
 
-// noteNextRound sees to it that a pass comes when the job's next round is due.
-func (p *plan) noteNextRound(t *tracked) {
+// wakeForNextRound sees to it that a pass comes when the job's next round is due.
+func (p *plan) wakeForNextRound(t *trackedJob) {
 	for k := range t.job.Rounds() {
 		due := t.job.DueAt(k)
 		if due.After(p.now) {
@@ -329,92 +329,92 @@
 	}
 }
 
-// seekAdvice asks about workers for a unit that needs tickets. It returns true while nothing more is to be said.
-func (p *plan) seekAdvice(w waiting) bool {
+// requestPermits asks about workers for a unit that needs tickets. It returns true while nothing more is to be said.
+func (p *plan) requestPermits(w waitingUnit) bool {
 	if !w.tracked.job.NeedsPermit {
 		return true
 	}
-	step := stepOf(w.unit.Tasks[0])
+	step := stepKey(w.unit.Tasks[0])
 	var lives []incarnation.ID
 	tickets := 0
 	for _, n := range p.nodes {
 		if !n.usable || !allowed(w, n) {
 			continue
 		}
-		lives = append(lives, n.life.ID)
-		if _, ok := p.c.advice.ticket(step, n.life.ID, p.now); ok {
+		lives = append(lives, n.state.ID)
+		if _, ok := p.c.permits.permit(step, n.state.ID, p.now); ok {
 			tickets++
 		}
 	}
-	open := p.c.advice.unasked(step, lives, p.now)
+	open := p.c.permits.missing(step, lives, p.now)
 	if len(open) > 0 {
-		p.c.advice.ask(p.ctx, step, open)
+		p.c.permits.request(p.ctx, step, open)
 	}
 	return tickets > 0
 }
 
 // place starts a unit, or makes room for it, or holds room back for it.
-func (p *plan) place(w waiting) {
-	if !p.seekAdvice(w) {
-		p.noteWait(w, "no ticket yet")
+func (p *plan) place(w waitingUnit) {
+	if !p.requestPermits(w) {
+		p.logWait(w, "no ticket yet")
 		return
 	}
-	if p.undecided(w) {
-		p.noteWait(w, "whether its last worker crashed is not known yet")
+	if p.awaitsVerdict(w) {
+		p.logWait(w, "whether its last worker crashed is not known yet")
 		return
 	}
 	key := searchOf(w)
-	if !p.noRoom[key] {
+	if !p.failedSearches[key] {
 		if at := p.find(w, false); at != nil {
 			p.start(w, at)
 			return
 		}
-		p.noRoom[key] = true
+		p.failedSearches[key] = true
 	}
 	if w.tracked.job.Priority == 0 && p.c.has(Preemption) {
-		p.noteWait(w, p.preempt(w))
+		p.logWait(w, p.preempt(w))
 		return
 	}
-	if w.step.Gang && p.held < reservations && !w.expired && p.c.has(Reservations) {
-		p.holdBack(w)
-		p.noteWait(w, "room is held back for it")
+	if w.step.Gang && p.reservations < maxReservations && !w.expired && p.c.has(Reservations) {
+		p.reserveFor(w)
+		p.logWait(w, "room is held back for it")
 		return
 	}
-	p.noteWait(w, "no room")
+	p.logWait(w, "no room")
 }
 
-// noteWait logs why a unit waits, when that is not what was logged of it last.
-func (p *plan) noteWait(w waiting, why string) {
-	if w.tracked.waits[w.unit.Tasks[0]] == why {
+// logWait logs why a unit waits, when that is not what was logged of it last.
+func (p *plan) logWait(w waitingUnit, why string) {
+	if w.tracked.waitReasons[w.unit.Tasks[0]] == why {
 		return
 	}
-	w.tracked.waits[w.unit.Tasks[0]] = why
+	w.tracked.waitReasons[w.unit.Tasks[0]] = why
 	p.c.logger.Info().Str("step", "dispatch.wait").Stringer("task", w.unit.Tasks[0]).Int("tasks", len(w.unit.Tasks)).
 		Int("priority", w.tracked.job.Priority).Bool("guaranteed", w.guaranteed).Time("due", w.due).Str("why", why).Msg("job waits")
 }
 
 // start notes a new run of the unit.
-func (p *plan) start(w waiting, at []*node) {
+func (p *plan) start(w waitingUnit, at []*node) {
 	run := w.tracked.progress.NextRun(w.unit.Tasks)
 	for i, name := range w.unit.Tasks {
 		n := at[i]
-		w.tracked.progress.Assign(p.now, name, run, n.name, n.life.ID)
-		n.take(w.step.Reserved())
-		n.later = n.later.Plus(w.step.Reserved(), -1)
-		if !p.endsBeforeHeld(w, n) {
-			n.beside = n.beside.Plus(w.step.Reserved(), -1)
+		w.tracked.progress.Assign(p.now, name, run, n.name, n.state.ID)
+		n.reserve(w.step.Reserved())
+		n.freeAfterStops = n.freeAfterStops.Plus(w.step.Reserved(), -1)
+		if !p.endsBeforeReserved(w, n) {
+			n.freeBesideReserved = n.freeBesideReserved.Plus(w.step.Reserved(), -1)
 		}
-		r := &running{tracked: w.tracked, name: name, run: run, node: n, need: w.step.Reserved(), ends: p.now.Add(w.length)}
+		r := &running{tracked: w.tracked, name: name, run: run, node: n, resources: w.step.Reserved(), endsAt: p.now.Add(w.duration)}
 		p.addRun(r)
-		p.noteSuspect(n, r, w.suspicion)
+		p.markSuspect(n, r, w.suspicion)
 		if n.health.onProbation() {
 			n.usable = false
 		}
 		p.c.logger.Info().Str("step", "dispatch.start").Stringer("task", name).Int("run", run).Str("worker", n.name).
-			Stringer("life", n.life.ID).Int("priority", w.tracked.job.Priority).Bool("guaranteed", w.guaranteed).Dur("estimate_ms", w.step.Estimate).
-			Dur("forecast_ms", w.length).
+			Stringer("life", n.state.ID).Int("priority", w.tracked.job.Priority).Bool("guaranteed", w.guaranteed).Dur("estimate_ms", w.step.Estimate).
+			Dur("forecast_ms", w.duration).
 			Time("due", w.due).Msg("run is placed")
 	}
 	p.c.touch(w.tracked)
-	delete(w.tracked.waits, w.unit.Tasks[0])
+	delete(w.tracked.waitReasons, w.unit.Tasks[0])
 }
--- a/jobs/dispatch/plan_test.go
+++ b/jobs/dispatch/plan_test.go
@@ -66,7 +66,7 @@
 	})
 	t.Run("labels", func(t *testing.T) {
 		b := newFixture(t, 1, 3)
-		b.control.workers["w0-1"].life.Labels = []string{"b", "r0"}
+		b.control.workers["w0-1"].state.Labels = []string{"b", "r0"}
 		j := b.job(1, "other", job.Step{Tasks: 1, RequiredLabel: "b"})
 		none := b.job(1, "other", job.Step{Tasks: 1, RequiredLabel: "c"})
 		b.plan(0)
@@ -106,9 +106,9 @@
 	})
 	t.Run("what can't take work gets none", func(t *testing.T) {
 		b := newFixture(t, 1, 4)
-		b.control.workers["w0-0"].life.Draining = true
+		b.control.workers["w0-0"].state.Draining = true
 		b.control.workers["w0-1"].health.fault(b.now, "x")
-		b.control.workers["w0-2"].silent = true
+		b.control.workers["w0-2"].unresponsive = true
 		j := b.job(0, "sure", job.Step{Tasks: 4})
 		b.plan(0)
 		if got := b.at(j); len(got) != 1 || got[0] != "w0-3" {
@@ -219,7 +219,7 @@
 					_, told := t.stopping[name]
 					if told || rapid.IntRange(0, 3).Draw(rt, "ends") == 0 {
 						how := rapid.SampledFrom([]job.EndReason{job.EndDone, job.EndStopped, job.EndFailed, job.EndLost}).Draw(rt, "how")
-						b.control.endTask(t, task.Incarnation, assignment.End{RunID: assignment.RunID{Task: name, Run: task.Run}, Reason: how})
+						b.control.endRun(t, task.Incarnation, assignment.End{RunID: assignment.RunID{Task: name, Run: task.Run}, Reason: how})
 					}
 				})
 			}
@@ -252,8 +252,8 @@
 		}
 	}
 	for name, need := range used {
-		if !need.FitsIn(b.control.workers[name].life.Capacity) {
-			rt.Fatalf("%s holds %+v, its room is %+v", name, need, b.control.workers[name].life.Capacity)
+		if !need.FitsIn(b.control.workers[name].state.Capacity) {
+			rt.Fatalf("%s holds %+v, its room is %+v", name, need, b.control.workers[name].state.Capacity)
 		}
 	}
 }
@@ -290,7 +290,7 @@
 			fixture.job(0, "sure", job.Step{Tasks: 8, Gang: true, SameRack: true, Resources: job.Resources{CPU: 4000, Memory: 1000, Accelerators: 4}, Estimate: time.Second})
 		}
 		b.StartTimer()
-		fixture.plan(patienceOfOwners + 100*time.Millisecond)
+		fixture.plan(guaranteedPatience + 100*time.Millisecond)
 	}
 }
 
--- a/jobs/dispatch/preempt_test.go
+++ b/jobs/dispatch/preempt_test.go
@@ -12,26 +12,26 @@
 	small := job.Resources{CPU: 4000, Memory: 1000, Accelerators: 2}
 	tests := []struct {
 		name          string
-		first, second func(b *fixture) *tracked
+		first, second func(b *fixture) *trackedJob
 	}{
 		{
 			"small before large",
-			func(b *fixture) *tracked { return b.job(0, "other", job.Step{Tasks: 1}) },
-			func(b *fixture) *tracked { return b.job(0, "other", job.Step{Tasks: 1, Resources: small}) },
+			func(b *fixture) *trackedJob { return b.job(0, "other", job.Step{Tasks: 1}) },
+			func(b *fixture) *trackedJob { return b.job(0, "other", job.Step{Tasks: 1, Resources: small}) },
 		},
 		{
 			"in time before late",
-			func(b *fixture) *tracked {
+			func(b *fixture) *trackedJob {
 				late := b.job(0, "other", job.Step{Tasks: 1, Resources: small})
 				late.job.Accepted = b.now.Add(-12 * time.Second)
 				return late
 			},
-			func(b *fixture) *tracked { return b.job(0, "other", job.Step{Tasks: 1}) },
+			func(b *fixture) *trackedJob { return b.job(0, "other", job.Step{Tasks: 1}) },
 		},
 		{
 			"guaranteed before small",
-			func(b *fixture) *tracked { return b.job(0, "other", job.Step{Tasks: 1, Resources: small}) },
-			func(b *fixture) *tracked { return b.job(0, "sure", job.Step{Tasks: 1}) },
+			func(b *fixture) *trackedJob { return b.job(0, "other", job.Step{Tasks: 1, Resources: small}) },
+			func(b *fixture) *trackedJob { return b.job(0, "sure", job.Step{Tasks: 1}) },
 		},
 	}
 	for _, test := range tests {
@@ -102,7 +102,7 @@
 		b.observe(before, b.now, 10)
 		b.observe(other, b.now, 10)
 		b.job(0, "sure", job.Step{Tasks: 1})
-		b.plan(patienceOfOwners + 50*time.Millisecond)
+		b.plan(guaranteedPatience + 50*time.Millisecond)
 		if len(before.stopping) != 0 || len(other.stopping) != 1 {
 			t.Errorf("told to stop: the one stopped before %d, the other %d", len(before.stopping), len(other.stopping))
 		}
@@ -153,7 +153,7 @@
 		b.plan(0)
 		b.observe(borrower, b.now, 10)
 		b.job(0, "sure", job.Step{Tasks: 1})
-		b.plan(patienceOfOwners + 50*time.Millisecond)
+		b.plan(guaranteedPatience + 50*time.Millisecond)
 		if len(borrower.stopping) != 1 {
 			t.Errorf("%d of the borrower's tasks were told to stop, want 1", len(borrower.stopping))
 		}
@@ -169,7 +169,7 @@
 		b.plan(0)
 		b.observe(urgent, b.now.Add(-500*time.Millisecond), 10)
 		b.job(0, "sure", job.Step{Tasks: 1})
-		b.plan(patienceOfOwners + 50*time.Millisecond)
+		b.plan(guaranteedPatience + 50*time.Millisecond)
 		if len(urgent.stopping) != 0 || len(other.stopping) != 1 {
 			t.Errorf("told to stop: the urgent run %d, the one that can wait %d", len(urgent.stopping), len(other.stopping))
 		}
@@ -239,7 +239,7 @@
 	t.Run("what saves its work stands apart, and yields", func(t *testing.T) {
 		b := newFixture(t, 4, 2)
 		small := job.Resources{CPU: 1000, Memory: 1000, Accelerators: 4}
-		var loses, saves []*tracked
+		var loses, saves []*trackedJob
 		for range 8 {
 			loses = append(loses, b.job(1, "other", job.Step{Tasks: 1, Resources: small, Estimate: 20 * time.Second}))
 			saves = append(saves, b.job(2, "other", job.Step{Tasks: 1, Resources: small, Estimate: 20 * time.Second, Checkpoint: true}))
@@ -252,7 +252,7 @@
 			b.observe(loses[i], began, 5)
 			b.observe(saves[i], began, 5)
 		}
-		b.plan(patienceOfOwners + 50*time.Millisecond)
+		b.plan(guaranteedPatience + 50*time.Millisecond)
 		stopped := 0
 		for i := range loses {
 			stopped += len(saves[i].stopping)
@@ -312,9 +312,9 @@
 	lasts := b.job(1, "other", job.Step{Tasks: 1, Resources: small, Estimate: 20 * time.Second, LongRunning: true})
 	b.plan(0)
 	w := b.control.workers["w0-0"]
-	w.life.Draining, w.leaves = true, b.now.Add(4*time.Second)
+	w.state.Draining, w.leavesAt = true, b.now.Add(4*time.Second)
 	b.plan(100 * time.Millisecond)
-	stopped := func(j *tracked) bool { return len(j.stopping) > 0 }
+	stopped := func(j *trackedJob) bool { return len(j.stopping) > 0 }
 	if stopped(ends) || !stopped(loses) || stopped(saves) || stopped(lasts) {
 		t.Errorf("told to stop at once: %v %v %v %v, want only the second", stopped(ends), stopped(loses), stopped(saves), stopped(lasts))
 	}
--- a/jobs/dispatch/reports.go
+++ b/jobs/dispatch/reports.go
@@ -9,10 +9,10 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-func (c *Controller) workerOf(name string) *worker {
+func (c *Controller) ensureWorker(name string) *worker {
 	w := c.workers[name]
 	if w == nil {
-		w = &worker{name: name, runs: map[assignment.RunID]observed{}}
+		w = &worker{name: name, runs: map[assignment.RunID]observedRun{}}
 		c.workers[name] = w
 	}
 	return w
@@ -20,96 +20,96 @@
 
 // ApplyPoll takes over what the agent of a worker says. Ends come before lives that are over: what has ended done there is done.
 func (c *Controller) ApplyPoll(now time.Time, poll assignment.Poll) {
-	w := c.workerOf(poll.Worker)
-	w.heard, w.silent, w.failing = now, poll.Unresponsive, time.Time{}
-	w.closing = w.life != nil && slices.Contains(poll.ClosingIncarnations, w.life.ID)
+	w := c.ensureWorker(poll.Worker)
+	w.heardAt, w.unresponsive, w.failingSince = now, poll.Unresponsive, time.Time{}
+	w.closing = w.state != nil && slices.Contains(poll.ClosingIncarnations, w.state.ID)
 	if poll.FailingMillis > 0 {
-		w.failing = now.Add(-time.Duration(poll.FailingMillis) * time.Millisecond)
+		w.failingSince = now.Add(-time.Duration(poll.FailingMillis) * time.Millisecond)
 	}
 	if poll.State != nil && poll.Complete {
 		w.closing = false
-		c.reportLife(now, w, poll)
+		c.applyState(now, w, poll)
 	}
 	for _, end := range poll.EndedIncarnations {
-		c.endLife(now, w, end)
-		if w.life != nil && w.life.ID == end.ID {
+		c.endIncarnation(now, w, end)
+		if w.state != nil && w.state.ID == end.ID {
 			// Nothing is placed there until the next life reports.
-			w.life = nil
-			c.wants.changeWorker(w.name)
+			w.state = nil
+			c.desired.markWorker(w.name)
 		}
 	}
 }
 
-// reportLife takes over what a worker that is there says by its agent.
-func (c *Controller) reportLife(now time.Time, w *worker, poll assignment.Poll) {
-	if w.life == nil || w.life.ID != poll.State.ID {
-		c.newLife(now, w, poll)
+// applyState takes over what a worker that is there says by its agent.
+func (c *Controller) applyState(now time.Time, w *worker, poll assignment.Poll) {
+	if w.state == nil || w.state.ID != poll.State.ID {
+		c.startIncarnation(now, w, poll)
 	}
-	c.answersAgain(w, poll)
-	if poll.State.Draining && !w.life.Draining {
-		w.leaves = now.Add(time.Duration(poll.State.DrainMillis) * time.Millisecond)
+	c.resolveAnswering(w, poll)
+	if poll.State.Draining && !w.state.Draining {
+		w.leavesAt = now.Add(time.Duration(poll.State.DrainMillis) * time.Millisecond)
 		c.logger.Info().Str("step", "dispatch.report").Str("worker", w.name).Int64("leaves_in_ms", poll.State.DrainMillis).Msg("worker leaves")
 	}
-	w.life = poll.State
+	w.state = poll.State
 	before := w.runs
-	c.reportRuns(now, w, poll)
+	c.applyRuns(now, w, poll)
 	for _, e := range poll.Ends {
-		if e.Number > w.ends {
-			c.noteLength(e)
-			c.sampleEnd(w, e, before[e.RunID])
-			c.end(w, e)
-			w.ends = e.Number
-			c.wants.changeWorker(w.name)
+		if e.Number > w.ackedEnd {
+			c.recordDuration(e)
+			c.sampleEndedSpeed(w, e, before[e.RunID])
+			c.applyEnd(w, e)
+			w.ackedEnd = e.Number
+			c.desired.markWorker(w.name)
 		}
 	}
 	for _, r := range poll.Refused {
-		if c.refuse(w, r) {
+		if c.applyRefusal(w, r) {
 			c.logger.Info().Str("step", "dispatch.report").Str("worker", w.name).Stringer("task", r.Task).Int("run", r.Run).
 				Str("reason", r.Reason).Msg("start refused")
 			if c.has(Quarantine) {
-				w.health.refused(now)
+				w.health.startRefused(now)
 			}
 		}
 	}
 }
 
-// newLife ends what the worker's earlier lives ran, as far as the agent has not said how they ended.
-func (c *Controller) newLife(now time.Time, w *worker, poll assignment.Poll) {
+// startIncarnation ends what the worker's earlier lives ran, as far as the agent has not said how they ended.
+func (c *Controller) startIncarnation(now time.Time, w *worker, poll assignment.Poll) {
 	present := poll.State
 	for _, end := range poll.EndedIncarnations {
-		c.endLife(now, w, end)
+		c.endIncarnation(now, w, end)
 	}
-	if w.life != nil {
-		c.endLife(now, w, assignment.IncarnationEnd{ID: w.life.ID, Draining: w.life.Draining})
+	if w.state != nil {
+		c.endIncarnation(now, w, assignment.IncarnationEnd{ID: w.state.ID, Draining: w.state.Draining})
 	}
-	c.judgeFormer(w, present.ID)
+	c.resolveFormer(w, present.ID)
 	for _, t := range c.active {
 		t.progress.Placed(t.job.ID, func(name job.TaskName, task *job.Task) {
 			if task.Worker == w.name && task.Incarnation != present.ID {
-				c.loseRun(t, name, task, whyLifeOver, job.Loss{Fate: job.Doubtful})
+				c.loseRun(t, name, task, whyLifeOver, job.RunLoss{Verdict: job.MaybeCrashed})
 			}
 		})
 	}
-	c.takeCarriedOver(now, w, poll)
+	c.adoptRuns(now, w, poll)
 	c.logger.Info().Str("step", "dispatch.report").Str("worker", w.name).Stringer("life", present.ID).Msg("worker reports")
-	w.life, w.ends, w.runs, w.health, w.speed, w.leaves = present, 0, map[assignment.RunID]observed{}, health{}, speed{}, time.Time{}
-	c.wants.changeWorker(w.name)
+	w.state, w.ackedEnd, w.runs, w.health, w.speed, w.leavesAt = present, 0, map[assignment.RunID]observedRun{}, health{}, speed{}, time.Time{}
+	c.desired.markWorker(w.name)
 }
 
-// takeCarriedOver places runs anew that the worker lists though they were sent to a former start of it. An order names no start, so one that was under way
+// adoptRuns places runs anew that the worker lists though they were sent to a former start of it. An order names no start, so one that was under way
 // when the worker crashed may be carried out by the next start under the same id. If such a run were taken for lost, its task would start elsewhere
 // while it runs, and its end there would count for nothing.
-func (c *Controller) takeCarriedOver(now time.Time, w *worker, poll assignment.Poll) {
+func (c *Controller) adoptRuns(now time.Time, w *worker, poll assignment.Poll) {
 	for _, r := range poll.Runs {
-		c.carryOver(now, w, poll.State.ID, r.RunID)
+		c.adoptRun(now, w, poll.State.ID, r.RunID)
 	}
 	for _, e := range poll.Ends {
-		c.carryOver(now, w, poll.State.ID, e.RunID)
+		c.adoptRun(now, w, poll.State.ID, e.RunID)
 	}
 }
 
-// carryOver places a run on the present life of a worker, if it is the newest of its task and was taken for lost.
-func (c *Controller) carryOver(now time.Time, w *worker, present incarnation.ID, id assignment.RunID) {
+// adoptRun places a run on the present life of a worker, if it is the newest of its task and was taken for lost.
+func (c *Controller) adoptRun(now time.Time, w *worker, present incarnation.ID, id assignment.RunID) {
 	t := c.jobs[id.Task.Job]
 	if t == nil || t.progress.Phase.Final() {
 		return
@@ -124,56 +124,56 @@
 		// The others of its gang are gone with their run.
 		t.stopping[id.Task] = id.Run
 	}
-	c.metrics.carriedOver.Inc(1)
+	c.metrics.adopted.Inc(1)
 	c.logger.Warn().Str("step", "dispatch.report").Stringer("task", id.Task).Int("run", id.Run).Str("worker", w.name).Stringer("life", present).
 		Msg("run was carried out by a later start of its worker")
 }
 
-func (c *Controller) reportRuns(now time.Time, w *worker, poll assignment.Poll) {
-	runs := make(map[assignment.RunID]observed, len(poll.Runs))
+func (c *Controller) applyRuns(now time.Time, w *worker, poll assignment.Poll) {
+	runs := make(map[assignment.RunID]observedRun, len(poll.Runs))
 	for _, r := range poll.Runs {
 		o, known := w.runs[r.RunID]
 		if !known {
-			o = firstSeen(now, r)
+			o = newObservedRun(now, r)
 		}
 		if r.Percent > o.percent {
-			o.percent, o.advanced = r.Percent, now
+			o.percent, o.advancedAt = r.Percent, now
 		}
-		c.sampleRun(w, r, &o)
+		c.sampleRunningSpeed(w, r, &o)
 		runs[r.RunID] = o
 	}
 	w.runs = runs
 }
 
-// end takes note of the end of a run on the worker's present life. It returns false if that run is not there.
-func (c *Controller) end(w *worker, e assignment.End) bool {
+// applyEnd takes note of the end of a run on the worker's present life. It returns false if that run is not there.
+func (c *Controller) applyEnd(w *worker, e assignment.End) bool {
 	t := c.jobs[e.Task.Job]
 	if t == nil {
 		return false
 	}
-	if !c.endTask(t, w.life.ID, e) {
-		c.endLate(t, w, e)
+	if !c.endRun(t, w.state.ID, e) {
+		c.applyLateEnd(t, w, e)
 		return false
 	}
 	now := time.Now()
 	if c.has(Quarantine) {
-		w.health.ended(now, e.Task.Job, e.Reason, e.Took())
+		w.health.runEnded(now, e.Task.Job, e.Reason, e.Took())
 	}
 	if e.Reason == job.EndFailed {
-		t.failedOn[w.name] = now
+		t.failedAt[w.name] = now
 	}
 	return true
 }
 
-// endLate takes note of the end of a run that is not placed there any more. Once read, an end must count: a task that was done on a worker that had been given up
+// applyLateEnd takes note of the end of a run that is not placed there any more. Once read, an end must count: a task that was done on a worker that had been given up
 // was done once more elsewhere (2 of 60 drawn days of starts under one id).
-func (c *Controller) endLate(t *tracked, w *worker, e assignment.End) {
+func (c *Controller) applyLateEnd(t *trackedJob, w *worker, e assignment.End) {
 	before := t.progress.Phase
-	if !t.progress.EndLate(t.job, e.Task, e.Run, e.Reason) {
+	if !t.progress.RecordLateEnd(t.job, e.Task, e.Run, e.Reason) {
 		return
 	}
 	c.touch(t)
-	c.metrics.late.Inc(1)
+	c.metrics.lateEnds.Inc(1)
 	c.logger.Warn().Str("step", "dispatch.end").Stringer("task", e.Task).Int("run", e.Run).Str("how", string(e.Reason)).Str("worker", w.name).
 		Msg("run that had been given up has ended")
 	t.progress.Placed(t.job.ID, func(name job.TaskName, placed *job.Task) {
@@ -181,61 +181,61 @@
 			t.stopping[name] = placed.Run
 		}
 	})
-	c.notePhase(t, before)
+	c.reportPhase(t, before)
 }
 
-// endTask takes note of the end of a run on a life of a worker. It returns false if that run is not there.
-func (c *Controller) endTask(t *tracked, at incarnation.ID, e assignment.End) bool {
+// endRun takes note of the end of a run on a life of a worker. It returns false if that run is not there.
+func (c *Controller) endRun(t *trackedJob, at incarnation.ID, e assignment.End) bool {
 	before := t.progress.Phase
 	w := c.workers[placedOn(t, e.Task)]
-	if !t.progress.End(t.job, e.Task, e.Run, at, e.Reason, e.Checkpoint) {
+	if !t.progress.RecordEnd(t.job, e.Task, e.Run, at, e.Reason, e.Checkpoint) {
 		return false
 	}
 	if w != nil {
 		delete(w.runs, e.RunID)
 	}
-	c.noteEnd(t, e)
-	c.notePhase(t, before)
+	c.reportEnd(t, e)
+	c.reportPhase(t, before)
 	return true
 }
 
 // placedOn names the worker on which a task is placed; it is empty if it is not.
-func placedOn(t *tracked, name job.TaskName) string {
+func placedOn(t *trackedJob, name job.TaskName) string {
 	if task := t.progress.Task(name); task != nil {
 		return task.Worker
 	}
 	return ""
 }
 
-// noteEnd counts and logs the end of a run that has been taken note of.
-func (c *Controller) noteEnd(t *tracked, e assignment.End) {
+// reportEnd counts and logs the end of a run that has been taken note of.
+func (c *Controller) reportEnd(t *trackedJob, e assignment.End) {
 	c.touch(t)
 	c.metrics.ends.Inc(e.Reason)
-	cause, lost := t.account(e)
+	cause, lost := t.recordWorkLost(e)
 	if lost > 0 {
 		c.metrics.lostWork.Add(cause, int(lost))
 	}
 	c.logger.Info().Str("step", "dispatch.end").Stringer("task", e.Task).Int("run", e.Run).Str("how", string(e.Reason)).
 		Int64("took_ms", e.TookMillis).Str("cause", string(cause)).Float64("lost_core_s", lost).Msg("run ended")
 	if told, ok := t.stoppedAt[e.Task]; ok && e.Reason == job.EndStopped {
-		c.stops.note(time.Since(told))
+		c.stops.record(time.Since(told))
 	}
 	delete(t.stoppedAt, e.Task)
 	delete(t.stopping, e.Task)
 }
 
-// notePhase logs that a job has ended, if its phase has become final.
-func (c *Controller) notePhase(t *tracked, before job.Phase) {
+// reportPhase logs that a job has ended, if its phase has become final.
+func (c *Controller) reportPhase(t *trackedJob, before job.Phase) {
 	if t.progress.Phase != before && t.progress.Phase.Final() {
 		c.logger.Info().Str("step", "dispatch.end").Str("job", string(t.job.ID)).Stringer("phase", t.progress.Phase).
-			Time("due", c.dueAt(t)).Msg("job ended")
-		c.noteGivenUp(t)
+			Time("due", c.objective(t)).Msg("job ended")
+		c.reportGivenUp(t)
 	}
 }
 
-// dueAt is when the last round of a job is to be completed.
-func (c *Controller) dueAt(t *tracked) time.Time {
-	return t.job.Objective(t.job.Rounds()-1, t.job.Chain(func(step int) time.Duration { return c.length(t, step) }))
+// objective is when the last round of a job is to be completed.
+func (c *Controller) objective(t *trackedJob) time.Time {
+	return t.job.Objective(t.job.Rounds()-1, t.job.Chain(func(step int) time.Duration { return c.expectedDuration(t, step) }))
 }
 
 // WorkersInUse are the workers on which something is placed.
@@ -255,7 +255,7 @@
 	for _, t := range c.active {
 		t.progress.Placed(t.job.ID, func(task job.TaskName, placed *job.Task) {
 			if workers[placed.Worker] {
-				c.loseRun(t, task, placed, whyLeaseOver, c.openLoss(task, placed))
+				c.loseRun(t, task, placed, whyLeaseOver, c.unresolvedLoss(task, placed))
 			}
 		})
 	}
--- a/jobs/dispatch/room.go
+++ b/jobs/dispatch/room.go
@@ -25,21 +25,21 @@
 }
 
 // searchOf returns what the search for a unit's room depends on.
-func searchOf(w waiting) search {
+func searchOf(w waitingUnit) search {
 	s := search{
 		service: w.tracked.job.Service, label: w.step.RequiredLabel, dataRack: w.step.DataRack, need: w.step.Reserved(),
 		tasks: len(w.unit.Tasks), gang: w.step.Gang, sameRack: w.step.SameRack,
-		length: w.length, leavesHeadroom: w.leavesHeadroom,
+		length: w.duration, leavesHeadroom: w.leavesHeadroom,
 		urgent: w.tracked.job.Priority == 0, saves: w.step.Checkpoint,
 	}
-	if w.step.MaxPerWorker > 0 || w.tracked.job.NeedsPermit || w.step.DataRack != "" || len(w.tracked.failedOn) > 0 || w.tracked.progress.Suspects() > 0 || w.step.BestEffort || w.step.LatencyTarget > 0 {
+	if w.step.MaxPerWorker > 0 || w.tracked.job.NeedsPermit || w.step.DataRack != "" || len(w.tracked.failedAt) > 0 || w.tracked.progress.Suspects() > 0 || w.step.BestEffort || w.step.LatencyTarget > 0 {
 		s.job = w.tracked.job.ID
 	}
 	return s
 }
 
 // domains are the sets of nodes within which a unit may be placed, the better ones first.
-func (p *plan) domains(w waiting) [][]*node {
+func (p *plan) domains(w waitingUnit) [][]*node {
 	if w.step.DataRack != "" {
 		var near []*node
 		if r := p.racks[w.step.DataRack]; r != nil {
@@ -64,7 +64,7 @@
 		return [][]*node{p.nodes}
 	}
 	slices.SortFunc(racks, func(a, b *rack) int {
-		return cmp.Or(p.compareEnds(w, a, b), cmp.Compare(a.free, b.free), cmp.Compare(a.place, b.place))
+		return cmp.Or(p.compareEnds(w, a, b), cmp.Compare(a.free, b.free), cmp.Compare(a.order, b.order))
 	})
 	domains := make([][]*node, len(racks))
 	for i, r := range racks {
@@ -75,40 +75,40 @@
 
 // inOpenZones returns those of the nodes whose zone is not cordoned: nothing waits for the others.
 func inOpenZones(nodes []*node) []*node {
-	if !slices.ContainsFunc(nodes, func(n *node) bool { return n.closed }) {
+	if !slices.ContainsFunc(nodes, func(n *node) bool { return n.cordoned }) {
 		return nodes
 	}
-	return slices.DeleteFunc(slices.Clone(nodes), func(n *node) bool { return n.closed })
+	return slices.DeleteFunc(slices.Clone(nodes), func(n *node) bool { return n.cordoned })
 }
 
 // compareEnds orders two racks for a unit that may have to yield: what can't save its work fills the racks from the first on, what can
 // from the last on. Urgent jobs that need a rack then find some in which stopping all loses next to nothing: with this order below that of speeds,
 // so that both kinds shared racks, half as much work again was lost on 240 workers (0.167 of a day instead of 0.115, two days). Urgent units
 // themselves have no end: they take what is left in the fullest racks.
-func (p *plan) compareEnds(w waiting, a, b *rack) int {
+func (p *plan) compareEnds(w waitingUnit, a, b *rack) int {
 	if w.tracked.job.Priority == 0 || !p.c.has(SavesApart) {
 		return 0
 	}
 	if w.step.Checkpoint {
-		return cmp.Compare(b.place, a.place)
+		return cmp.Compare(b.order, a.order)
 	}
-	return cmp.Compare(a.place, b.place)
+	return cmp.Compare(a.order, b.order)
 }
 
 // canEverFit reports whether the unit would fit into the nodes if they were empty.
-func (p *plan) canEverFit(w waiting, nodes []*node) bool {
+func (p *plan) canEverFit(w waitingUnit, nodes []*node) bool {
 	left := len(w.unit.Tasks)
 	for _, n := range nodes {
-		if !n.life.Draining && !n.closed && allowed(w, n) {
-			left -= count(w.step.Reserved(), n.life.Capacity, bound(w, n))
+		if !n.state.Draining && !n.cordoned && allowed(w, n) {
+			left -= tasksFitting(w.step.Reserved(), n.state.Capacity, tasksAllowed(w, n))
 		}
 	}
 	return left <= 0
 }
 
 // allowed reports whether the tasks of the unit may run on the node at all.
-func allowed(w waiting, n *node) bool {
-	return n.life.Service == w.tracked.job.Service && (w.step.RequiredLabel == "" || slices.Contains(n.life.Labels, w.step.RequiredLabel))
+func allowed(w waitingUnit, n *node) bool {
+	return n.state.Service == w.tracked.job.Service && (w.step.RequiredLabel == "" || slices.Contains(n.state.Labels, w.step.RequiredLabel))
 }
 
 // sharePatience is how long a task waits for a worker on which it neither fills beside tasks with a target nor serves beside
@@ -116,7 +116,7 @@
 const sharePatience = 1500 * time.Millisecond
 
 // mayShare reports whether the unit may be placed on the node as far as disturbing others goes.
-func (p *plan) mayShare(w waiting, n *node) bool {
+func (p *plan) mayShare(w waitingUnit, n *node) bool {
 	since := w.tracked.job.Accepted
 	if due := w.tracked.job.DueAt(w.unit.Round); due.After(since) {
 		since = due
@@ -136,8 +136,8 @@
 	})
 }
 
-// bound is how many more tasks of the unit's step the node may get.
-func bound(w waiting, n *node) int {
+// tasksAllowed is how many more tasks of the unit's step the node may get.
+func tasksAllowed(w waitingUnit, n *node) int {
 	if w.step.MaxPerWorker == 0 {
 		return len(w.unit.Tasks)
 	}
@@ -150,8 +150,8 @@
 	return max(w.step.MaxPerWorker-there, 0)
 }
 
-// count is how many tasks fit into the room, most at the most.
-func count(need, room job.Resources, most int) int {
+// tasksFitting is how many tasks fit into the room, most at the most.
+func tasksFitting(need, room job.Resources, most int) int {
 	n := 0
 	for n < most && need.FitsIn(room) {
 		room = room.Plus(need, -1)
@@ -161,7 +161,7 @@
 }
 
 // find returns a node for each task of the unit, or nil. With later it counts what was told to stop as gone.
-func (p *plan) find(w waiting, later bool) []*node {
+func (p *plan) find(w waitingUnit, later bool) []*node {
 	var best []*node
 	for _, domain := range p.domains(w) {
 		at := p.findIn(w, domain, later)
@@ -179,7 +179,7 @@
 }
 
 // seeksSpeed reports whether the unit looks for fast workers: an urgent one does, unless its data ties it to a rack.
-func (p *plan) seeksSpeed(w waiting) bool {
+func (p *plan) seeksSpeed(w waitingUnit) bool {
 	return w.tracked.job.Priority == 0 && w.step.DataRack == "" && p.c.has(Speeds)
 }
 
@@ -193,7 +193,7 @@
 }
 
 // compareSpeeds puts fast workers first for urgent units, and slow ones for others.
-func (p *plan) compareSpeeds(w waiting, a, b *node) int {
+func (p *plan) compareSpeeds(w waitingUnit, a, b *node) int {
 	if !p.c.has(Speeds) {
 		return 0
 	}
@@ -204,10 +204,10 @@
 }
 
 // findIn fills the nodes that are the fullest first, so that what is left free stays together.
-func (p *plan) findIn(w waiting, domain []*node, later bool) []*node {
+func (p *plan) findIn(w waitingUnit, domain []*node, later bool) []*node {
 	room := func(n *node) job.Resources {
 		if later {
-			return n.later
+			return n.freeAfterStops
 		}
 		return n.free
 	}
@@ -220,7 +220,7 @@
 		}
 		if k := p.countOn(w, n, room(n), tasks); k > 0 {
 			candidates = append(candidates, n)
-			n.fits = k
+			n.taskCount = k
 			fits += k
 		}
 	}
@@ -242,26 +242,26 @@
 }
 
 // mayPlace reports whether the unit may be placed on the node, as far as anything but room goes.
-func (p *plan) mayPlace(w waiting, n *node) bool {
-	return allowed(w, n) && !(w.leavesHeadroom && p.headroom[n]) && p.mayUse(w, n) && p.hasTicket(w, n) &&
-		!p.failedThere(w, n) && p.mayShare(w, n) && !p.keepsApart(w, n)
+func (p *plan) mayPlace(w waitingUnit, n *node) bool {
+	return allowed(w, n) && !(w.leavesHeadroom && p.headroom[n]) && p.fitsReservation(w, n) && p.hasPermit(w, n) &&
+		!p.failedRecently(w, n) && p.mayShare(w, n) && !p.mustKeepApart(w, n)
 }
 
 // countOn is how many tasks of the unit fit into a node's room, most at the most.
-func (p *plan) countOn(w waiting, n *node, room job.Resources, most int) int {
-	room = p.besideHeld(w, n, room)
-	most = min(most, bound(w, n))
+func (p *plan) countOn(w waitingUnit, n *node, room job.Resources, most int) int {
+	room = p.usableRoom(w, n, room)
+	most = min(most, tasksAllowed(w, n))
 	if n.health.onProbation() {
 		most = min(most, 1)
 	}
-	return count(w.step.Reserved(), room, most)
+	return tasksFitting(w.step.Reserved(), room, most)
 }
 
 // preference orders nodes for a unit, the better ones first. A gang takes the workers
 // that hold the most of its members: each worker that leaves or fails breaks the gang, so it should be on few, and it frees whole workers
 // when it ends.
-func (p *plan) preference(w waiting, candidates []*node, room func(*node) job.Resources) func(a, b *node) int {
-	avoid := p.avoided(w)
+func (p *plan) preference(w waitingUnit, candidates []*node, room func(*node) job.Resources) func(a, b *node) int {
+	avoid := p.workersToAvoid(w)
 	serving := servingOn(w, candidates)
 	fullestFirst := p.c.has(FullestFirst)
 	together := w.step.Gang && p.c.has(FewWorkers)
@@ -276,8 +276,8 @@
 		); order != 0 {
 			return order
 		}
-		if together && a.fits != b.fits {
-			return cmp.Compare(b.fits, a.fits)
+		if together && a.taskCount != b.taskCount {
+			return cmp.Compare(b.taskCount, a.taskCount)
 		}
 		if fullestFirst {
 			x, y := room(a), room(b)
@@ -285,13 +285,13 @@
 				return order
 			}
 		}
-		return cmp.Compare(a.place, b.place)
+		return cmp.Compare(a.order, b.order)
 	}
 }
 
 // servingOn counts the tasks with a target on each of the nodes, for a unit that has one too: their load disturbs the others,
 // so they are spread. For other units it is nil.
-func servingOn(w waiting, nodes []*node) map[*node]int {
+func servingOn(w waitingUnit, nodes []*node) map[*node]int {
 	if w.step.LatencyTarget == 0 {
 		return nil
 	}
@@ -306,41 +306,41 @@
 	return counts
 }
 
-// mayUse reports whether the unit may use a node on which room is kept for a gang: if it ends in time, or fits beside the gang.
-func (p *plan) mayUse(w waiting, n *node) bool {
-	return p.endsBeforeHeld(w, n) || w.step.Reserved().FitsIn(n.beside)
+// fitsReservation reports whether the unit may use a node on which room is kept for a gang: if it ends in time, or fits beside the gang.
+func (p *plan) fitsReservation(w waitingUnit, n *node) bool {
+	return p.endsBeforeReserved(w, n) || w.step.Reserved().FitsIn(n.freeBesideReserved)
 }
 
-// endsBeforeHeld reports whether the unit ends before a gang needs the room that is kept for it on the node.
-func (p *plan) endsBeforeHeld(w waiting, n *node) bool {
-	return n.heldUntil.IsZero() || !p.now.Add(w.length).After(n.heldUntil)
+// endsBeforeReserved reports whether the unit ends before a gang needs the room that is kept for it on the node.
+func (p *plan) endsBeforeReserved(w waitingUnit, n *node) bool {
+	return n.reservedUntil.IsZero() || !p.now.Add(w.duration).After(n.reservedUntil)
 }
 
-// besideHeld is the part of a node's room that the unit may use.
-func (p *plan) besideHeld(w waiting, n *node, room job.Resources) job.Resources {
-	if p.endsBeforeHeld(w, n) {
+// usableRoom is the part of a node's room that the unit may use.
+func (p *plan) usableRoom(w waitingUnit, n *node, room job.Resources) job.Resources {
+	if p.endsBeforeReserved(w, n) {
 		return room
 	}
-	return room.Min(n.beside)
+	return room.Min(n.freeBesideReserved)
 }
 
-// failedThere reports whether a task of the job failed on the node a short while ago.
-func (p *plan) failedThere(w waiting, n *node) bool {
-	at, ok := w.tracked.failedOn[n.name]
+// failedRecently reports whether a task of the job failed on the node a short while ago.
+func (p *plan) failedRecently(w waitingUnit, n *node) bool {
+	at, ok := w.tracked.failedAt[n.name]
 	return p.c.has(AvoidFailed) && ok && p.now.Sub(at) < avoidFor
 }
 
-// hasTicket reports whether the unit has a ticket for the node, or needs none.
-func (p *plan) hasTicket(w waiting, n *node) bool {
+// hasPermit reports whether the unit has a ticket for the node, or needs none.
+func (p *plan) hasPermit(w waitingUnit, n *node) bool {
 	if !w.tracked.job.NeedsPermit {
 		return true
 	}
-	_, ok := p.c.advice.ticket(stepOf(w.unit.Tasks[0]), n.life.ID, p.now)
+	_, ok := p.c.permits.permit(stepKey(w.unit.Tasks[0]), n.state.ID, p.now)
 	return ok
 }
 
-// avoided are the workers on which tasks of the unit have failed.
-func (p *plan) avoided(w waiting) map[string]bool {
+// workersToAvoid are the workers on which tasks of the unit have failed.
+func (p *plan) workersToAvoid(w waitingUnit) map[string]bool {
 	avoid := map[string]bool{}
 	if !p.c.has(AvoidFailed) {
 		return avoid
--- a/jobs/dispatch/running.go
+++ b/jobs/dispatch/running.go
@@ -18,23 +18,23 @@
 	for id, t := range p.c.active {
 		t.progress.Placed(id, func(name job.TaskName, task *job.Task) {
 			n := p.byName[task.Worker]
-			if n == nil || n.life.ID != task.Incarnation {
+			if n == nil || n.state.ID != task.Incarnation {
 				return
 			}
 			step := &t.job.Steps[name.Step]
-			runs = append(runs, running{tracked: t, name: name, run: task.Run, node: n, need: step.Reserved()})
+			runs = append(runs, running{tracked: t, name: name, run: task.Run, node: n, resources: step.Reserved()})
 			r := &runs[len(runs)-1]
 			r.stopping = task.Done || t.stopping[name] == task.Run || t.progress.Phase.Final()
-			p.estimate(r, step)
+			p.estimateRun(r, step)
 			p.addRun(r)
-			n.take(r.need)
+			n.reserve(r.resources)
 			if !r.stopping {
-				n.later = n.later.Plus(r.need, -1)
+				n.freeAfterStops = n.freeAfterStops.Plus(r.resources, -1)
 			}
 		})
 	}
 	p.alignGangs()
-	p.addStrays()
+	p.addUnplacedRuns()
 	for _, n := range p.nodes {
 		if n.health.onProbation() && len(n.runs) > 0 {
 			n.usable = false
@@ -42,22 +42,22 @@
 	}
 }
 
-// addStrays takes the room of runs off that workers list and that are not placed there: orders that came late to a new start under the same id. They are told to
+// addUnplacedRuns takes the room of runs off that workers list and that are not placed there: orders that came late to a new start under the same id. They are told to
 // stop, and take room until they have; a worker that does not guard its room would hold more than it has.
-func (p *plan) addStrays() {
+func (p *plan) addUnplacedRuns() {
 	for _, n := range p.nodes {
 		for id := range n.worker.runs {
 			if t := p.c.jobs[id.Task.Job]; t != nil && id.Task.Step < len(t.job.Steps) && !isPlacedOn(t, n, id) {
-				n.take(t.job.Steps[id.Task.Step].Reserved())
+				n.reserve(t.job.Steps[id.Task.Step].Reserved())
 			}
 		}
 	}
 }
 
 // isPlacedOn reports whether a run is placed on the present life of a node's worker.
-func isPlacedOn(t *tracked, n *node, id assignment.RunID) bool {
+func isPlacedOn(t *trackedJob, n *node, id assignment.RunID) bool {
 	task := t.progress.Task(id.Task)
-	return task != nil && task.Placed() && task.Run == id.Run && task.Incarnation == n.life.ID
+	return task != nil && task.Placed() && task.Run == id.Run && task.Incarnation == n.state.ID
 }
 
 // addRun lists a run with its node, and with its gang if it is part of one.
@@ -74,12 +74,12 @@
 	for _, members := range p.gangs {
 		var last time.Time
 		for _, r := range members {
-			if r.ends.After(last) {
-				last = r.ends
+			if r.endsAt.After(last) {
+				last = r.endsAt
 			}
 		}
 		for _, r := range members {
-			r.ends = last
+			r.endsAt = last
 		}
 	}
 }
--- a/jobs/dispatch/speed.go
+++ b/jobs/dispatch/speed.go
@@ -12,14 +12,14 @@
 // has half of its length and a quarter of a second to spare, and a gang is as slow as its slowest member. So the speed of each worker is
 // learnt from how its runs come on, compared with others of the same step.
 const (
-	// sampleFrom is the percentage from which on a run says how fast its worker is: below it rounding weighs too much.
-	sampleFrom = 40
+	// sampleMinPercent is the percentage from which on a run says how fast its worker is: below it rounding weighs too much.
+	sampleMinPercent = 40
 	// speedPrior is the number of samples of an average worker that a new one begins with.
 	speedPrior = 1.0
 	// speedMemory bounds the weight of what was seen before, in samples, so that a worker which has become slow is known for it.
 	speedMemory = 8.0
-	// notable is from which deviation on (the logarithm of time for the same work) a worker counts as fast or slow.
-	notable = 0.1
+	// notableDeviation is from which deviation on (the logarithm of time for the same work) a worker counts as fast or slow.
+	notableDeviation = 0.1
 )
 
 // speed is how much longer than others a worker takes for the same work, as a logarithm. The zero value knows nothing.
@@ -27,8 +27,8 @@
 	sum, samples float64
 }
 
-// note takes a sample.
-func (s *speed) note(deviation float64) {
+// record takes a sample.
+func (s *speed) record(deviation float64) {
 	if s.samples >= speedMemory {
 		s.sum *= (speedMemory - 1) / s.samples
 		s.samples = speedMemory - 1
@@ -43,9 +43,9 @@
 // class is -1 for a fast worker, 1 for a slow one, and 0 for all others.
 func (s speed) class() int {
 	switch x := s.slowness(); {
-	case x < -notable:
+	case x < -notableDeviation:
 		return -1
-	case x > notable:
+	case x > notableDeviation:
 		return 1
 	}
 	return 0
@@ -56,8 +56,8 @@
 	sum, samples float64
 }
 
-// noteSpeed compares how a run has come on with others of its step. Each run is a sample once.
-func (c *Controller) noteSpeed(w *worker, id assignment.RunID, percent int, millis int64) {
+// recordSpeed compares how a run has come on with others of its step. Each run is a sample once.
+func (c *Controller) recordSpeed(w *worker, id assignment.RunID, percent int, millis int64) {
 	t := c.jobs[id.Task.Job]
 	if t == nil || millis <= 0 || percent <= 0 || id.Task.Step >= len(t.job.Steps) || t.job.Steps[id.Task.Step].LongRunning {
 		return
@@ -70,33 +70,33 @@
 	}
 	took := math.Log(float64(millis) / float64(percent))
 	if pace.samples > 0 {
-		w.speed.note(took - pace.sum/pace.samples)
+		w.speed.record(took - pace.sum/pace.samples)
 	}
 	pace.sum += took - w.speed.slowness()
 	pace.samples++
 }
 
-// sampleRun takes a run as a sample of its worker's speed, if it has come far enough and has not been one. Runs that go on from a
+// sampleRunningSpeed takes a run as a sample of its worker's speed, if it has come far enough and has not been one. Runs that go on from a
 // checkpoint are none.
-func (c *Controller) sampleRun(w *worker, r assignment.Run, o *observed) {
-	if o.sampled || r.Percent < sampleFrom || r.Percent >= workDone || r.ListedMillis <= 0 || !c.fromTheStart(r.RunID) {
+func (c *Controller) sampleRunningSpeed(w *worker, r assignment.Run, o *observedRun) {
+	if o.sampled || r.Percent < sampleMinPercent || r.Percent >= stalledBelowPercent || r.ListedMillis <= 0 || !c.startedFresh(r.RunID) {
 		return
 	}
 	o.sampled = true
-	c.noteSpeed(w, r.RunID, r.Percent, r.ListedMillis)
+	c.recordSpeed(w, r.RunID, r.Percent, r.ListedMillis)
 }
 
-// sampleEnd takes a run that has ended done as a sample, if it was none on its way. The end of a gang is that of its slowest member.
-func (c *Controller) sampleEnd(w *worker, e assignment.End, o observed) {
+// sampleEndedSpeed takes a run that has ended done as a sample, if it was none on its way. The end of a gang is that of its slowest member.
+func (c *Controller) sampleEndedSpeed(w *worker, e assignment.End, o observedRun) {
 	t := c.jobs[e.Task.Job]
 	if t == nil || o.sampled || e.Reason != job.EndDone || e.Task.Step >= len(t.job.Steps) {
 		return
 	}
-	if t.job.Steps[e.Task.Step].Gang || !c.fromTheStart(e.RunID) {
+	if t.job.Steps[e.Task.Step].Gang || !c.startedFresh(e.RunID) {
 		return
 	}
-	c.noteSpeed(w, e.RunID, 100, e.TookMillis)
+	c.recordSpeed(w, e.RunID, 100, e.TookMillis)
 }
 
-// fromTheStart reports whether a run began without a checkpoint: only the first run of a task is sure to.
-func (c *Controller) fromTheStart(id assignment.RunID) bool { return id.Run == 1 }
+// startedFresh reports whether a run began without a checkpoint: only the first run of a task is sure to.
+func (c *Controller) startedFresh(id assignment.RunID) bool { return id.Run == 1 }
--- a/jobs/dispatch/speed_test.go
+++ b/jobs/dispatch/speed_test.go
@@ -34,7 +34,7 @@
 				for i, at := range random.Perm(workers)[:width] {
 					millis := 1000 * length * speedClasses[at%3] * math.Exp(0.14*random.NormFloat64())
 					id := assignment.RunID{Task: job.TaskName{Job: j.job.ID, Index: i}, Run: 1}
-					b.control.noteSpeed(all[at], id, 50, int64(millis/2))
+					b.control.recordSpeed(all[at], id, 50, int64(millis/2))
 				}
 			}
 			wrong, opposite := 0, 0
@@ -60,7 +60,7 @@
 	j := b.job(1, "other", job.Step{Tasks: 1})
 	w := b.control.workers["w0-0"]
 	id := assignment.RunID{Task: job.TaskName{Job: j.job.ID, Step: 1}, Run: 1}
-	b.control.sampleEnd(w, assignment.End{RunID: id, Reason: job.EndDone, TookMillis: 1000}, observed{})
+	b.control.sampleEndedSpeed(w, assignment.End{RunID: id, Reason: job.EndDone, TookMillis: 1000}, observedRun{})
 	if w.speed != (speed{}) {
 		t.Errorf("it counts as a sample: %+v", w.speed)
 	}
@@ -94,13 +94,13 @@
 	t.Run("a worker that has become slow", func(t *testing.T) {
 		var s speed
 		for range 20 {
-			s.note(-0.2)
+			s.record(-0.2)
 		}
 		if s.class() != -1 {
 			t.Errorf("after 20 fast runs its class is %d", s.class())
 		}
 		for range 6 {
-			s.note(1.9)
+			s.record(1.9)
 		}
 		if s.class() != 1 {
 			t.Errorf("after 6 runs at a seventh of the speed its class is %d", s.class())
--- a/jobs/dispatch/stops.go
+++ b/jobs/dispatch/stops.go
@@ -8,8 +8,8 @@
 // How long stops take is learnt: until a run has ended that was told to stop. On one of the users' sites that takes up to 0.4 s, on another up to
 // 0.9 s, and an urgent job that waits for room until it is nearly too late to stop work for it needs to know.
 const (
-	// firstStop is taken for a stop's time until enough stops have been seen.
-	firstStop = 500 * time.Millisecond
+	// defaultStop is taken for a stop's time until enough stops have been seen.
+	defaultStop = 500 * time.Millisecond
 	// stopsKept is how many of the newest stops count, stopsNeeded from how many on they do.
 	stopsKept   = 64
 	stopsNeeded = 8
@@ -17,14 +17,14 @@
 	stopQuantile = 0.8
 )
 
-// stopTimes holds how long the newest stops took. The zero value knows none.
-type stopTimes struct {
+// stopDurations holds how long the newest stops took. The zero value knows none.
+type stopDurations struct {
 	newest []time.Duration
 	next   int
 }
 
-// note takes note of a stop.
-func (s *stopTimes) note(took time.Duration) {
+// record takes note of a stop.
+func (s *stopDurations) record(took time.Duration) {
 	if len(s.newest) < stopsKept {
 		s.newest = append(s.newest, took)
 		return
@@ -33,10 +33,10 @@
 	s.next = (s.next + 1) % stopsKept
 }
 
-// usual is how long a stop is reckoned to take.
-func (s *stopTimes) usual() time.Duration {
+// expected is how long a stop is reckoned to take.
+func (s *stopDurations) expected() time.Duration {
 	if len(s.newest) < stopsNeeded {
-		return firstStop
+		return defaultStop
 	}
 	sorted := slices.Sorted(slices.Values(s.newest))
 	return sorted[int(stopQuantile*float64(len(sorted)-1))]
--- a/jobs/dispatch/suspects.go
+++ b/jobs/dispatch/suspects.go
@@ -21,56 +21,56 @@
 	trialPatience = 1500 * time.Millisecond
 	// trialShare bounds the workers that are suspects' own at once, as a share.
 	trialShare = 0.25
-	// unsteadyFor is for how long a worker that has crashed is itself suspected. The emptiest worker is often one that has just come back: a
+	// recentCrash is for how long a worker that has crashed is itself suspected. The emptiest worker is often one that has just come back: a
 	// worker that crashes again and again took the same sound task three times.
-	unsteadyFor = 10 * time.Second
+	recentCrash = 10 * time.Second
 	// soundAfter is how long a task that lasts must have been there to be cleared. Such a task outlives many workers, and without this it would be given up
 	// at the third that crashes, in however many months. One that crashes each of its workers only after that is not found.
 	soundAfter = time.Minute
 )
 
-// suspicion is how far the tasks of a unit are suspected.
-type suspicion int
+// suspicionLevel is how far the tasks of a unit are suspected.
+type suspicionLevel int
 
 const (
-	trusted suspicion = iota
+	trusted suspicionLevel = iota
 	// suspected: a worker has crashed under one of the tasks.
 	suspected
 	// onTrial: one more crash may give the task up.
 	onTrial
 )
 
-// suspicionOf is how far a task is suspected.
-func suspicionOf(t *job.Task) suspicion {
+// suspicionOfTask is how far a task is suspected.
+func suspicionOfTask(t *job.Task) suspicionLevel {
 	switch {
-	case t == nil || t.Done || t.Suspicion() == 0:
+	case t == nil || t.Done || t.SuspectedCrashes() == 0:
 		return trusted
-	case t.TriedAlone():
+	case t.NeedsTrial():
 		return onTrial
 	}
 	return suspected
 }
 
 // suspicionOfUnit is that of its most suspected task.
-func (p *plan) suspicionOfUnit(t *tracked, u job.Unit) suspicion {
+func (p *plan) suspicionOfUnit(t *trackedJob, u job.Unit) suspicionLevel {
 	if t.progress.Suspects() == 0 || !p.c.has(SuspectsApart) {
 		return trusted
 	}
 	most := trusted
 	for _, name := range u.Tasks {
-		most = max(most, suspicionOf(t.progress.Task(name)))
+		most = max(most, suspicionOfTask(t.progress.Task(name)))
 	}
 	return most
 }
 
 // suspectedAt is when a worker last crashed under a task of the unit. A leader that did not see it takes it for now.
-func (t *tracked) suspectedAt(u job.Unit, now time.Time) time.Time {
+func (t *trackedJob) suspectedAt(u job.Unit, now time.Time) time.Time {
 	var latest time.Time
 	if t.progress.Suspects() == 0 {
 		return latest
 	}
 	for _, name := range u.Tasks {
-		if suspicionOf(t.progress.Task(name)) == trusted {
+		if suspicionOfTask(t.progress.Task(name)) == trusted {
 			continue
 		}
 		if _, known := t.crashedAt[name]; !known {
@@ -83,8 +83,8 @@
 	return latest
 }
 
-// noteSuspects marks the workers on which suspects run.
-func (p *plan) noteSuspects() {
+// markSuspects marks the workers on which suspects run.
+func (p *plan) markSuspects() {
 	if !p.c.has(SuspectsApart) {
 		return
 	}
@@ -92,7 +92,7 @@
 		for _, r := range n.runs {
 			if r.tracked.progress.Suspects() > 0 {
 				p.clearIfSound(n, r)
-				p.noteSuspect(n, r, suspicionOf(r.tracked.progress.Task(r.name)))
+				p.markSuspect(n, r, suspicionOfTask(r.tracked.progress.Task(r.name)))
 			}
 		}
 	}
@@ -100,21 +100,21 @@
 
 // clearIfSound forgets the crashes under a task that lasts once it has been there long enough.
 func (p *plan) clearIfSound(n *node, r *running) {
-	if !r.tracked.job.Steps[r.name.Step].LongRunning || p.ageOf(n, r) < soundAfter || !r.tracked.progress.Clear(r.name) {
+	if !r.tracked.job.Steps[r.name.Step].LongRunning || p.ageOf(n, r) < soundAfter || !r.tracked.progress.ClearCrashes(r.name) {
 		return
 	}
 	p.c.touch(r.tracked)
 	p.c.logger.Info().Str("step", "dispatch.clear").Stringer("task", r.name).Int("run", r.run).Msg("task is no longer suspected")
 }
 
-// noteSuspect marks the worker of a run by how far its task is suspected.
-func (p *plan) noteSuspect(n *node, r *running, s suspicion) {
+// markSuspect marks the worker of a run by how far its task is suspected.
+func (p *plan) markSuspect(n *node, r *running, s suspicionLevel) {
 	if s == trusted {
 		return
 	}
-	n.suspects = true
-	if s == onTrial && p.ageOf(n, r) < trialTime && n.trial == nil {
-		n.trial = r
+	n.hasSuspects = true
+	if s == onTrial && p.ageOf(n, r) < trialTime && n.trialRun == nil {
+		n.trialRun = r
 		p.trials++
 	}
 }
@@ -122,59 +122,59 @@
 // ageOf is for how long a run has been there, zero if it has not been seen there.
 func (p *plan) ageOf(n *node, r *running) time.Duration {
 	if o, known := n.worker.runs[runID(r)]; known {
-		return p.now.Sub(o.since)
+		return p.now.Sub(o.startedAt)
 	}
 	return 0
 }
 
-// undecided reports whether it has to be known first whether the last workers of a task crashed.
-func (p *plan) undecided(w waiting) bool {
+// awaitsVerdict reports whether it has to be known first whether the last workers of a task crashed.
+func (p *plan) awaitsVerdict(w waitingUnit) bool {
 	if w.tracked.progress.Suspects() == 0 {
 		return false
 	}
 	for _, name := range w.unit.Tasks {
-		if t := w.tracked.progress.Task(name); t != nil && t.Undecided(p.now) {
+		if t := w.tracked.progress.Task(name); t != nil && t.AwaitsVerdict(p.now) {
 			return true
 		}
 	}
 	return false
 }
 
-// lastStarts reports whether the run's task may be given up when it stops.
-func (r *running) lastStarts() bool {
+// onExtraStart reports whether the run's task may be given up when it stops.
+func (r *running) onExtraStart() bool {
 	if r.tracked.progress.Suspects() == 0 {
 		return false
 	}
 	t := r.tracked.progress.Task(r.name)
-	return t != nil && t.OnLastStarts()
+	return t != nil && t.HasExtraStarts()
 }
 
-// keepsApart reports whether the unit must not be placed on the node for the sake of suspects.
-func (p *plan) keepsApart(w waiting, n *node) bool {
+// mustKeepApart reports whether the unit must not be placed on the node for the sake of suspects.
+func (p *plan) mustKeepApart(w waitingUnit, n *node) bool {
 	switch {
-	case n.trial != nil && !isOf(w, n.trial):
+	case n.trialRun != nil && !isOf(w, n.trialRun):
 		return true
 	case w.suspicion != onTrial || p.now.Sub(w.suspectedAt) >= trialPatience:
 		return false
 	}
-	return n.trial == nil && p.trials >= p.mostTrials() || p.unsteady(n) || slices.ContainsFunc(n.runs, func(r *running) bool { return !isOf(w, r) })
+	return n.trialRun == nil && p.trials >= p.maxTrials() || p.unsteady(n) || slices.ContainsFunc(n.runs, func(r *running) bool { return !isOf(w, r) })
 }
 
 // isOf reports whether a run is of the unit: only a gang's members are, and only they crash as one.
-func isOf(w waiting, r *running) bool {
+func isOf(w waitingUnit, r *running) bool {
 	return w.step.Gang && firstOf(r.name) == firstOf(w.unit.Tasks[0])
 }
 
-// mostTrials is how many workers may be suspects' own at once.
-func (p *plan) mostTrials() int { return max(1, int(trialShare*float64(len(p.nodes)))) }
+// maxTrials is how many workers may be suspects' own at once.
+func (p *plan) maxTrials() int { return max(1, int(trialShare*float64(len(p.nodes)))) }
 
 // compareRisk orders two nodes for a unit by what a crash may lose. A suspect keeps off others and off workers that have just crashed; one that is on
 // trial takes the worker with the least work besides. Work that is not suspected goes where it always does.
-func (p *plan) compareRisk(w waiting, a, b *node) int {
+func (p *plan) compareRisk(w waitingUnit, a, b *node) int {
 	if w.suspicion == trusted {
 		return 0
 	}
-	order := cmp.Or(compareBool(a.suspects, b.suspects), compareBool(p.unsteady(a), p.unsteady(b)))
+	order := cmp.Or(compareBool(a.hasSuspects, b.hasSuspects), compareBool(p.unsteady(a), p.unsteady(b)))
 	if order != 0 || w.suspicion == suspected {
 		return order
 	}
@@ -182,4 +182,4 @@
 }
 
 // unsteady reports whether the worker has crashed a short while ago.
-func (p *plan) unsteady(n *node) bool { return p.now.Sub(n.worker.crashed) < unsteadyFor }
+func (p *plan) unsteady(n *node) bool { return p.now.Sub(n.worker.crashedAt) < recentCrash }
--- a/jobs/dispatch/suspects_test.go
+++ b/jobs/dispatch/suspects_test.go
@@ -8,14 +8,14 @@
 )
 
 // crash ends the first task of a job with its worker, alone there, and lets the worker come back.
-func (b *fixture) crash(t *tracked) {
+func (b *fixture) crash(t *trackedJob) {
 	b.t.Helper()
 	name := job.TaskName{Job: t.job.ID}
 	placed := t.progress.Task(name)
 	if placed == nil || !placed.Placed() {
 		b.t.Fatalf("task %v is not placed", name)
 	}
-	b.control.loseRun(t, name, placed, whyLifeOver, job.Loss{Fate: job.Crashed, Alone: true})
+	b.control.loseRun(t, name, placed, whyLifeOver, job.RunLoss{Verdict: job.Crashed, Sole: true})
 }
 
 // TestSuspectOnTrial: a task that one more crash may give up gets a worker of its own, and for a while nothing joins it there. What is not suspected is
--- a/jobs/dispatch/wants.go
+++ b/jobs/dispatch/wants.go
@@ -26,95 +26,95 @@
 	Role     *assignment.Role
 }
 
-// wants keeps what each worker should run from one decision to the next, by worker and by job, so that telling it costs what has changed and
+// desiredStates keeps what each worker should run from one decision to the next, by worker and by job, so that telling it costs what has changed and
 // not what there is: a job of two tasks is told to two workers, with as many allocations at 80 workers as at 160, where it was told to all.
-type wants struct {
-	// on holds, by worker, the jobs that have runs there, and those runs.
-	on map[string]map[job.ID]runsOf
-	// changedJobs and changedWorkers may be wanted differently than was told last. All says that each worker may.
-	changedJobs    map[*tracked]bool
-	changedWorkers map[string]bool
-	all            bool
-	// advised are the jobs with runs that need tickets, which come and expire by themselves.
-	advised map[*tracked]bool
+type desiredStates struct {
+	// byWorker holds, by worker, the jobs that have runs there, and those runs.
+	byWorker map[string]map[job.ID]jobRuns
+	// jobs and changedWorkers may be wanted differently than was told last. All says that each worker may.
+	jobs    map[*trackedJob]bool
+	workers map[string]bool
+	all     bool
+	// needPermits are the jobs with runs that need tickets, which come and expire by themselves.
+	needPermits map[*trackedJob]bool
 }
 
-// runsOf are the runs of a job on a worker.
-type runsOf map[job.TaskName]placedRun
+// jobRuns are the runs of a job on a worker.
+type jobRuns map[job.TaskName]placedRun
 
 // placedRun is a run with the life of the worker on which it is placed.
 type placedRun struct {
 	DesiredRun
-	life incarnation.ID
+	incarnation incarnation.ID
 }
 
-func newWants() *wants {
-	return &wants{on: map[string]map[job.ID]runsOf{}, changedJobs: map[*tracked]bool{}, changedWorkers: map[string]bool{}, advised: map[*tracked]bool{}}
+func newDesiredStates() *desiredStates {
+	return &desiredStates{byWorker: map[string]map[job.ID]jobRuns{}, jobs: map[*trackedJob]bool{}, workers: map[string]bool{}, needPermits: map[*trackedJob]bool{}}
 }
 
-// change notes that runs of a job were placed, have ended, or are to stop.
-func (ws *wants) change(t *tracked) { ws.changedJobs[t] = true }
+// markJob notes that runs of a job were placed, have ended, or are to stop.
+func (ws *desiredStates) markJob(t *trackedJob) { ws.jobs[t] = true }
 
-// changeWorker notes that a worker has another life, or that ends of it were taken note of.
-func (ws *wants) changeWorker(name string) { ws.changedWorkers[name] = true }
+// markWorker notes that a worker has another life, or that ends of it were taken note of.
+func (ws *desiredStates) markWorker(name string) { ws.workers[name] = true }
 
 // TakeDesired is what workers should run, for those for which that may have changed since the last call.
 func (c *Controller) TakeDesired(now time.Time) map[string]DesiredState {
-	ws := c.wants
-	for t := range ws.advised {
-		ws.change(t)
+	ws := c.desired
+	for t := range ws.needPermits {
+		ws.markJob(t)
 	}
-	for t := range ws.changedJobs {
-		c.placeWants(t, now)
+	for t := range ws.jobs {
+		c.updateDesired(t, now)
 	}
 	if ws.all {
 		for name := range c.workers {
-			ws.changeWorker(name)
+			ws.markWorker(name)
 		}
 	}
-	changed := make(map[string]DesiredState, len(ws.changedWorkers))
+	changed := make(map[string]DesiredState, len(ws.workers))
 	held := maps.Clone(c.unreadable)
-	for name := range ws.changedWorkers {
-		changed[name] = c.wantOf(name, held)
+	for name := range ws.workers {
+		changed[name] = c.desiredState(name, held)
 	}
-	clear(ws.changedJobs)
-	clear(ws.changedWorkers)
+	clear(ws.jobs)
+	clear(ws.workers)
 	ws.all = false
 	return changed
 }
 
-// placeWants takes over where the runs of a job are and whether they are to stop.
-func (c *Controller) placeWants(t *tracked, now time.Time) {
-	ws := c.wants
-	for _, name := range t.wantedOn {
-		delete(ws.on[name], t.job.ID)
-		ws.changeWorker(name)
+// updateDesired takes over where the runs of a job are and whether they are to stop.
+func (c *Controller) updateDesired(t *trackedJob, now time.Time) {
+	ws := c.desired
+	for _, name := range t.desiredOn {
+		delete(ws.byWorker[name], t.job.ID)
+		ws.markWorker(name)
 	}
-	t.wantedOn = t.wantedOn[:0]
+	t.desiredOn = t.desiredOn[:0]
 	t.progress.Placed(t.job.ID, func(name job.TaskName, task *job.Task) {
-		if ws.on[task.Worker] == nil {
-			ws.on[task.Worker] = map[job.ID]runsOf{}
+		if ws.byWorker[task.Worker] == nil {
+			ws.byWorker[task.Worker] = map[job.ID]jobRuns{}
 		}
-		runs := ws.on[task.Worker][t.job.ID]
+		runs := ws.byWorker[task.Worker][t.job.ID]
 		if runs == nil {
-			runs = runsOf{}
-			ws.on[task.Worker][t.job.ID] = runs
-			t.wantedOn = append(t.wantedOn, task.Worker)
-			ws.changeWorker(task.Worker)
+			runs = jobRuns{}
+			ws.byWorker[task.Worker][t.job.ID] = runs
+			t.desiredOn = append(t.desiredOn, task.Worker)
+			ws.markWorker(task.Worker)
 		}
-		runs[name] = placedRun{DesiredRun: c.wantedRun(t, name, task, now), life: task.Incarnation}
+		runs[name] = placedRun{DesiredRun: c.desiredRun(t, name, task, now), incarnation: task.Incarnation}
 	})
-	delete(ws.advised, t)
-	if t.job.NeedsPermit && len(t.wantedOn) > 0 {
-		ws.advised[t] = true
+	delete(ws.needPermits, t)
+	if t.job.NeedsPermit && len(t.desiredOn) > 0 {
+		ws.needPermits[t] = true
 	}
 }
 
-// wantedRun is how a placed run of a job is told to its worker.
-func (c *Controller) wantedRun(t *tracked, name job.TaskName, task *job.Task, now time.Time) DesiredRun {
+// desiredRun is how a placed run of a job is told to its worker.
+func (c *Controller) desiredRun(t *trackedJob, name job.TaskName, task *job.Task, now time.Time) DesiredRun {
 	start := assignment.Start{RunID: assignment.RunID{Task: name, Run: task.Run}, Spec: t.job.Spec, Checkpoint: task.Checkpoint}
 	if t.job.NeedsPermit {
-		start.Permit, _ = c.advice.ticket(stepOf(name), task.Incarnation, now)
+		start.Permit, _ = c.permits.permit(stepKey(name), task.Incarnation, now)
 	}
 	return DesiredRun{
 		Start:    start,
@@ -123,16 +123,16 @@
 	}
 }
 
-// wantOf is what a worker should run, as the jobs were taken over last.
-func (c *Controller) wantOf(name string, held map[job.ID]bool) DesiredState {
+// desiredState is what a worker should run, as the jobs were taken over last.
+func (c *Controller) desiredState(name string, held map[job.ID]bool) DesiredState {
 	w := c.workers[name]
-	if w == nil || w.life == nil {
+	if w == nil || w.state == nil {
 		return DesiredState{}
 	}
-	want := DesiredState{Incarnation: w.life.ID, Runs: map[job.TaskName]DesiredRun{}, Held: held, AckedEnd: w.ends}
-	for _, runs := range c.wants.on[name] {
+	want := DesiredState{Incarnation: w.state.ID, Runs: map[job.TaskName]DesiredRun{}, Held: held, AckedEnd: w.ackedEnd}
+	for _, runs := range c.desired.byWorker[name] {
 		for task, r := range runs {
-			if r.life == want.Incarnation {
+			if r.incarnation == want.Incarnation {
 				want.Runs[task] = r.DesiredRun
 			}
 		}
--- a/jobs/dispatch/wants_test.go
+++ b/jobs/dispatch/wants_test.go
@@ -14,19 +14,19 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// wantsAnew is what each worker should run, made from all workers and all jobs.
-func (c *Controller) wantsAnew(now time.Time) map[string]DesiredState {
+// allDesired is what each worker should run, made from all workers and all jobs.
+func (c *Controller) allDesired(now time.Time) map[string]DesiredState {
 	all := map[string]DesiredState{}
 	for name, w := range c.workers {
 		all[name] = DesiredState{}
-		if w.life != nil {
-			all[name] = DesiredState{Incarnation: w.life.ID, Runs: map[job.TaskName]DesiredRun{}, Held: maps.Clone(c.unreadable), AckedEnd: w.ends}
+		if w.state != nil {
+			all[name] = DesiredState{Incarnation: w.state.ID, Runs: map[job.TaskName]DesiredRun{}, Held: maps.Clone(c.unreadable), AckedEnd: w.ackedEnd}
 		}
 	}
 	for _, t := range c.jobs {
 		t.progress.Placed(t.job.ID, func(name job.TaskName, task *job.Task) {
 			if want := all[task.Worker]; want.Runs != nil && want.Incarnation == task.Incarnation {
-				want.Runs[name] = c.wantedRun(t, name, task, now)
+				want.Runs[name] = c.desiredRun(t, name, task, now)
 			}
 		})
 	}
@@ -51,7 +51,7 @@
 				b.endOne(rt, w)
 			case 3:
 				born++
-				l := *w.life
+				l := *w.state
 				l.ID = incarnation.ID{Instance: w.name, StartMillis: born}
 				b.control.ApplyPoll(b.now, assignment.Poll{Worker: w.name, State: &l, Complete: true})
 			case 4:
@@ -68,7 +68,7 @@
 				rt.Fatal(err)
 			}
 			maps.Copy(told, b.control.TakeDesired(b.now))
-			for name, want := range b.control.wantsAnew(b.now) {
+			for name, want := range b.control.allDesired(b.now) {
 				if got := told[name]; got.Incarnation != want.Incarnation || got.AckedEnd != want.AckedEnd || !reflect.DeepEqual(got.Runs, want.Runs) && len(got.Runs)+len(want.Runs) > 0 {
 					rt.Fatalf("%s was told %+v, should run %+v", name, got, want)
 				}
@@ -79,12 +79,12 @@
 
 // endOne lets a worker list the end of one of its runs, if it has any.
 func (b *fixture) endOne(rt *rapid.T, w *worker) {
-	poll := assignment.Poll{Worker: w.name, State: w.life, Complete: true}
+	poll := assignment.Poll{Worker: w.name, State: w.state, Complete: true}
 	for _, t := range b.control.active {
 		t.progress.Placed(t.job.ID, func(name job.TaskName, task *job.Task) {
-			if task.Worker == w.name && task.Incarnation == w.life.ID && len(poll.Ends) == 0 {
+			if task.Worker == w.name && task.Incarnation == w.state.ID && len(poll.Ends) == 0 {
 				how := rapid.SampledFrom([]job.EndReason{job.EndDone, job.EndFailed, job.EndStopped}).Draw(rt, "how")
-				poll.Ends = []assignment.End{{RunID: assignment.RunID{Task: name, Run: task.Run}, Number: w.ends + 1, Reason: how}}
+				poll.Ends = []assignment.End{{RunID: assignment.RunID{Task: name, Run: task.Run}, Number: w.ackedEnd + 1, Reason: how}}
 			}
 		})
 	}
@@ -106,7 +106,7 @@
 		b.plan(0)
 		told = len(b.control.TakeDesired(b.now))
 		allocations = testing.AllocsPerRun(10, func() {
-			b.control.wants.change(next)
+			b.control.desired.markJob(next)
 			b.control.TakeDesired(b.now)
 		})
 		return told, allocations
@@ -153,7 +153,7 @@
 	b.plan(0)
 	b.control.TakeDesired(b.now)
 	b.job(0, "sure", job.Step{Tasks: 1, Estimate: time.Second})
-	b.plan(patienceOfOwners + time.Second)
+	b.plan(guaranteedPatience + time.Second)
 	for task, run := range b.control.TakeDesired(b.now)["w0-0"].Runs {
 		if task.Job == yields.job.ID && run.Stopping {
 			return
--- a/jobs/job/crashes_test.go
+++ b/jobs/job/crashes_test.go
@@ -14,11 +14,11 @@
 }
 
 // crashOf is one crash of a worker under a task, as a table gives it.
-func crashOf(t *testing.T, j *Job, p *Progress, name TaskName, n int, l Loss) {
+func crashOf(t *testing.T, j *Job, p *Progress, name TaskName, n int, l RunLoss) {
 	t.Helper()
 	at := lifeNumber(n)
 	p.Assign(time.Now(), name, n, "w", at)
-	if !p.Lose(j, name, n, at, l) {
+	if !p.RecordLoss(j, name, n, at, l) {
 		t.Fatalf("run %d was not there", n)
 	}
 }
@@ -28,31 +28,31 @@
 func TestGivenUp(t *testing.T) {
 	j := &Job{ID: "0000000000000001", Steps: []Step{{Tasks: 2, Resources: Resources{CPU: 1}}}}
 	name := TaskName{Job: j.ID}
-	repeat := func(l Loss, n int) []Loss {
-		var losses []Loss
+	repeat := func(l RunLoss, n int) []RunLoss {
+		var losses []RunLoss
 		for range n {
 			losses = append(losses, l)
 		}
 		return losses
 	}
-	beside, alone := Loss{Fate: Crashed}, Loss{Fate: Crashed, Alone: true}
-	doubtfulAlone := Loss{Fate: Doubtful, Alone: true}
-	doubtful, open, perhaps, spared := Loss{Fate: Doubtful}, Loss{Fate: Open}, Loss{Fate: OpenDoubtful}, Loss{Fate: Spared, Alone: true}
+	beside, alone := RunLoss{Verdict: Crashed}, RunLoss{Verdict: Crashed, Sole: true}
+	doubtfulAlone := RunLoss{Verdict: MaybeCrashed, Sole: true}
+	doubtful, open, perhaps, spared := RunLoss{Verdict: MaybeCrashed}, RunLoss{Verdict: Unresolved}, RunLoss{Verdict: UnresolvedUnseen}, RunLoss{Verdict: NotCrashed, Sole: true}
 	tests := []struct {
 		name   string
-		losses []Loss
+		losses []RunLoss
 		// judged are open lives, by their number, that turn out to have crashed, alone there or not.
 		judged []int
 		alone  bool
 		want   Phase
 	}{
 		{"two crashes", repeat(alone, 2), nil, false, Running},
-		{"three crashes, the last two of them alone", []Loss{beside, alone, alone}, nil, false, Failed},
-		{"three crashes, the first and the last alone", []Loss{alone, beside, alone}, nil, false, Running},
-		{"three crashes, one of them alone", []Loss{beside, beside, alone}, nil, false, Running},
-		{"four crashes, two of them alone", []Loss{beside, alone, beside, alone}, nil, false, Failed},
-		{"a doubtful one among three", []Loss{doubtful, alone, alone}, nil, false, Failed},
-		{"two doubtful ones among three", []Loss{beside, doubtfulAlone, doubtfulAlone}, nil, false, Running},
+		{"three crashes, the last two of them alone", []RunLoss{beside, alone, alone}, nil, false, Failed},
+		{"three crashes, the first and the last alone", []RunLoss{alone, beside, alone}, nil, false, Running},
+		{"three crashes, one of them alone", []RunLoss{beside, beside, alone}, nil, false, Running},
+		{"four crashes, two of them alone", []RunLoss{beside, alone, beside, alone}, nil, false, Failed},
+		{"a doubtful one among three", []RunLoss{doubtful, alone, alone}, nil, false, Failed},
+		{"two doubtful ones among three", []RunLoss{beside, doubtfulAlone, doubtfulAlone}, nil, false, Running},
 		{"four crashes beside others", repeat(beside, 4), nil, false, Running},
 		{"five crashes beside others", repeat(beside, 5), nil, false, Failed},
 		{"five doubtful ones", repeat(doubtful, 5), nil, false, Failed},
@@ -80,13 +80,13 @@
 			}
 			for _, n := range test.judged {
 				over := lifeNumber(n)
-				verdict := func(_ TaskName, _ int, begun bool) Loss {
+				verdict := func(_ TaskName, _ int, begun bool) RunLoss {
 					if begun {
-						return Loss{Fate: Crashed, Alone: test.alone}
+						return RunLoss{Verdict: Crashed, Sole: test.alone}
 					}
-					return Loss{Fate: Doubtful, Alone: test.alone}
+					return RunLoss{Verdict: MaybeCrashed, Sole: test.alone}
 				}
-				if len(p.Judge(j, over, verdict)) != 1 || len(p.Judge(j, over, verdict)) != 0 {
+				if len(p.Resolve(j, over, verdict)) != 1 || len(p.Resolve(j, over, verdict)) != 0 {
 					t.Errorf("life %d is not judged once", n)
 				}
 			}
@@ -116,13 +116,13 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			p := NewProgress()
-			for n := range giveUpAfter {
-				crashOf(t, j, p, name, n+1, Loss{Fate: Crashed})
+			for n := range giveUpCrashes {
+				crashOf(t, j, p, name, n+1, RunLoss{Verdict: Crashed})
 			}
 			for n, how := range test.ends {
-				run := giveUpAfter + n + 1
+				run := giveUpCrashes + n + 1
 				p.Assign(time.Now(), name, run, "w", present)
-				if p.Phase.Final() || !p.End(j, name, run, present, how, "") {
+				if p.Phase.Final() || !p.RecordEnd(j, name, run, present, how, "") {
 					t.Fatalf("run %d is not there", run)
 				}
 			}
@@ -137,19 +137,19 @@
 func TestOpenLifeIsKept(t *testing.T) {
 	j := &Job{ID: "0000000000000001", Steps: []Step{{Tasks: 1, Resources: Resources{CPU: 1}}}}
 	p, name := NewProgress(), TaskName{Job: j.ID}
-	for run, fate := range []Fate{Open, OpenDoubtful} {
+	for run, fate := range []CrashVerdict{Unresolved, UnresolvedUnseen} {
 		p.Assign(time.Now(), name, run+1, "w", present)
-		if !p.Lose(j, name, run+1, present, Loss{Fate: fate, At: time.Now()}) {
+		if !p.RecordLoss(j, name, run+1, present, RunLoss{Verdict: fate, At: time.Now()}) {
 			t.Fatalf("run %d was not there", run+1)
 		}
 	}
 	judged := 0
-	p.Judge(j, present, func(_ TaskName, run int, begun bool) Loss {
+	p.Resolve(j, present, func(_ TaskName, run int, begun bool) RunLoss {
 		judged = run
 		if !begun {
 			t.Errorf("run %d is judged as one that had not begun", run)
 		}
-		return Loss{Fate: Crashed}
+		return RunLoss{Verdict: Crashed}
 	})
 	if judged != 1 || p.Task(name).Crashes != 1 {
 		t.Errorf("run %d is judged, %d crashes are counted; want run 1 and one", judged, p.Task(name).Crashes)
@@ -181,11 +181,11 @@
 			p := NewProgress()
 			for _, name := range j.stepNames(0, 0) {
 				p.Assign(time.Now(), name, 1, "w", present)
-				p.Lose(j, name, 1, present, Loss{Fate: Open, At: time.Now()})
+				p.RecordLoss(j, name, 1, present, RunLoss{Verdict: Unresolved, At: time.Now()})
 				p.Assign(time.Now(), name, 2, "v", present)
 			}
 			name := TaskName{Job: j.ID}
-			if got := p.EndLate(j, name, test.run, test.how); got != test.noted {
+			if got := p.RecordLateEnd(j, name, test.run, test.how); got != test.noted {
 				t.Errorf("it was noted: %v, want %v", got, test.noted)
 			}
 			data, err := p.Encode()
@@ -195,7 +195,7 @@
 			if p, err = DecodeProgress(data); err != nil {
 				t.Fatal(err)
 			}
-			if p.EndLate(j, name, test.run, test.how) {
+			if p.RecordLateEnd(j, name, test.run, test.how) {
 				t.Error("it was noted twice")
 			}
 			if p.Phase != test.phase || p.Task(name).Failures != test.failures {
--- a/jobs/job/golden_test.go
+++ b/jobs/job/golden_test.go
@@ -71,8 +71,8 @@
 		UncertainCrashes: 2,
 		SoleCrashes:      3,
 		ExtraStarts:      4,
-		Unresolved: map[incarnation.ID]openLife{
-			{Instance: "i-1"}: {Worker: "side-a-3", Run: 5, Begun: true, Silent: true, At: goldenTime},
+		Unresolved: map[incarnation.ID]unresolvedRun{
+			{Instance: "i-1"}: {Worker: "side-a-3", Run: 5, Started: true, Unresponsive: true, At: goldenTime},
 		},
 	}
 }
@@ -194,8 +194,8 @@
 		placed.task.Incarnation.StartMillis = 0
 	}
 	stored := goldentest.Read(t, "progress-older.stored")
-	if len(stored) < compressFrom {
-		t.Fatalf("the record has %d bytes, want at least %d, so that it would be compressed", len(stored), compressFrom)
+	if len(stored) < compressMinBytes {
+		t.Fatalf("the record has %d bytes, want at least %d, so that it would be compressed", len(stored), compressMinBytes)
 	}
 	decoded, err := DecodeProgress(stored)
 	if err != nil {
@@ -260,14 +260,14 @@
 	at := incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722812345}
 	tests := []struct {
 		file string
-		loss Loss
+		loss RunLoss
 	}{
-		{"fate-spared", Loss{Fate: Spared}},
-		{"fate-unbegun", Loss{Fate: Unbegun}},
-		{"fate-crashed", Loss{Fate: Crashed, Alone: true}},
-		{"fate-doubtful", Loss{Fate: Doubtful, Alone: true}},
-		{"fate-open", Loss{Fate: Open, Silent: true, At: goldenTime}},
-		{"fate-open-doubtful", Loss{Fate: OpenDoubtful, At: goldenTime}},
+		{"fate-spared", RunLoss{Verdict: NotCrashed}},
+		{"fate-unbegun", RunLoss{Verdict: NeverStarted}},
+		{"fate-crashed", RunLoss{Verdict: Crashed, Sole: true}},
+		{"fate-doubtful", RunLoss{Verdict: MaybeCrashed, Sole: true}},
+		{"fate-open", RunLoss{Verdict: Unresolved, Unresponsive: true, At: goldenTime}},
+		{"fate-open-doubtful", RunLoss{Verdict: UnresolvedUnseen, At: goldenTime}},
 	}
 	for _, test := range tests {
 		t.Run(test.file, func(t *testing.T) {
@@ -275,7 +275,7 @@
 			p := NewProgress()
 			for run := 1; run <= 2; run++ {
 				p.Assign(goldenTime, name, run, "side-a-1", at)
-				if !p.Lose(j, name, run, at, test.loss) {
+				if !p.RecordLoss(j, name, run, at, test.loss) {
 					t.Fatalf("run %d is not there", run)
 				}
 			}
@@ -289,7 +289,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got, want := decoded.Task(name).Suspicion(), p.Task(name).Suspicion(); got != want {
+			if got, want := decoded.Task(name).SuspectedCrashes(), p.Task(name).SuspectedCrashes(); got != want {
 				t.Errorf("of the decoded task %d workers are known to have crashed, want %d", got, want)
 			}
 			if again, err := decoded.Encode(); err != nil || !bytes.Equal(again, stored) {
--- a/jobs/job/job_test.go
+++ b/jobs/job/job_test.go
@@ -110,7 +110,7 @@
 	t.Run("an end of another run or life changes nothing", func(t *testing.T) {
 		j, p := oneStep(Step{Tasks: 1}), NewProgress()
 		begin(j, p, now)
-		if p.End(j, task(0), 2, present, EndDone, "") || p.End(j, task(0), 1, incarnation.ID{Instance: present.Instance, StartMillis: present.StartMillis + 1}, EndDone, "") {
+		if p.RecordEnd(j, task(0), 2, present, EndDone, "") || p.RecordEnd(j, task(0), 1, incarnation.ID{Instance: present.Instance, StartMillis: present.StartMillis + 1}, EndDone, "") {
 			t.Error("it was taken")
 		}
 		if p.Phase != Running {
@@ -120,7 +120,7 @@
 	t.Run("one done end counts for the gang, and its room is taken until each has ended", func(t *testing.T) {
 		j, p := oneStep(Step{Tasks: 2, Gang: true}), NewProgress()
 		begin(j, p, now)
-		p.End(j, task(0), 1, present, EndDone, "")
+		p.RecordEnd(j, task(0), 1, present, EndDone, "")
 		if p.Phase != Completed || !p.Task(task(1)).Placed() {
 			t.Errorf("phase %v, other placed %v", p.Phase, p.Task(task(1)).Placed())
 		}
@@ -128,16 +128,16 @@
 	t.Run("a gang fails once a run", func(t *testing.T) {
 		j, p := oneStep(Step{Tasks: 3, Gang: true}), NewProgress()
 		begin(j, p, now)
-		p.End(j, task(0), 1, present, EndFailed, "")
-		p.End(j, task(1), 1, present, EndFailed, "")
+		p.RecordEnd(j, task(0), 1, present, EndFailed, "")
+		p.RecordEnd(j, task(1), 1, present, EndFailed, "")
 		if len(j.Waiting(p, now)) != 0 {
 			t.Error("the gang waits while a member is placed")
 		}
-		p.End(j, task(2), 1, present, EndGangBroken, "")
+		p.RecordEnd(j, task(2), 1, present, EndGangBroken, "")
 		if p.Phase != Running || begin(j, p, now) != 1 {
 			t.Fatalf("after one failed run the phase is %v", p.Phase)
 		}
-		p.End(j, task(2), 2, present, EndFailed, "")
+		p.RecordEnd(j, task(2), 2, present, EndFailed, "")
 		if p.Phase != Failed {
 			t.Errorf("after two failed runs the phase is %v", p.Phase)
 		}
@@ -146,7 +146,7 @@
 		j, p := oneStep(Step{Tasks: 1}), NewProgress()
 		for run, how := range []EndReason{EndStopped, EndLeaseExpired, EndGangBroken, EndGangIncomplete, EndLost, EndRefused} {
 			begin(j, p, now)
-			p.End(j, task(0), run+1, present, how, "")
+			p.RecordEnd(j, task(0), run+1, present, how, "")
 		}
 		if p.Phase != Running {
 			t.Errorf("phase is %v", p.Phase)
@@ -155,8 +155,8 @@
 	t.Run("a checkpoint serves the whole gang", func(t *testing.T) {
 		j, p := oneStep(Step{Tasks: 2, Gang: true, Checkpoint: true}), NewProgress()
 		begin(j, p, now)
-		p.End(j, task(0), 1, present, EndStopped, "saved")
-		p.End(j, task(1), 1, present, EndGangBroken, "")
+		p.RecordEnd(j, task(0), 1, present, EndStopped, "saved")
+		p.RecordEnd(j, task(1), 1, present, EndGangBroken, "")
 		if got := p.Task(task(1)).Checkpoint; got != "saved" {
 			t.Errorf("the other member has %q", got)
 		}
@@ -167,7 +167,7 @@
 			if begin(j, p, now) != 1 {
 				t.Fatalf("run %d does not start", run+1)
 			}
-			p.End(j, task(0), run+1, present, how, "")
+			p.RecordEnd(j, task(0), run+1, present, how, "")
 		}
 		if p.Phase != Running {
 			t.Errorf("phase is %v", p.Phase)
@@ -177,7 +177,7 @@
 		j, p := oneStep(Step{Tasks: 1}), NewProgress()
 		begin(j, p, now)
 		p.Cancel()
-		p.End(j, task(0), 1, present, EndDone, "")
+		p.RecordEnd(j, task(0), 1, present, EndDone, "")
 		if p.Phase != Cancelled || begin(j, p, now) != 0 {
 			t.Errorf("phase is %v", p.Phase)
 		}
@@ -195,7 +195,7 @@
 			how := rapid.SampledFrom([]EndReason{EndDone, EndFailed, EndStopped, EndLost}).Draw(t, "how")
 			name := TaskName{Job: id, Index: i}
 			if task := p.Task(name); task != nil {
-				p.End(j, name, task.Run, task.Incarnation, how, rapid.StringMatching("[a-f0-9]{0,4}").Draw(t, "saved"))
+				p.RecordEnd(j, name, task.Run, task.Incarnation, how, rapid.StringMatching("[a-f0-9]{0,4}").Draw(t, "saved"))
 			}
 		}
 		data, err := p.Encode()
--- a/jobs/job/progress.go
+++ b/jobs/job/progress.go
@@ -127,7 +127,7 @@
 	// ExtraStarts counts the starts since it may have crashed so many workers that users count them.
 	ExtraStarts int `json:"ce,omitempty"`
 	// Unresolved holds the lives of workers of which nothing was heard when its runs there were given up.
-	Unresolved map[incarnation.ID]openLife `json:"co,omitempty"`
+	Unresolved map[incarnation.ID]unresolvedRun `json:"co,omitempty"`
 }
 
 // Placed reports whether a run of the task takes room on a worker.
@@ -160,7 +160,7 @@
 // Task returns what has become of a task, or nil if nothing has.
 func (p *Progress) Task(t TaskName) *Task { return p.tasks[slot{t.Round, t.Step, t.Index}] }
 
-func (p *Progress) touch(t TaskName) *Task {
+func (p *Progress) ensureTask(t TaskName) *Task {
 	s := slot{t.Round, t.Step, t.Index}
 	if p.tasks[s] == nil {
 		p.tasks[s] = &Task{}
@@ -190,19 +190,19 @@
 // AnyPlaced reports whether a task of the job takes room on a worker.
 func (p *Progress) AnyPlaced() bool { return len(p.placed) > 0 }
 
-// unplace takes a task off the list. The list that Placed goes through at this moment stays as it is.
-func (p *Progress) unplace(s slot) {
+// removePlaced takes a task off the list. The list that Placed goes through at this moment stays as it is.
+func (p *Progress) removePlaced(s slot) {
 	p.placed = slices.DeleteFunc(slices.Clone(p.placed), func(t placedTask) bool { return t.slot == s })
 }
 
 // Assign places a new run of the task on a life of a worker.
 func (p *Progress) Assign(now time.Time, name TaskName, run int, worker string, l incarnation.ID) {
-	t := p.touch(name)
+	t := p.ensureTask(name)
 	t.countStart(now)
 	if !t.Placed() {
 		p.placed = append(p.placed, placedTask{slot: slot{name.Round, name.Step, name.Index}, task: t})
 	}
-	t.known(run)
+	t.unmarkGivenUp(run)
 	t.Run, t.Worker, t.Incarnation = run, worker, l
 	if p.Phase == Queued {
 		p.Phase = Running
@@ -229,39 +229,39 @@
 	return names
 }
 
-// ending is how a run ended, what it saved, and what it means for the task if it ended with its worker.
-type ending struct {
-	how   EndReason
-	saved string
-	loss  Loss
+// runEnd is how a run ended, what it saved, and what it means for the task if it ended with its worker.
+type runEnd struct {
+	reason     EndReason
+	checkpoint string
+	loss       RunLoss
 }
 
-// End takes note of the end of a run. It returns false, and changes nothing, unless that run is the one that is placed on
+// RecordEnd takes note of the end of a run. It returns false, and changes nothing, unless that run is the one that is placed on
 // that life.
-func (p *Progress) End(j *Job, name TaskName, run int, l incarnation.ID, how EndReason, saved string) bool {
-	return p.end(j, name, run, l, ending{how: how, saved: saved})
+func (p *Progress) RecordEnd(j *Job, name TaskName, run int, l incarnation.ID, how EndReason, saved string) bool {
+	return p.recordEnd(j, name, run, l, runEnd{reason: how, checkpoint: saved})
 }
 
-// mostGivenUp bounds the runs of a task that are remembered as given up. Ends are read within seconds once their worker can be reached.
-const mostGivenUp = 8
+// maxGivenUp bounds the runs of a task that are remembered as given up. Ends are read within seconds once their worker can be reached.
+const maxGivenUp = 8
 
-// giveUp notes that nobody knows how a run ended.
-func (t *Task) giveUp(run int) {
+// markGivenUp notes that nobody knows how a run ended.
+func (t *Task) markGivenUp(run int) {
 	t.GivenUp = append(t.GivenUp, run)
-	if excess := len(t.GivenUp) - mostGivenUp; excess > 0 {
+	if excess := len(t.GivenUp) - maxGivenUp; excess > 0 {
 		t.GivenUp = slices.Clone(t.GivenUp[excess:])
 	}
 }
 
-// known notes that it is known what became of a run that had been given up.
-func (t *Task) known(run int) {
+// unmarkGivenUp notes that it is known what became of a run that had been given up.
+func (t *Task) unmarkGivenUp(run int) {
 	t.GivenUp = slices.DeleteFunc(t.GivenUp, func(r int) bool { return r == run })
 }
 
-// EndLate takes note of the end of a run that had been given up: its worker was silent until its lease was over, or a later start of it carried the run out. A task
+// RecordLateEnd takes note of the end of a run that had been given up: its worker was silent until its lease was over, or a later start of it carried the run out. A task
 // is done whichever of its runs did it, and a failure counts as one attempt. It returns false, and changes nothing, for all other
 // ends, and for what had been noted.
-func (p *Progress) EndLate(j *Job, name TaskName, run int, how EndReason) bool {
+func (p *Progress) RecordLateEnd(j *Job, name TaskName, run int, how EndReason) bool {
 	t := p.Task(name)
 	if t == nil || t.Done || !slices.Contains(t.GivenUp, run) || p.Phase.Final() || name.Step >= len(j.Steps) || j.Steps[name.Step].LongRunning {
 		return false
@@ -273,70 +273,70 @@
 	switch {
 	case how == EndDone:
 		for _, m := range members {
-			p.touch(m).Done = true
+			p.ensureTask(m).Done = true
 		}
 	case how == EndFailed:
 		for _, m := range members {
-			p.touch(m).Failures++
+			p.ensureTask(m).Failures++
 		}
 	default:
 		return false
 	}
 	for _, m := range members {
 		// Other members of the gang list the same end.
-		p.touch(m).known(run)
+		p.ensureTask(m).unmarkGivenUp(run)
 	}
-	p.settle(j)
+	p.updatePhase(j)
 	return true
 }
 
-func (p *Progress) end(j *Job, name TaskName, run int, at incarnation.ID, e ending) bool {
+func (p *Progress) recordEnd(j *Job, name TaskName, run int, at incarnation.ID, e runEnd) bool {
 	t := p.Task(name)
 	if t == nil || !t.Placed() || t.Run != run || t.Incarnation != at || name.Step >= len(j.Steps) {
 		return false
 	}
 	worker := t.Worker
 	t.Worker, t.Incarnation = "", incarnation.ID{}
-	t.note(worker, at, e.loss)
-	p.unplace(slot{name.Round, name.Step, name.Index})
+	t.recordLoss(worker, at, e.loss)
+	p.removePlaced(slot{name.Round, name.Step, name.Index})
 	step := j.Steps[name.Step]
 	members := []TaskName{name}
 	if step.Gang {
 		members = j.stepNames(name.Round, name.Step)
 	}
-	switch e.how {
+	switch e.reason {
 	case EndLost:
-		t.giveUp(run)
+		t.markGivenUp(run)
 	case EndDone:
 		if step.LongRunning {
 			break
 		}
 		for _, m := range members {
-			p.touch(m).Done = true
+			p.ensureTask(m).Done = true
 		}
 	case EndRefused:
-		t.takeBackStart()
-		t.giveUp(run)
+		t.uncountStart()
+		t.markGivenUp(run)
 	case EndFailed:
 		t.Avoid = worker
-		p.fail(members, run, step)
+		p.countFailure(members, run, step)
 	}
-	if e.saved != "" && !t.Done {
+	if e.checkpoint != "" && !t.Done {
 		for _, m := range members {
-			p.touch(m).Checkpoint = e.saved
+			p.ensureTask(m).Checkpoint = e.checkpoint
 		}
 	}
-	p.settle(j)
+	p.updatePhase(j)
 	return true
 }
 
-// fail counts one attempt of the task, or of its gang.
-func (p *Progress) fail(members []TaskName, run int, step Step) {
+// countFailure counts one attempt of the task, or of its gang.
+func (p *Progress) countFailure(members []TaskName, run int, step Step) {
 	if step.LongRunning {
 		return
 	}
 	for _, m := range members {
-		t := p.touch(m)
+		t := p.ensureTask(m)
 		// Several members of a gang may say that they failed in one run, which is one attempt.
 		if t.Run != run || t.FailedRun == run {
 			continue
@@ -346,8 +346,8 @@
 	}
 }
 
-// settle sets the phase from the tasks.
-func (p *Progress) settle(j *Job) {
+// updatePhase sets the phase from the tasks.
+func (p *Progress) updatePhase(j *Job) {
 	if p.Phase.Final() {
 		return
 	}
@@ -366,7 +366,7 @@
 func (p *Progress) countSuspects() {
 	p.suspects = 0
 	for _, t := range p.tasks {
-		if !t.Done && (t.Suspicion() > 0 || len(t.Unresolved) > 0) {
+		if !t.Done && (t.SuspectedCrashes() > 0 || len(t.Unresolved) > 0) {
 			p.suspects++
 		}
 	}
@@ -419,8 +419,8 @@
 			break
 		}
 		for step := range j.Steps {
-			if j.depends(p, round, step) {
-				units = append(units, j.waitingOf(p, round, step)...)
+			if j.dependenciesDone(p, round, step) {
+				units = append(units, j.waitingUnits(p, round, step)...)
 			}
 		}
 	}
@@ -436,7 +436,7 @@
 	return sum * j.Rounds()
 }
 
-func (j *Job) depends(p *Progress, round, step int) bool {
+func (j *Job) dependenciesDone(p *Progress, round, step int) bool {
 	for _, a := range j.Steps[step].DependsOn {
 		if !p.stepDone(j, round, a) {
 			return false
@@ -445,7 +445,7 @@
 	return true
 }
 
-func (j *Job) waitingOf(p *Progress, round, step int) []Unit {
+func (j *Job) waitingUnits(p *Progress, round, step int) []Unit {
 	names := j.stepNames(round, step)
 	if j.Steps[step].Gang {
 		for _, n := range names {
--- a/jobs/job/stored.go
+++ b/jobs/job/stored.go
@@ -29,11 +29,11 @@
 		return nil, err
 	}
 	out := bytes.NewBuffer([]byte{byte(p.Phase)})
-	if len(data) < compressFrom {
+	if len(data) < compressMinBytes {
 		out.Write(data)
 		return out.Bytes(), nil
 	}
-	out.WriteByte(compressed)
+	out.WriteByte(compressionMark)
 	err = deflate(out, data)
 	return out.Bytes(), err
 }
@@ -41,10 +41,10 @@
 // A progress is stored anew at each change and read by each entry. Compressed, that of a job of 78 tasks takes 0.7 kB instead of 6.4 kB, for
 // 0.04 ms of the leader's time (BenchmarkEncode).
 const (
-	// compressFrom is from how many bytes on a progress is compressed; smaller ones gain little.
-	compressFrom = 512
-	// compressed stands after the phase where the rest is compressed (DEFLATE); plain JSON begins with a brace.
-	compressed = 'z'
+	// compressMinBytes is from how many bytes on a progress is compressed; smaller ones gain little.
+	compressMinBytes = 512
+	// compressionMark stands after the phase where the rest is compressed (DEFLATE); plain JSON begins with a brace.
+	compressionMark = 'z'
 )
 
 // deflaters are kept between uses: one takes some 0.6 MB to make.
@@ -69,7 +69,7 @@
 
 // inflate returns the JSON of a stored progress, without the phase.
 func inflate(data []byte) ([]byte, error) {
-	if len(data) == 0 || data[0] != compressed {
+	if len(data) == 0 || data[0] != compressionMark {
 		return data, nil
 	}
 	return io.ReadAll(flate.NewReader(bytes.NewReader(data[1:])))
