--- a/jobs/dispatch/controller.go
+++ b/jobs/dispatch/controller.go
@@ -1,20 +1,25 @@
-// Package dispatch decides which task runs on which worker: jobs and workers' reports in, runs out. It knows no terms, leases
-// or polls, and calls nobody but the adviser; package leader drives it.
+// Package dispatch decides which task runs on which worker: jobs and workers' polls go in, runs come
+// out. Package leader drives it; dispatch itself knows no terms, leases or network, and calls nobody
+// but the permit issuer.
 //
-// A Controller holds what is known of jobs and workers. A plan is one decision, made anew each time: who waits, in which
-// order, where each unit fits, and what has to stop for it. It is noted in the jobs' progress, which the caller keeps before
-// it tells the workers.
+// A Controller owns what is known of jobs and workers while this process leads. Each decision is made
+// from scratch: who waits and in which order, where each unit fits, and what has to stop for it. What
+// it decides is noted in the jobs' progress, which the caller stores before it tells the workers.
+//
+// The files read in this order: the state (controller.go, jobs.go, worker.go, polls.go, ends.go,
+// crashes.go), the decision (plan.go, and from there in the order of its steps), and what is reported
+// (effects.go, desired.go, metrics.go).
 //
 // Each mechanism of the decision can be switched off by the Policy, for experiments.
 //
 // # Usage
 //
-//	c := dispatch.New(settings, parts)
-//	c.Take(view)                     // a job of the store
-//	c.Report(now, poll)              // what a worker's agent says
+//	c := dispatch.New(settings, dependencies)
+//	c.ApplyJob(stored)                 // a job of the store
+//	c.ApplyPoll(now, poll)             // what a worker's agent says
 //	c.Plan(ctx, now)
-//	records, err := c.Changes(now)   // to be kept
-//	changed := c.Wants(now)          // to be told, once they are kept
+//	records, err := c.TakeRecords(now) // to be stored
+//	changed := c.TakeDesired(now)      // to be told, once the records are stored
 package dispatch
 
 import (
@@ -23,10 +28,9 @@
 	"github.com/rs/zerolog"
 
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/dispatch/estimate"
 	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
-	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
-	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
 // Settings of a controller.
@@ -36,20 +40,24 @@
 	SilentAfter time.Duration
 	// KeepEnded is how long an ended job is kept.
 	KeepEnded time.Duration
-	// MaxInterval is the longest time between two decisions: how late what only comes with time is noticed, such as that an urgent job can't wait for
-	// room any longer, or that a worker has fallen silent.
+	// MaxInterval is the longest time between two decisions. It bounds how late the controller notices
+	// what only time brings, such as that a worker has fallen silent.
 	MaxInterval time.Duration
 }
 
 // DefaultSettings decides with all mechanisms on.
 func DefaultSettings() Settings {
-	return Settings{SilentAfter: 1500 * time.Millisecond, KeepEnded: 3 * time.Minute, MaxInterval: 100 * time.Millisecond}
+	return Settings{
+		SilentAfter: 1500 * time.Millisecond,
+		KeepEnded:   3 * time.Minute,
+		MaxInterval: 100 * time.Millisecond,
+	}
 }
 
 // Dependencies are what a controller works with.
 type Dependencies struct {
 	Catalog *catalog.Follower
-	// Permits may be nil where no queue needs advice.
+	// Permits may be nil where no queue needs permits.
 	Permits PermitIssuer
 	Logger  zerolog.Logger
 	Metrics *Metrics
@@ -58,135 +66,63 @@
 // Controller knows the jobs and the workers, and decides what runs where. One goroutine owns it.
 type Controller struct {
 	settings Settings
-	logger   zerolog.Logger
 	catalog  *catalog.Follower
-	jobs     map[job.ID]*trackedJob
-	// active are the jobs that have not ended, or of which something is placed or to be kept. Ended ones are known for minutes, and there are many
-	// more of them.
+	logger   zerolog.Logger
+	metrics  *Metrics
+
+	// jobs are all that are known. active are those of them that have not ended, or of which something
+	// is placed or to be stored; ended jobs are kept for minutes and are many more.
+	jobs   map[job.ID]*trackedJob
 	active map[job.ID]*trackedJob
-	// arrivals are the urgent jobs of the last while.
+	// unreadable are jobs whose stored form can't be decoded. Nothing of them starts, and what runs goes on.
+	unreadable map[job.ID]bool
+	// arrivals are the urgent jobs that were accepted within headroomWindow.
 	arrivals []urgentArrival
-	workers  map[string]*worker
-	permits  *permitCache
-	// unresolved are lives of which it is open how they ended under a task, with their workers.
+
+	workers map[string]*worker
+	// unresolved are incarnations that ended, or fell silent, under a task before it was known whether
+	// they crashed; the values are their workers.
 	unresolved map[incarnation.ID]string
-	// unreadable are jobs of which something is stored that can't be read. Nothing of them starts, and what runs goes on.
-	unreadable map[job.ID]bool
-	// desired is what workers should run, as it was told last.
+
+	permits   *permitCache
+	durations *estimate.Durations
+	stops     estimate.StopDurations
+
+	// desired is what workers should run, as they were told last.
 	desired *desiredStates
-	// forecast predicts how long tasks work.
-	forecast *forecast
-	// stops is how long runs take to stop.
-	stops   stopDurations
-	metrics *Metrics
-	// metricsAt is when the room was noted last.
+	// nextPlan is when the next decision is due without news.
+	nextPlan time.Time
+	// metricsAt and droppedAt are when metrics were updated and ended jobs were dropped last.
 	metricsAt time.Time
-	// next is when the next decision is due by itself.
-	next time.Time
-	// droppedAt is when jobs that ended long ago were looked for last.
 	droppedAt time.Time
 }
 
 // New returns a controller that knows of no job and no worker.
-func New(s Settings, p Dependencies) *Controller {
+func New(s Settings, d Dependencies) *Controller {
 	return &Controller{
-		settings: s, logger: p.Logger, catalog: p.Catalog, permits: newPermitCache(p.Permits, p.Logger), forecast: newForecast(),
-		metrics: p.Metrics, jobs: map[job.ID]*trackedJob{}, active: map[job.ID]*trackedJob{}, workers: map[string]*worker{}, desired: newDesiredStates(), unresolved: map[incarnation.ID]string{}, unreadable: map[job.ID]bool{},
-	}
-}
-
-// ApplyJob takes a job, or news of one, over from the topic.
-func (c *Controller) ApplyJob(v jobstore.StoredJob) {
-	t := c.jobs[v.ID]
-	if t == nil {
-		t = c.open(v)
-	}
-	if t == nil {
-		return
-	}
-	if v.Cancelled && !t.progress.Phase.Final() {
-		t.progress.Cancel()
-		c.touch(t)
-		c.logger.Info().Str("step", "dispatch.cancel").Str("job", string(v.ID)).Msg("job is cancelled")
+		settings:   s,
+		catalog:    d.Catalog,
+		logger:     d.Logger,
+		metrics:    d.Metrics,
+		jobs:       map[job.ID]*trackedJob{},
+		active:     map[job.ID]*trackedJob{},
+		unreadable: map[job.ID]bool{},
+		workers:    map[string]*worker{},
+		unresolved: map[incarnation.ID]string{},
+		permits:    newPermitCache(d.Permits, d.Logger),
+		durations:  estimate.NewDurations(),
+		desired:    newDesiredStates(),
 	}
 }
 
-func (c *Controller) open(v jobstore.StoredJob) *trackedJob {
-	if v.Submission == nil {
-		return nil
-	}
-	j, err := job.Decode(v.ID, v.Submission)
-	if err != nil {
-		c.hold(v.ID, err, "job is unreadable")
-		return nil
-	}
-	t := newTrackedJob(j)
-	if v.Progress != nil {
-		if t.progress, err = job.DecodeProgress(v.Progress); err != nil {
-			c.hold(v.ID, err, "progress is unreadable")
-			return nil
-		}
-	}
-	if c.unreadable[v.ID] {
-		delete(c.unreadable, v.ID)
-		c.desired.all = true
-	}
-	c.add(t)
-	t.progress.EachUnresolved(func(worker string, open incarnation.ID) { c.unresolved[open] = worker })
-	return t
-}
-
-// add takes a job up.
-func (c *Controller) add(t *trackedJob) {
-	c.jobs[t.job.ID], c.active[t.job.ID] = t, t
-	c.desired.markJob(t)
-	if t.job.Priority == 0 {
-		c.arrivals = append(c.arrivals, urgentArrival{service: t.job.Service, at: t.job.Accepted, accelerators: peakAccelerators(t.job)})
-	}
-}
-
-// touch notes that a job's progress has changes: they are to be kept, and may change what workers should run.
-func (c *Controller) touch(t *trackedJob) {
-	t.dirty = true
-	c.active[t.job.ID] = t
-	c.desired.markJob(t)
-}
-
-// hold holds a job of which something that is stored can't be read. What it says may be that the job is done, so starting it anew could do it
-// twice; and stopping what runs would lose it. It goes on with the next leader that can read it.
-func (c *Controller) hold(id job.ID, err error, what string) {
-	if !c.unreadable[id] {
-		c.logger.Error().Str("step", "dispatch.open").Str("job", string(id)).Err(err).Msg(what)
-		c.desired.all = true
-	}
-	c.unreadable[id] = true
-}
-
-// has reports whether a mechanism decides.
+// has reports whether a mechanism is on.
 func (c *Controller) has(m Mechanism) bool { return c.settings.Policy.Has(m) }
 
 // Jobs is how many jobs are known.
 func (c *Controller) Jobs() int { return len(c.jobs) }
 
-// Next is when the next decision is due by itself.
-func (c *Controller) Next() time.Time { return c.next }
-
-// Permits brings answers of the adviser, which are for TakeAdvice.
-func (c *Controller) Permits() <-chan PermitResult { return c.permits.results }
-
-// ApplyPermits takes an answer of the adviser over.
-func (c *Controller) ApplyPermits(a PermitResult) { c.permits.apply(a) }
-
-// metricsInterval is the time between two looks at the room for the metrics.
-const metricsInterval = time.Second
-
-// UpdateMetrics notes the room in the metrics, now and then.
-func (c *Controller) UpdateMetrics(now time.Time) {
-	if now.Sub(c.metricsAt) >= metricsInterval {
-		c.metricsAt = now
-		c.metrics.observe(c)
-	}
-}
+// Next is when the next decision is due if there is no news.
+func (c *Controller) Next() time.Time { return c.nextPlan }
 
 // Busy reports whether there is work to do.
 func (c *Controller) Busy() bool {
@@ -198,45 +134,19 @@
 	return false
 }
 
-// TakeRecords returns the records of what has changed, and drops jobs that ended long ago.
-func (c *Controller) TakeRecords(now time.Time) ([]topic.Record, error) {
-	var records []topic.Record
-	for id, t := range c.active {
-		ended := t.progress.Phase.Final()
-		if ended && t.progress.EndedAt.IsZero() {
-			t.progress.EndedAt, t.dirty = now, true
-		}
-		if t.dirty {
-			record, err := jobstore.ProgressRecord(id, t.progress)
-			if err != nil {
-				return nil, err
-			}
-			records = append(records, record)
-			t.dirty = false
-		}
-		if ended && !t.progress.AnyPlaced() {
-			delete(c.active, id)
-		}
-	}
-	if now.Sub(c.droppedAt) >= dropInterval {
-		c.droppedAt = now
-		records = append(records, c.dropEnded(now)...)
-	}
-	return records, nil
-}
+// Permits brings results of the permit issuer, which are for ApplyPermits.
+func (c *Controller) Permits() <-chan PermitResult { return c.permits.results }
 
-// dropInterval is the time between two looks for jobs that ended long ago: each looks at all jobs that are known.
-const dropInterval = time.Second
-
-// dropEnded drops jobs that ended long ago, and returns the records that drop what is stored of them.
-func (c *Controller) dropEnded(now time.Time) []topic.Record {
-	var records []topic.Record
-	for id, t := range c.jobs {
-		if c.active[id] == nil && now.Sub(t.progress.EndedAt) > c.settings.KeepEnded {
-			records = append(records, jobstore.DeleteRecords(id)...)
-			delete(c.jobs, id)
-			c.permits.dropJob(id)
-		}
+// ApplyPermits takes over a result of the permit issuer.
+func (c *Controller) ApplyPermits(r PermitResult) { c.permits.apply(r) }
+
+// metricsInterval is the time between two updates of the gauges.
+const metricsInterval = time.Second
+
+// UpdateMetrics updates the gauges if they are due.
+func (c *Controller) UpdateMetrics(now time.Time) {
+	if now.Sub(c.metricsAt) >= metricsInterval {
+		c.metricsAt = now
+		c.metrics.observe(c)
 	}
-	return records
 }
--- /dev/null
+++ b/jobs/dispatch/effects.go
@@ -0,0 +1,117 @@
+package dispatch
+
+import "time"
+
+// start places a new run of the unit, each task on its node.
+func (p *plan) start(w waitingUnit, at []*node) {
+	run := w.tracked.progress.NextRun(w.unit.Tasks)
+	for i, name := range w.unit.Tasks {
+		n := at[i]
+		w.tracked.progress.Assign(p.now, name, run, n.name, n.state.ID)
+		p.takeRoom(w, n)
+		r := &running{
+			tracked:   w.tracked,
+			name:      name,
+			run:       run,
+			node:      n,
+			resources: w.step.Reserved(),
+			endsAt:    p.now.Add(w.duration),
+		}
+		p.addRun(r)
+		p.markSuspect(r, w.suspicion)
+		if n.health.OnProbation() {
+			n.usable = false
+		}
+		p.logStart(w, r)
+	}
+	p.c.touch(w.tracked)
+	delete(w.tracked.waitReasons, w.first())
+}
+
+// takeRoom takes what a task of the unit needs off a node.
+func (p *plan) takeRoom(w waitingUnit, n *node) {
+	n.reserve(w.step.Reserved())
+	n.reserveLater(w.step.Reserved())
+	if !p.endsBeforeReserved(w, n) {
+		n.freeBesideReserved = n.freeBesideReserved.Plus(w.step.Reserved(), -1)
+	}
+}
+
+func (p *plan) logStart(w waitingUnit, r *running) {
+	p.c.logger.Info().
+		Str("step", "dispatch.start").
+		Stringer("task", r.name).
+		Int("run", r.run).
+		Str("worker", r.node.name).
+		Stringer("life", r.node.state.ID).
+		Int("priority", w.tracked.job.Priority).
+		Bool("guaranteed", w.guaranteed).
+		Dur("estimate_ms", w.step.Estimate).
+		Dur("forecast_ms", w.duration).
+		Time("due", w.due).
+		Msg("run is placed")
+}
+
+// stop tells a run to stop.
+func (p *plan) stop(r *running, why stopReason) {
+	if r.stopping {
+		return
+	}
+	r.stopping = true
+	r.tracked.stops[r.name] = stopOrder{run: r.run, cause: why.cause, at: p.now}
+	r.node.freeAfterStops = r.node.freeAfterStops.Plus(r.resources, 1)
+	p.c.desired.markJob(r.tracked)
+	p.c.metrics.stops.Inc(why.label)
+	p.c.logger.Info().
+		Str("step", "dispatch.stop").
+		Stringer("task", r.name).
+		Int("run", r.run).
+		Str("worker", r.node.name).
+		Float64("lost_work_core_s", r.lostWork).
+		Str("why", why.text).
+		Msg("run is to stop")
+}
+
+// logWait logs why a unit waits, unless that was logged last.
+func (p *plan) logWait(w waitingUnit, why string) {
+	if w.tracked.waitReasons[w.first()] == why {
+		return
+	}
+	w.tracked.waitReasons[w.first()] = why
+	p.c.logger.Info().
+		Str("step", "dispatch.wait").
+		Stringer("task", w.first()).
+		Int("tasks", len(w.unit.Tasks)).
+		Int("priority", w.tracked.job.Priority).
+		Bool("guaranteed", w.guaranteed).
+		Time("due", w.due).
+		Str("why", why).
+		Msg("job waits")
+}
+
+// wakeAt makes sure that there is a decision at that time.
+func (p *plan) wakeAt(at time.Time) {
+	if at.Before(p.c.nextPlan) {
+		p.c.nextPlan = at
+	}
+}
+
+// blameWorker quarantines a worker on which a run has stalled.
+func (p *plan) blameWorker(r *running) {
+	if p.has(Quarantine) {
+		r.node.health.WorkerFailed(p.now, r.name.Job)
+	}
+}
+
+// clearCrashes forgets the crashes under a task that has proved sound.
+func (p *plan) clearCrashes(r *running) {
+	if !r.tracked.progress.ClearCrashes(r.name) {
+		return
+	}
+	p.c.touch(r.tracked)
+	p.c.logger.Info().
+		Str("step", "dispatch.clear").
+		Stringer("task", r.name).
+		Int("run", r.run).
+		Msg("task is no longer suspected")
+}
--- /dev/null
+++ b/jobs/dispatch/estimate/durations.go
@@ -0,0 +1,88 @@
+// Package estimate learns how long things take: tasks of a queue, work on a given worker, and the
+// stopping of a run.
+//
+// It owns nothing but the samples that it is given, and relies on no other package. Its types are
+// not safe for concurrent use.
+//
+// # Usage
+//
+//	durations := estimate.NewDurations()
+//	durations.Record("batch", 2*time.Second, 3*time.Second)
+//	durations.Expected("batch", 4*time.Second)
+//
+//	var speed estimate.Speed // of one worker
+//	speed.Record(0.2)        // a run took 1.2 times (e^0.2) as long as on an average worker
+//	speed.Class()            // estimate.Average, until there are more samples like this
+package estimate
+
+import (
+	"math"
+	"time"
+)
+
+const (
+	// priorSteps is the weight of the prior, in steps that took exactly what was estimated.
+	priorSteps = 5
+	// priorVariance is the variance of the logarithm of the prior's estimates.
+	priorVariance = 0.2
+	// maxCorrection bounds the factor between a prediction and the caller's estimate.
+	maxCorrection = 8
+)
+
+// Durations predicts how long tasks work. Callers' estimates can be wrong by a factor of three, and
+// the mean of the queue may say more. So a line is fitted for each queue through the logarithms of
+// estimates and of actual durations: an estimate counts as much as the queue's estimates have proved
+// to be worth.
+type Durations struct {
+	queues map[string]*regression
+}
+
+// regression is a linear regression through the mean, in logarithms of seconds.
+type regression struct {
+	steps                    float64
+	sumX, sumY, sumXX, sumXY float64
+}
+
+// NewDurations returns predictions that equal the estimates.
+func NewDurations() *Durations { return &Durations{queues: map[string]*regression{}} }
+
+// Record adds a step of a queue that was estimated and has finished. Durations that are not positive
+// are ignored.
+func (d *Durations) Record(queue string, estimated, actual time.Duration) {
+	if estimated <= 0 || actual <= 0 {
+		return
+	}
+	r := d.queues[queue]
+	if r == nil {
+		r = &regression{}
+		d.queues[queue] = r
+	}
+	x, y := math.Log(estimated.Seconds()), math.Log(actual.Seconds())
+	r.steps++
+	r.sumX += x
+	r.sumY += y
+	r.sumXX += x * x
+	r.sumXY += x * y
+}
+
+// Expected predicts how long a step with that estimate takes.
+func (d *Durations) Expected(queue string, estimated time.Duration) time.Duration {
+	r := d.queues[queue]
+	if r == nil || estimated <= 0 {
+		return estimated
+	}
+	x := math.Log(estimated.Seconds())
+	y := r.predict(x)
+	y = min(max(y, x-math.Log(maxCorrection)), x+math.Log(maxCorrection))
+	return time.Duration(math.Exp(y) * float64(time.Second))
+}
+
+func (r *regression) predict(x float64) float64 {
+	meanX, meanY := r.sumX/r.steps, r.sumY/r.steps
+	variance := r.sumXX - r.steps*meanX*meanX
+	covariance := r.sumXY - r.steps*meanX*meanY
+	prior := float64(priorSteps * priorVariance)
+	slope := min(max((covariance+prior)/(variance+prior), 0), 1)
+	offset := (meanY - meanX) * r.steps / (r.steps + priorSteps)
+	return meanX + offset + slope*(x-meanX)
+}
--- /dev/null
+++ b/jobs/dispatch/fleet.go
@@ -0,0 +1,259 @@
+package dispatch
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+)
+
+// node is a worker as a plan sees it.
+type node struct {
+	*worker
+	rack *rack
+	// order is the node's place in the order of names.
+	order int
+	// free is what is free now; freeAfterStops what is free once all that was told to stop has ended.
+	free           job.Resources
+	freeAfterStops job.Resources
+	runs           []*running
+
+	// usable says that the node may get work; cordoned that its availability zone is cordoned.
+	usable   bool
+	cordoned bool
+	// reservedUntil is when a gang is expected to need the room reserved for it here, and
+	// freeBesideReserved what is left for work that doesn't end before; zero without a reservation.
+	reservedUntil      time.Time
+	freeBesideReserved job.Resources
+	// hasSuspects says that tasks run here under which workers have crashed. trialRun is a run of such
+	// a task that has the node to itself.
+	hasSuspects bool
+	trialRun    *running
+
+	// taskCount is how many tasks fit of the unit that is searched for.
+	taskCount int
+}
+
+// reserve takes resources off what is free.
+func (n *node) reserve(r job.Resources) {
+	n.free = n.free.Plus(r, -1)
+	n.rack.free -= r.Accelerators
+}
+
+// reserveLater takes resources off what is free once stops have ended.
+func (n *node) reserveLater(r job.Resources) {
+	n.freeAfterStops = n.freeAfterStops.Plus(r, -1)
+}
+
+// rack is the workers of a rack as a plan sees them.
+type rack struct {
+	nodes []*node
+	// order is the rack's place in the order of names.
+	order int
+	// free is how many accelerators are free.
+	free int
+}
+
+// running is a placed run: it takes resources on a node until its end is known.
+type running struct {
+	tracked   *trackedJob
+	name      job.TaskName
+	run       int
+	node      *node
+	resources job.Resources
+	// stopping says that the run was told to stop, or that its result is no longer wanted.
+	stopping bool
+	endsAt   time.Time
+	// lostWork is the work that a stop would lose, stopCost what a stop costs in all; in core-seconds.
+	lostWork float64
+	stopCost float64
+}
+
+func (r *running) id() assignment.RunID { return assignment.RunID{Task: r.name, Run: r.run} }
+
+func (r *running) step() *job.Step { return r.tracked.step(r.name) }
+
+// observed is what the worker has reported of the run; false if it has not listed it.
+func (r *running) observed() (observedRun, bool) {
+	o, known := r.node.worker.runs[r.id()]
+	return o, known
+}
+
+// started reports whether the worker has said that the run is there.
+func (r *running) started() bool {
+	o, known := r.observed()
+	return known && o.percent >= 0
+}
+
+// withGang returns a run with the other members of its gang.
+func (p *plan) withGang(r *running) []*running {
+	if !r.step().Gang {
+		return []*running{r}
+	}
+	return p.gangs[firstOf(r.name)]
+}
+
+// addNodes adds the workers that have reported.
+func (p *plan) addNodes() {
+	cordons, _ := p.c.catalog.Cordons()
+	for _, w := range p.c.workers {
+		if w.state == nil {
+			continue
+		}
+		n := &node{worker: w, free: w.state.Capacity, freeAfterStops: w.state.Capacity}
+		silent := w.unresponsive || p.now.Sub(w.heardAt) > p.c.settings.SilentAfter
+		n.cordoned = cordons.Has(w.state.Zone)
+		n.usable = !silent && !w.closing && !w.state.Draining && !n.cordoned && !w.health.Quarantined(p.now)
+		p.nodes = append(p.nodes, n)
+		p.byName[w.name] = n
+	}
+	slices.SortFunc(p.nodes, func(a, b *node) int { return cmp.Compare(a.name, b.name) })
+	for i, n := range p.nodes {
+		n.order = i
+		p.addToRack(n)
+	}
+	for i, name := range slices.Sorted(maps.Keys(p.racks)) {
+		p.racks[name].order = i
+	}
+}
+
+func (p *plan) addToRack(n *node) {
+	r := p.racks[n.state.Rack]
+	if r == nil {
+		r = &rack{}
+		p.racks[n.state.Rack] = r
+	}
+	n.rack = r
+	r.nodes = append(r.nodes, n)
+	r.free += n.free.Accelerators
+}
+
+// addRuns adds the placed runs and takes their resources off the nodes.
+func (p *plan) addRuns() {
+	placed := 0
+	for _, t := range p.c.active {
+		placed += t.progress.PlacedTasks()
+	}
+	// One allocation for all runs: there may be 14,000.
+	runs := make([]running, 0, placed)
+	for id, t := range p.c.active {
+		t.progress.Placed(id, func(name job.TaskName, task *job.Task) {
+			n := p.byName[task.Worker]
+			if n == nil || n.state.ID != task.Incarnation {
+				return
+			}
+			runs = append(runs, running{
+				tracked:   t,
+				name:      name,
+				run:       task.Run,
+				node:      n,
+				resources: t.step(name).Reserved(),
+				stopping:  task.Done || t.stopping(name, task.Run) || t.progress.Phase.Final(),
+			})
+			p.addPlaced(&runs[len(runs)-1])
+		})
+	}
+	p.alignGangs()
+	p.addUnplacedRuns()
+	for _, n := range p.nodes {
+		if n.health.OnProbation() && len(n.runs) > 0 {
+			n.usable = false
+		}
+	}
+}
+
+// addPlaced adds a placed run.
+func (p *plan) addPlaced(r *running) {
+	p.estimateRun(r)
+	p.addRun(r)
+	r.node.reserve(r.resources)
+	if !r.stopping {
+		r.node.reserveLater(r.resources)
+	}
+}
+
+// addRun lists a run with its node, and with its gang if it is part of one.
+func (p *plan) addRun(r *running) {
+	r.node.runs = append(r.node.runs, r)
+	if r.step().Gang {
+		first := firstOf(r.name)
+		p.gangs[first] = append(p.gangs[first], r)
+	}
+}
+
+// alignGangs lets the members of a gang end together, with the last of them.
+func (p *plan) alignGangs() {
+	for _, members := range p.gangs {
+		var last time.Time
+		for _, r := range members {
+			if r.endsAt.After(last) {
+				last = r.endsAt
+			}
+		}
+		for _, r := range members {
+			r.endsAt = last
+		}
+	}
+}
+
+// addUnplacedRuns takes off the nodes what is used by runs that workers list and that are not placed
+// there: orders that arrived late at a new incarnation. They are told to stop, and a worker that doesn't
+// check its capacity would run more than it has.
+func (p *plan) addUnplacedRuns() {
+	for _, n := range p.nodes {
+		for id := range n.worker.runs {
+			t := p.c.jobs[id.Task.Job]
+			if t != nil && id.Task.Step < len(t.job.Steps) && !isPlacedOn(t, n, id) {
+				n.reserve(t.step(id.Task).Reserved())
+			}
+		}
+	}
+}
+
+// isPlacedOn reports whether a run is placed on the present incarnation of a node's worker.
+func isPlacedOn(t *trackedJob, n *node, id assignment.RunID) bool {
+	task := t.progress.Task(id.Task)
+	return task != nil && task.Placed() && task.Run == id.Run && task.Incarnation == n.state.ID
+}
+
+const (
+	// restartCost is the time from a stop until the task works again elsewhere.
+	restartCost = 500 * time.Millisecond
+	// repeatCost is added to the cost of a stop for each earlier run, as a share of the task's duration:
+	// otherwise the same task would be stopped again and again.
+	repeatCost = 0.3
+	// minRemainingDivisor divides the expected duration: a run takes at least that much longer, unless its
+	// progress says otherwise.
+	minRemainingDivisor = 10
+)
+
+// estimateRun predicts when a run ends, and what a stop would lose and cost.
+func (p *plan) estimateRun(r *running) {
+	step := r.step()
+	duration := p.c.expectedDuration(r.tracked, r.name.Step)
+	worked, remaining := time.Duration(0), duration
+	if o, known := r.observed(); known {
+		worked = p.now.Sub(o.startedAt)
+		remaining = max(duration-worked, duration/minRemainingDivisor)
+		if extrapolated, ok := o.remaining(p.now); ok {
+			remaining = extrapolated
+		}
+	}
+	r.endsAt = p.now.Add(remaining)
+	lost := restartCost
+	if !step.Checkpoint {
+		lost += worked
+		r.lostWork = worked.Seconds() * weight(step.Resources)
+	}
+	if p.has(RepeatCost) {
+		lost += time.Duration(repeatCost * float64(r.run-1) * float64(duration))
+	}
+	// An urgent job that is stopped will be late, so guaranteed jobs stop other work first.
+	if r.tracked.job.Priority == 0 {
+		lost += time.Duration(worthOnTime * float64(duration))
+	}
+	r.stopCost = lost.Seconds() * weight(step.Resources)
+}
--- a/jobs/dispatch/headroom.go
+++ b/jobs/dispatch/headroom.go
@@ -8,120 +8,121 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// Bounds of the room that is kept free for urgent jobs. An urgent job that finds room starts 0.3 to 0.9 s sooner than one for
-// which work has to stop, which is most of the time that short ones have to spare; others can wait for seconds.
+// An urgent job that finds free room starts sooner, by the time of a stop, than one for which work has
+// to stop; short jobs can't spare that. So work that can wait leaves room free for urgent jobs like those
+// that came lately.
 const (
-	// headroomWindow is for how long an urgent job counts as a sign that others like it will come.
+	// headroomWindow is how long an urgent job counts as a sign that others like it will come.
 	headroomWindow = time.Minute
-	// headroomQuantile is the share of the urgent jobs seen lately that would fit into the headroom. 0.75 and 1.0 were no better.
+	// headroomQuantile is the share of the urgent jobs in the window that would find room.
 	headroomQuantile = 0.9
-	// maxHeadroom bounds it, as a share of a service's accelerators. With 0.3 and 0.45 it gained less.
+	// maxHeadroom bounds the room for one urgent job, as a share of a service's accelerators.
 	maxHeadroom = 0.6
-	// Where several urgent jobs come at once, most of these moments are to fit in too: burstSpan is how far apart they may come, about
-	// what a stop takes until its room is free, and mostBurst bounds the room for them, as a share of a service's accelerators. On 240 workers,
-	// without this and without gangs on few workers, 0.015 of a day (error 0.007, ten days in pairs) more was lost of work thrown away.
-	burstWindow      = time.Second
+	// burstWindow is how far apart urgent jobs may come to count as a burst: about the time of a stop.
+	burstWindow = time.Second
+	// maxBurstHeadroom bounds the room for a burst, as a share of a service's accelerators.
 	maxBurstHeadroom = 0.2
-	// maxSlackSpent is the share of its slack that a job may spend on waiting for other room. With 1.0 it gained less.
+	// maxSlackSpent is the share of its slack that a job may spend on leaving headroom free.
 	maxSlackSpent = 0.8
-	// idlePatience is how long a job of which nothing runs waits for other room: callers may expect that one for which there is
-	// room begins within three seconds.
+	// idlePatience is how long a job of which nothing runs leaves headroom free. It is less than the 3 s
+	// within which callers expect a job to start for which there is room.
 	idlePatience = 2 * time.Second
 )
 
-// reserveHeadroom marks the workers of each service that are left free for urgent jobs: in the racks with the most room, as many
-// as the urgent jobs of the last minute would have needed.
-func (p *plan) reserveHeadroom() {
-	p.headroom = map[*node]bool{}
-	for service, seen := range p.urgentSeen() {
-		p.reserveHeadroomFor(service, seen)
-	}
-}
-
-// urgentArrival is an urgent job that was accepted a while ago, and how many accelerators it takes at once.
+// urgentArrival is an urgent job that was accepted, and how many accelerators it takes at once.
 type urgentArrival struct {
 	service      string
 	at           time.Time
 	accelerators int
 }
 
-// urgentSeen lists, by service, the urgent jobs of the last minute in the order in which they came.
-func (p *plan) urgentSeen() map[string][]urgentArrival {
-	seen := map[string][]urgentArrival{}
-	p.c.arrivals = slices.DeleteFunc(p.c.arrivals, func(a urgentArrival) bool { return p.now.Sub(a.at) >= headroomWindow })
+// reserveHeadroom marks the nodes of each service that are kept free for urgent jobs.
+func (p *plan) reserveHeadroom() {
+	for service, arrivals := range p.recentArrivals() {
+		p.reserveHeadroomFor(service, arrivals)
+	}
+}
+
+// reserveHeadroomFor marks nodes of a service: in the rack with the most room as many as most single
+// jobs need, and over all racks as many as most bursts need.
+func (p *plan) reserveHeadroomFor(service string, arrivals []urgentArrival) {
+	racks, total := p.racksByRoom(service)
+	if len(racks) == 0 {
+		return
+	}
+	single, burst := quantile(singleNeeds(arrivals)), quantile(burstNeeds(arrivals))
+	p.markHeadroom(racks[:1], min(single, int(maxHeadroom*float64(total))))
+	p.markHeadroom(racks, min(burst, int(maxBurstHeadroom*float64(total))))
+}
+
+// recentArrivals lists the urgent jobs of the window by service, in the order of their acceptance.
+func (p *plan) recentArrivals() map[string][]urgentArrival {
+	p.c.arrivals = slices.DeleteFunc(p.c.arrivals, func(a urgentArrival) bool {
+		return p.now.Sub(a.at) >= headroomWindow
+	})
+	recent := map[string][]urgentArrival{}
 	for _, a := range p.c.arrivals {
-		seen[a.service] = append(seen[a.service], a)
+		recent[a.service] = append(recent[a.service], a)
 	}
-	for _, all := range seen {
-		slices.SortFunc(all, func(a, b urgentArrival) int { return a.at.Compare(b.at) })
+	for _, arrivals := range recent {
+		slices.SortFunc(arrivals, func(a, b urgentArrival) int { return a.at.Compare(b.at) })
 	}
-	return seen
+	return recent
 }
 
-// singly is how many accelerators each of the jobs takes.
-func singly(seen []urgentArrival) []int {
-	widths := make([]int, len(seen))
-	for i, a := range seen {
-		widths[i] = a.accelerators
+// singleNeeds is how many accelerators each of the jobs takes.
+func singleNeeds(arrivals []urgentArrival) []int {
+	needs := make([]int, len(arrivals))
+	for i, a := range arrivals {
+		needs[i] = a.accelerators
 	}
-	return widths
+	return needs
 }
 
-// together is how many accelerators each of the jobs takes with those that come within burstSpan after it.
-func together(seen []urgentArrival) []int {
-	sums := make([]int, len(seen))
-	for i, a := range seen {
-		for _, b := range seen[i:] {
+// burstNeeds is how many accelerators each of the jobs takes with those that follow within burstWindow.
+func burstNeeds(arrivals []urgentArrival) []int {
+	needs := make([]int, len(arrivals))
+	for i, a := range arrivals {
+		for _, b := range arrivals[i:] {
 			if b.at.Sub(a.at) >= burstWindow {
 				break
 			}
-			sums[i] += b.accelerators
+			needs[i] += b.accelerators
 		}
 	}
-	return sums
-}
-
-// mostOf is the urgentQuantile of what was needed.
-func mostOf(needed []int) int {
-	slices.Sort(needed)
-	return needed[int(headroomQuantile*float64(len(needed)-1)+0.5)]
+	return needs
 }
 
-// reserveHeadroomFor marks workers of a service: in the rack with the most room for most single jobs, and over all racks for most of the
-// moments at which several came.
-func (p *plan) reserveHeadroomFor(service string, seen []urgentArrival) {
-	racks, total := p.roomyRacks(service)
-	if len(racks) == 0 {
-		return
-	}
-	p.markHeadroom(racks[:1], min(mostOf(singly(seen)), int(maxHeadroom*float64(total))))
-	p.markHeadroom(racks, min(mostOf(together(seen)), int(maxBurstHeadroom*float64(total))))
+// quantile is the headroomQuantile of the needs.
+func quantile(needs []int) int {
+	slices.Sort(needs)
+	return needs[int(headroomQuantile*float64(len(needs)-1)+0.5)]
 }
 
-// markHeadroom marks workers of the racks, in their order, until so many free accelerators are marked.
-func (p *plan) markHeadroom(racks [][]*node, want int) {
+// markHeadroom marks nodes of the racks, in their order, until so many free accelerators are marked.
+func (p *plan) markHeadroom(racks [][]*node, accelerators int) {
 	for _, nodes := range racks {
 		slices.SortStableFunc(nodes, func(a, b *node) int {
 			return cmp.Or(
 				cmp.Compare(b.freeAfterStops.Accelerators, a.freeAfterStops.Accelerators),
-				p.compareIf(Speeds, cmp.Compare(a.worker.speed.class(), b.worker.speed.class())),
+				p.compareIf(Speeds, cmp.Compare(a.speed.Class(), b.speed.Class())),
 			)
 		})
 		for _, n := range nodes {
-			if want <= 0 {
+			if accelerators <= 0 {
 				return
 			}
 			if n.freeAfterStops.Accelerators > 0 {
 				p.headroom[n] = true
-				want -= n.freeAfterStops.Accelerators
+				accelerators -= n.freeAfterStops.Accelerators
 			}
 		}
 	}
 }
 
-// roomyRacks returns the usable workers of a service by racks, those with the most free accelerators first, and how many accelerators
-// the service has in all.
-func (p *plan) roomyRacks(service string) (racks [][]*node, total int) {
+// racksByRoom returns the usable nodes of a service by rack, the racks with the most free accelerators
+// first, and how many accelerators the service has in all.
+func (p *plan) racksByRoom(service string) (racks [][]*node, total int) {
 	free := map[*rack]int{}
 	for _, r := range p.racks {
 		var usable []*node
@@ -141,22 +142,19 @@
 	}
 	slices.SortFunc(racks, func(a, b []*node) int {
 		x, y := a[0].rack, b[0].rack
-		return cmp.Or(-cmp.Compare(free[x], free[y]), cmp.Compare(x.order, y.order))
+		return cmp.Or(cmp.Compare(free[y], free[x]), cmp.Compare(x.order, y.order))
 	})
 	return racks, total
 }
 
-// leavesHeadroom reports whether a unit can wait for room that is not kept for urgent jobs: it is not urgent, something of its
-// job runs or it has waited only a moment, and most of its slack is left.
+// leavesHeadroom reports whether a unit can wait for room that is not kept for urgent jobs: it is not
+// urgent, most of its slack is left, and something of its job runs or it has waited only a moment.
 func (p *plan) leavesHeadroom(t *trackedJob, u job.Unit, due time.Time, chain time.Duration) bool {
-	if t.job.Priority == 0 || t.job.LongRunning() || !p.c.has(Headroom) {
+	if t.job.Priority == 0 || t.job.LongRunning() || !p.has(Headroom) {
 		return false
 	}
-	from := t.job.Accepted
-	if t.job.RoundCount > 0 {
-		from = t.job.DueAt(u.Round)
-	}
-	waited, slack := p.now.Sub(from), due.Sub(from)-chain
+	start := t.roundStart(u.Round)
+	waited, slack := p.now.Sub(start), due.Sub(start)-chain
 	if waited > time.Duration(maxSlackSpent*float64(slack)) {
 		return false
 	}
--- /dev/null
+++ b/jobs/dispatch/jobs.go
@@ -0,0 +1,130 @@
+package dispatch
+
+import (
+	"time"
+
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
+)
+
+// ApplyJob takes over a job of the store, or that it was cancelled.
+func (c *Controller) ApplyJob(stored jobstore.StoredJob) {
+	t := c.jobs[stored.ID]
+	if t == nil {
+		t = c.open(stored)
+	}
+	if t == nil {
+		return
+	}
+	if stored.Cancelled && !t.progress.Phase.Final() {
+		t.progress.Cancel()
+		c.touch(t)
+		c.logger.Info().
+			Str("step", "dispatch.cancel").
+			Str("job", string(stored.ID)).
+			Msg("job is cancelled")
+	}
+}
+
+// open decodes a job and tracks it; it returns nil if the job can't be read.
+func (c *Controller) open(stored jobstore.StoredJob) *trackedJob {
+	if stored.Submission == nil {
+		return nil
+	}
+	j, err := job.Decode(stored.ID, stored.Submission)
+	if err != nil {
+		c.hold(stored.ID, err, "job is unreadable")
+		return nil
+	}
+	t := newTrackedJob(j)
+	if stored.Progress != nil {
+		if t.progress, err = job.DecodeProgress(stored.Progress); err != nil {
+			c.hold(stored.ID, err, "progress is unreadable")
+			return nil
+		}
+	}
+	if c.unreadable[stored.ID] {
+		delete(c.unreadable, stored.ID)
+		c.desired.all = true
+	}
+	c.add(t)
+	t.progress.EachUnresolved(func(worker string, id incarnation.ID) { c.unresolved[id] = worker })
+	return t
+}
+
+// add tracks a job.
+func (c *Controller) add(t *trackedJob) {
+	c.jobs[t.job.ID], c.active[t.job.ID] = t, t
+	c.desired.markJob(t)
+	if t.job.Priority == 0 {
+		c.arrivals = append(c.arrivals, urgentArrival{
+			service:      t.job.Service,
+			at:           t.job.Accepted,
+			accelerators: peakAccelerators(t.job),
+		})
+	}
+}
+
+// hold keeps a job that can't be decoded as it is. Its progress may say that it is done, so starting it
+// again could do it twice, and stopping what runs would lose that work. It goes on with the next leader
+// that can read it.
+func (c *Controller) hold(id job.ID, err error, what string) {
+	if !c.unreadable[id] {
+		c.logger.Error().Str("step", "dispatch.open").Str("job", string(id)).Err(err).Msg(what)
+		c.desired.all = true
+	}
+	c.unreadable[id] = true
+}
+
+// touch marks a job's progress as changed: it must be stored, and may change what workers should run.
+func (c *Controller) touch(t *trackedJob) {
+	t.dirty = true
+	c.active[t.job.ID] = t
+	c.desired.markJob(t)
+}
+
+// TakeRecords returns the records of what has changed since the last call, and drops jobs that ended
+// long ago.
+func (c *Controller) TakeRecords(now time.Time) ([]topic.Record, error) {
+	var records []topic.Record
+	for id, t := range c.active {
+		ended := t.progress.Phase.Final()
+		if ended && t.progress.EndedAt.IsZero() {
+			t.progress.EndedAt, t.dirty = now, true
+		}
+		if t.dirty {
+			record, err := jobstore.ProgressRecord(id, t.progress)
+			if err != nil {
+				return nil, err
+			}
+			records = append(records, record)
+			t.dirty = false
+		}
+		if ended && !t.progress.AnyPlaced() {
+			delete(c.active, id)
+		}
+	}
+	if now.Sub(c.droppedAt) >= dropInterval {
+		c.droppedAt = now
+		records = append(records, c.dropEnded(now)...)
+	}
+	return records, nil
+}
+
+// dropInterval is the time between two searches for jobs that ended long ago, which go through all jobs.
+const dropInterval = time.Second
+
+// dropEnded drops jobs that ended long ago, and returns the records that delete them from the store.
+func (c *Controller) dropEnded(now time.Time) []topic.Record {
+	var records []topic.Record
+	for id, t := range c.jobs {
+		if c.active[id] == nil && now.Sub(t.progress.EndedAt) > c.settings.KeepEnded {
+			records = append(records, jobstore.DeleteRecords(id)...)
+			delete(c.jobs, id)
+			c.permits.dropJob(id)
+		}
+	}
+	return records
+}
--- /dev/null
+++ b/jobs/dispatch/polls.go
@@ -0,0 +1,175 @@
+package dispatch
+
+import (
+	"slices"
+	"time"
+
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/dispatch/estimate"
+	"yarrowgrade.example/yarrowgrade/jobs/dispatch/health"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+)
+
+// ApplyPoll takes over what the agent of a worker says. Ends of runs come before ends of incarnations:
+// what has succeeded there counts.
+func (c *Controller) ApplyPoll(now time.Time, poll assignment.Poll) {
+	w := c.ensureWorker(poll.Worker)
+	w.heardAt, w.unresponsive, w.failingSince = now, poll.Unresponsive, time.Time{}
+	w.closing = w.state != nil && slices.Contains(poll.ClosingIncarnations, w.state.ID)
+	if poll.FailingMillis > 0 {
+		w.failingSince = now.Add(-time.Duration(poll.FailingMillis) * time.Millisecond)
+	}
+	if poll.State != nil && poll.Complete {
+		w.closing = false
+		c.applyState(now, w, poll)
+	}
+	for _, end := range poll.EndedIncarnations {
+		c.endIncarnation(now, w, end)
+		if w.state != nil && w.state.ID == end.ID {
+			// Nothing is placed there until the next incarnation reports.
+			w.state = nil
+			c.desired.markWorker(w.name)
+		}
+	}
+}
+
+// applyState takes over a poll that describes the worker completely.
+func (c *Controller) applyState(now time.Time, w *worker, poll assignment.Poll) {
+	if w.state == nil || w.state.ID != poll.State.ID {
+		c.startIncarnation(now, w, poll)
+	}
+	c.resolveAnswering(w, poll)
+	if poll.State.Draining && !w.state.Draining {
+		w.leavesAt = now.Add(time.Duration(poll.State.DrainMillis) * time.Millisecond)
+		c.logger.Info().
+			Str("step", "dispatch.report").
+			Str("worker", w.name).
+			Int64("leaves_in_ms", poll.State.DrainMillis).
+			Msg("worker leaves")
+	}
+	w.state = poll.State
+	before := w.runs
+	c.applyRuns(now, w, poll)
+	for _, e := range poll.Ends {
+		if e.Number > w.ackedEnd {
+			c.recordDuration(e)
+			c.sampleEndedSpeed(w, e, before[e.RunID])
+			c.applyEnd(w, e)
+			w.ackedEnd = e.Number
+			c.desired.markWorker(w.name)
+		}
+	}
+	for _, r := range poll.Refused {
+		c.applyRefusal(now, w, r)
+	}
+}
+
+// applyRuns takes over how far the worker's runs have come.
+func (c *Controller) applyRuns(now time.Time, w *worker, poll assignment.Poll) {
+	runs := make(map[assignment.RunID]observedRun, len(poll.Runs))
+	for _, r := range poll.Runs {
+		o, known := w.runs[r.RunID]
+		if !known {
+			o = newObservedRun(now, r)
+		}
+		if r.Percent > o.percent {
+			o.percent, o.advancedAt = r.Percent, now
+		}
+		c.sampleRunningSpeed(w, r, &o)
+		runs[r.RunID] = o
+	}
+	w.runs = runs
+}
+
+// startIncarnation ends what former incarnations of the worker ran, where the agent has not said how it
+// ended, and starts with an empty record of the worker.
+func (c *Controller) startIncarnation(now time.Time, w *worker, poll assignment.Poll) {
+	present := poll.State
+	for _, end := range poll.EndedIncarnations {
+		c.endIncarnation(now, w, end)
+	}
+	if w.state != nil {
+		c.endIncarnation(now, w, assignment.IncarnationEnd{ID: w.state.ID, Draining: w.state.Draining})
+	}
+	c.resolveFormer(w, present.ID)
+	for _, t := range c.active {
+		t.progress.Placed(t.job.ID, func(name job.TaskName, task *job.Task) {
+			if task.Worker == w.name && task.Incarnation != present.ID {
+				c.loseRun(t, name, task, incarnationOver, job.RunLoss{Verdict: job.MaybeCrashed})
+			}
+		})
+	}
+	c.adoptRuns(now, w, poll)
+	c.logger.Info().
+		Str("step", "dispatch.report").
+		Str("worker", w.name).
+		Stringer("life", present.ID).
+		Msg("worker reports")
+	w.state, w.leavesAt = present, time.Time{}
+	w.runs, w.ackedEnd = map[assignment.RunID]observedRun{}, 0
+	w.health, w.speed = health.Health{}, estimate.Speed{}
+	c.desired.markWorker(w.name)
+}
+
+// adoptRuns places runs that the worker lists though they were sent to a former incarnation. An order
+// names no incarnation, so one that was under way when the worker crashed may be carried out by the
+// next incarnation under the same id. Its task must not start elsewhere meanwhile, and its end counts.
+func (c *Controller) adoptRuns(now time.Time, w *worker, poll assignment.Poll) {
+	for _, r := range poll.Runs {
+		c.adoptRun(now, w, poll.State.ID, r.RunID)
+	}
+	for _, e := range poll.Ends {
+		c.adoptRun(now, w, poll.State.ID, e.RunID)
+	}
+}
+
+// adoptRun places a run on the worker's present incarnation if it is the newest of its task and was
+// taken for lost.
+func (c *Controller) adoptRun(now time.Time, w *worker, present incarnation.ID, id assignment.RunID) {
+	t := c.jobs[id.Task.Job]
+	if t == nil || t.progress.Phase.Final() {
+		return
+	}
+	task := t.progress.Task(id.Task)
+	if task == nil || task.Done || task.Placed() || task.Run != id.Run {
+		return
+	}
+	t.progress.Assign(now, id.Task, id.Run, w.name, present)
+	c.touch(t)
+	if t.inGang(id.Task) {
+		// The run of the other members ended with the former incarnation.
+		t.stop(id.Task, id.Run)
+	}
+	c.metrics.adopted.Inc(1)
+	c.logger.Warn().
+		Str("step", "dispatch.report").
+		Stringer("task", id.Task).
+		Int("run", id.Run).
+		Str("worker", w.name).
+		Stringer("life", present).
+		Msg("run was carried out by a later start of its worker")
+}
+
+// WorkersInUse are the workers on which something is placed.
+func (c *Controller) WorkersInUse() map[string]bool {
+	names := map[string]bool{}
+	for _, t := range c.active {
+		t.progress.Placed(t.job.ID, func(_ job.TaskName, placed *job.Task) { names[placed.Worker] = true })
+	}
+	return names
+}
+
+// ExpireLeases ends all that is placed on workers whose lease has certainly expired.
+func (c *Controller) ExpireLeases(workers map[string]bool) {
+	if len(workers) == 0 {
+		return
+	}
+	for _, t := range c.active {
+		t.progress.Placed(t.job.ID, func(task job.TaskName, placed *job.Task) {
+			if workers[placed.Worker] {
+				c.loseRun(t, task, placed, leaseOver, c.unresolvedLoss(task, placed))
+			}
+		})
+	}
+}
--- /dev/null
+++ b/jobs/dispatch/reasons.go
@@ -0,0 +1,126 @@
+package dispatch
+
+import (
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+)
+
+// lossCause is why the work of a run was thrown away, as metrics and logs name it.
+type lossCause string
+
+// The causes. A gang that breaks counts under the cause of the member that ended first.
+const (
+	lossNone       lossCause = "none"
+	lossYielded    lossCause = "yielded"
+	lossStalled    lossCause = "stalled"
+	lossDrained    lossCause = "worker_leaves"
+	lossCordoned   lossCause = "zone_cordoned"
+	lossShrunk     lossCause = "room_shrunk"
+	lossFailed     lossCause = "failed"
+	lossWorker     lossCause = "worker_lost"
+	lossLease      lossCause = "lease_lapsed"
+	lossIncomplete lossCause = "gang_incomplete"
+	lossGangBroken lossCause = "gang_broken"
+	lossCancelled  lossCause = "cancelled"
+)
+
+func lossCauses() []lossCause {
+	return []lossCause{
+		lossYielded, lossStalled, lossDrained, lossCordoned, lossShrunk, lossFailed,
+		lossWorker, lossLease, lossIncomplete, lossGangBroken, lossCancelled,
+	}
+}
+
+// stopReason is why a run is told to stop.
+type stopReason struct {
+	// text is for logs, label for the metric of stops, and cause for the work that is lost.
+	text  string
+	label string
+	cause lossCause
+}
+
+// Labels of the metric of stops.
+const (
+	stopYields   = "yields"
+	stopStalled  = "stalled"
+	stopDraining = "worker_leaves"
+	stopCordoned = "zone_cordoned"
+	stopShrunk   = "room_shrunk"
+)
+
+// The reasons for stops, besides yieldsTo.
+var (
+	stalled           = stopReason{"it stands still", stopStalled, lossStalled}
+	zoneCordoned      = stopReason{"its zone is cordoned and it has not begun", stopCordoned, lossCordoned}
+	capacityShrunk    = stopReason{"its worker's room has shrunk and it has not begun", stopShrunk, lossShrunk}
+	workerLeaves      = stopReason{"its worker leaves before it ends", stopDraining, lossDrained}
+	workerLeavesSaved = stopReason{"its worker leaves, and its work is saved", stopDraining, lossDrained}
+)
+
+// yieldsTo is the reason of a run that makes room for an urgent unit. The command-line tool finds the
+// unit in the text.
+func yieldsTo(unit job.TaskName) stopReason {
+	return stopReason{"it yields to " + unit.String(), stopYields, lossYielded}
+}
+
+// lostReason is why a run is given up without an end, with its label in metrics.
+type lostReason struct {
+	text  string
+	label string
+}
+
+// The reasons for which runs are given up.
+var (
+	leaseOver       = lostReason{"its lease is over", "lease_over"}
+	incarnationOver = lostReason{"its life is over", "life_over"}
+)
+
+// gangEnd is why the first member of a run of a gang ended.
+type gangEnd struct {
+	run   int
+	cause lossCause
+}
+
+// workLost says why the work of a run that has ended was lost, and how much of it, in core-seconds. Work
+// that saves checkpoints counts as kept, though the newest part of it may not be.
+func (t *trackedJob) workLost(e assignment.End) (lossCause, float64) {
+	cause := t.lossCause(e)
+	if cause == lossNone {
+		return cause, 0
+	}
+	step := t.step(e.Task)
+	if step.Gang {
+		first := firstOf(e.Task)
+		if earlier, ok := t.gangEnds[first]; ok && earlier.run == e.Run {
+			cause = earlier.cause
+		} else {
+			t.gangEnds[first] = gangEnd{run: e.Run, cause: cause}
+		}
+	}
+	if step.Checkpoint || step.LongRunning {
+		return cause, 0
+	}
+	return cause, e.Took().Seconds() * weight(step.Resources)
+}
+
+// lossCause is why a run ended as it did, regardless of its gang.
+func (t *trackedJob) lossCause(e assignment.End) lossCause {
+	switch {
+	case e.Reason == job.EndDone || e.Reason == job.EndRefused:
+		return lossNone
+	case t.progress.Phase == job.Cancelled:
+		return lossCancelled
+	case e.Reason == job.EndFailed:
+		return lossFailed
+	case e.Reason == job.EndLost:
+		return lossWorker
+	case e.Reason == job.EndLeaseExpired:
+		return lossLease
+	case e.Reason == job.EndGangIncomplete:
+		return lossIncomplete
+	}
+	if order := t.stops[e.Task]; order.cause != "" {
+		return order.cause
+	}
+	return lossGangBroken
+}
--- /dev/null
+++ b/jobs/dispatch/search.go
@@ -0,0 +1,185 @@
+package dispatch
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+)
+
+// roomOf is what a search takes for free on a node.
+type roomOf func(n *node) job.Resources
+
+// roomNow is what is free now, roomAfterStops what is free once all that was told to stop has ended.
+func roomNow(n *node) job.Resources        { return n.free }
+func roomAfterStops(n *node) job.Resources { return n.freeAfterStops }
+
+// search is all that the outcome of a search for room depends on, for a given state of the nodes: units
+// with equal searches find the same. A new condition in mayPlace or preference has to show here.
+type search struct {
+	service, label, dataRack string
+	resources                job.Resources
+	tasks                    int
+	gang, sameRack           bool
+	leavesHeadroom           bool
+	duration                 time.Duration
+	urgent, checkpoint       bool
+	// job is set where the outcome depends on more of the job, such as where else it runs or its permits.
+	job job.ID
+}
+
+func searchOf(w waitingUnit) search {
+	s := search{
+		service:        w.tracked.job.Service,
+		label:          w.step.RequiredLabel,
+		dataRack:       w.step.DataRack,
+		resources:      w.step.Reserved(),
+		tasks:          len(w.unit.Tasks),
+		gang:           w.step.Gang,
+		sameRack:       w.step.SameRack,
+		leavesHeadroom: w.leavesHeadroom,
+		duration:       w.duration,
+		urgent:         w.urgent(),
+		checkpoint:     w.step.Checkpoint,
+	}
+	if dependsOnJob(w) {
+		s.job = w.tracked.job.ID
+	}
+	return s
+}
+
+// dependsOnJob reports whether a search for the unit has an outcome of its own.
+func dependsOnJob(w waitingUnit) bool {
+	t := w.tracked
+	return w.step.MaxPerWorker > 0 || w.step.DataRack != "" || w.step.BestEffort || w.step.LatencyTarget > 0 ||
+		t.job.NeedsPermit || len(t.failedAt) > 0 || t.progress.Suspects() > 0
+}
+
+// find returns a node for each task of the unit, or nil.
+func (p *plan) find(w waitingUnit, room roomOf) []*node {
+	var best []*node
+	for _, domain := range p.domains(w) {
+		at := p.findIn(w, domain, room)
+		if at == nil {
+			continue
+		}
+		if !p.seeksSpeed(w) {
+			return at
+		}
+		if best == nil || slowestClass(at) < slowestClass(best) {
+			best = at
+		}
+	}
+	return best
+}
+
+// findIn returns a node of the domain for each task of the unit, the preferred ones first, or nil.
+func (p *plan) findIn(w waitingUnit, domain []*node, room roomOf) []*node {
+	candidates, fitting := p.candidates(w, domain, room)
+	tasks := len(w.unit.Tasks)
+	if fitting < tasks {
+		return nil
+	}
+	better := p.preference(w, candidates, room)
+	if tasks == 1 {
+		return []*node{slices.MinFunc(candidates, better)}
+	}
+	slices.SortFunc(candidates, better)
+	at := make([]*node, 0, tasks)
+	for _, n := range candidates {
+		for range p.countOn(w, n, room(n), tasks-len(at)) {
+			at = append(at, n)
+		}
+	}
+	return at
+}
+
+// candidates returns the nodes on which tasks of the unit may be placed, and how many fit in all.
+func (p *plan) candidates(w waitingUnit, domain []*node, room roomOf) (nodes []*node, fitting int) {
+	for _, n := range domain {
+		if !n.usable || !w.step.Reserved().FitsIn(room(n)) || !p.mayPlace(w, n) {
+			continue
+		}
+		if k := p.countOn(w, n, room(n), len(w.unit.Tasks)); k > 0 {
+			nodes = append(nodes, n)
+			n.taskCount = k
+			fitting += k
+		}
+	}
+	return nodes, fitting
+}
+
+// dataPatience is how long a task waits for room near its data, in multiples of its estimate.
+const dataPatience = 1.5
+
+// domains are the sets of nodes within which a unit may be placed, the better ones first: near its data,
+// within a rack, or anywhere.
+func (p *plan) domains(w waitingUnit) [][]*node {
+	switch {
+	case w.step.DataRack != "":
+		return p.domainsNearData(w)
+	case w.step.Gang && w.step.SameRack:
+		return p.rackDomains(w)
+	}
+	return [][]*node{p.nodes}
+}
+
+// domainsNearData is the rack with the unit's data alone for a while, and all nodes after that.
+func (p *plan) domainsNearData(w waitingUnit) [][]*node {
+	var near []*node
+	if r := p.racks[w.step.DataRack]; r != nil {
+		near = inOpenZones(r.nodes)
+	}
+	waited := p.now.Sub(w.tracked.job.Accepted)
+	patient := p.has(DataPatience) && waited < time.Duration(dataPatience*float64(w.step.Estimate))
+	if patient && len(near) > 0 && (!w.step.Gang || p.canEverFit(w, near)) {
+		return [][]*node{near}
+	}
+	return [][]*node{near, p.nodes}
+}
+
+// rackDomains are the racks that could hold a gang if they were empty, the fullest first. A gang that no
+// rack can hold is spread over all nodes.
+func (p *plan) rackDomains(w waitingUnit) [][]*node {
+	var racks []*rack
+	for _, r := range p.racks {
+		if p.canEverFit(w, r.nodes) {
+			racks = append(racks, r)
+		}
+	}
+	if len(racks) == 0 {
+		return [][]*node{p.nodes}
+	}
+	slices.SortFunc(racks, func(a, b *rack) int {
+		return cmp.Or(
+			p.compareRackEnds(w, a, b),
+			cmp.Compare(a.free, b.free),
+			cmp.Compare(a.order, b.order),
+		)
+	})
+	domains := make([][]*node, len(racks))
+	for i, r := range racks {
+		domains[i] = r.nodes
+	}
+	return domains
+}
+
+// inOpenZones returns those of the nodes whose zone is not cordoned: no unit waits for the others.
+func inOpenZones(nodes []*node) []*node {
+	if !slices.ContainsFunc(nodes, func(n *node) bool { return n.cordoned }) {
+		return nodes
+	}
+	return slices.DeleteFunc(slices.Clone(nodes), func(n *node) bool { return n.cordoned })
+}
+
+// canEverFit reports whether the unit would fit into the nodes if they were empty.
+func (p *plan) canEverFit(w waitingUnit, nodes []*node) bool {
+	left := len(w.unit.Tasks)
+	for _, n := range nodes {
+		if !n.state.Draining && !n.cordoned && allowed(w, n) {
+			left -= tasksFitting(w.step.Reserved(), n.state.Capacity, tasksAllowed(w, n))
+		}
+	}
+	return left <= 0
+}
--- a/jobs/dispatch/suspects.go
+++ b/jobs/dispatch/suspects.go
@@ -8,39 +8,40 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// A task under which workers have crashed is a suspect: it, or what ran beside it, may crash the next one too. Placed as others are, it
-// meets the same neighbours again, since what was lost together waits together: of nine stand-in days with one such task and one sound job
-// seven gave up the sound job as well. So suspects keep apart from each other where there is room for that. Before the crash that may give it
-// up, a suspect is tried on a worker of its own, where the least is lost, which tells it from its neighbours. Spreading suspects over the
-// emptiest workers after one crash gained nothing more on stand-in days.
+// A task under which workers have crashed is a suspect: it, or what ran beside it, may crash the next one
+// too. Placed like others it would meet the same neighbours again, since what was lost together waits
+// together, and a sound task would be given up with it. So suspects keep apart from each other where
+// there is room. Before the crash that may give it up, a suspect is on trial: it gets a worker of its
+// own, which shows whether it or a neighbour is to blame. When a task is given up is decided in package
+// job.
 const (
-	// trialTime is for how long a worker is a suspect's own. A task that crashes its worker later is found by number alone.
+	// trialTime is how long a worker is reserved for a suspect on trial. A task that crashes its worker
+	// later is only found by the number of crashes.
 	trialTime = 5 * time.Second
-	// trialPatience is how long a suspect waits for such a worker, before it takes any. Users count a job as lost of which nothing runs for 3 s
-	// while there is room.
+	// trialPatience is how long a suspect waits for such a worker before it takes any. It is less than
+	// the 3 s within which callers expect a job to start for which there is room.
 	trialPatience = 1500 * time.Millisecond
-	// trialShare bounds the workers that are suspects' own at once, as a share.
-	trialShare = 0.25
-	// recentCrash is for how long a worker that has crashed is itself suspected. The emptiest worker is often one that has just come back: a
-	// worker that crashes again and again took the same sound task three times.
+	// maxTrialShare bounds the workers that are reserved for suspects, as a share of all.
+	maxTrialShare = 0.25
+	// recentCrash is how long a worker that has crashed is itself suspected. The emptiest worker is often
+	// one that has just come back.
 	recentCrash = 10 * time.Second
-	// soundAfter is how long a task that lasts must have been there to be cleared. Such a task outlives many workers, and without this it would be given up
-	// at the third that crashes, in however many months. One that crashes each of its workers only after that is not found.
+	// soundAfter is how long a long-running task must run to be cleared. Such a task outlives many
+	// workers, and would be given up at the third that crashes, however much later.
 	soundAfter = time.Minute
 )
 
-// suspicionLevel is how far the tasks of a unit are suspected.
+// suspicionLevel is how far a task is suspected.
 type suspicionLevel int
 
 const (
 	trusted suspicionLevel = iota
-	// suspected: a worker has crashed under one of the tasks.
+	// suspected: a worker has crashed under the task.
 	suspected
 	// onTrial: one more crash may give the task up.
 	onTrial
 )
 
-// suspicionOfTask is how far a task is suspected.
 func suspicionOfTask(t *job.Task) suspicionLevel {
 	switch {
 	case t == nil || t.Done || t.SuspectedCrashes() == 0:
@@ -51,9 +52,9 @@
 	return suspected
 }
 
-// suspicionOfUnit is that of its most suspected task.
+// suspicionOfUnit is that of the unit's most suspected task.
 func (p *plan) suspicionOfUnit(t *trackedJob, u job.Unit) suspicionLevel {
-	if t.progress.Suspects() == 0 || !p.c.has(SuspectsApart) {
+	if t.progress.Suspects() == 0 || !p.has(SuspectsApart) {
 		return trusted
 	}
 	most := trusted
@@ -63,7 +64,8 @@
 	return most
 }
 
-// suspectedAt is when a worker last crashed under a task of the unit. A leader that did not see it takes it for now.
+// suspectedAt is when a worker last crashed under a task of the unit; a leader that did not see it takes
+// it for now.
 func (t *trackedJob) suspectedAt(u job.Unit, now time.Time) time.Time {
 	var latest time.Time
 	if t.progress.Suspects() == 0 {
@@ -83,51 +85,46 @@
 	return latest
 }
 
-// markSuspects marks the workers on which suspects run.
+// markSuspects marks the nodes on which suspects run.
 func (p *plan) markSuspects() {
-	if !p.c.has(SuspectsApart) {
+	if !p.has(SuspectsApart) {
 		return
 	}
 	for _, n := range p.nodes {
 		for _, r := range n.runs {
-			if r.tracked.progress.Suspects() > 0 {
-				p.clearIfSound(n, r)
-				p.markSuspect(n, r, suspicionOfTask(r.tracked.progress.Task(r.name)))
+			if r.tracked.progress.Suspects() == 0 {
+				continue
 			}
+			if r.step().LongRunning && p.runningFor(r) >= soundAfter {
+				p.clearCrashes(r)
+			}
+			p.markSuspect(r, suspicionOfTask(r.tracked.progress.Task(r.name)))
 		}
 	}
 }
 
-// clearIfSound forgets the crashes under a task that lasts once it has been there long enough.
-func (p *plan) clearIfSound(n *node, r *running) {
-	if !r.tracked.job.Steps[r.name.Step].LongRunning || p.ageOf(n, r) < soundAfter || !r.tracked.progress.ClearCrashes(r.name) {
-		return
-	}
-	p.c.touch(r.tracked)
-	p.c.logger.Info().Str("step", "dispatch.clear").Stringer("task", r.name).Int("run", r.run).Msg("task is no longer suspected")
-}
-
-// markSuspect marks the worker of a run by how far its task is suspected.
-func (p *plan) markSuspect(n *node, r *running, s suspicionLevel) {
+// markSuspect marks the node of a run by how far its task is suspected.
+func (p *plan) markSuspect(r *running, s suspicionLevel) {
 	if s == trusted {
 		return
 	}
+	n := r.node
 	n.hasSuspects = true
-	if s == onTrial && p.ageOf(n, r) < trialTime && n.trialRun == nil {
+	if s == onTrial && p.runningFor(r) < trialTime && n.trialRun == nil {
 		n.trialRun = r
 		p.trials++
 	}
 }
 
-// ageOf is for how long a run has been there, zero if it has not been seen there.
-func (p *plan) ageOf(n *node, r *running) time.Duration {
-	if o, known := n.worker.runs[runID(r)]; known {
+// runningFor is how long a run has been there; zero if its worker has not listed it.
+func (p *plan) runningFor(r *running) time.Duration {
+	if o, known := r.observed(); known {
 		return p.now.Sub(o.startedAt)
 	}
 	return 0
 }
 
-// awaitsVerdict reports whether it has to be known first whether the last workers of a task crashed.
+// awaitsVerdict reports whether it must be known first whether the last workers of a task crashed.
 func (p *plan) awaitsVerdict(w waitingUnit) bool {
 	if w.tracked.progress.Suspects() == 0 {
 		return false
@@ -149,7 +146,8 @@
 	return t != nil && t.HasExtraStarts()
 }
 
-// mustKeepApart reports whether the unit must not be placed on the node for the sake of suspects.
+// mustKeepApart reports whether the unit must not be placed on the node because of suspects: another
+// unit has the node to itself, or the unit is on trial and the node is not a good place for that.
 func (p *plan) mustKeepApart(w waitingUnit, n *node) bool {
 	switch {
 	case n.trialRun != nil && !isOf(w, n.trialRun):
@@ -157,29 +155,35 @@
 	case w.suspicion != onTrial || p.now.Sub(w.suspectedAt) >= trialPatience:
 		return false
 	}
-	return n.trialRun == nil && p.trials >= p.maxTrials() || p.unsteady(n) || slices.ContainsFunc(n.runs, func(r *running) bool { return !isOf(w, r) })
+	full := n.trialRun == nil && p.trials >= p.maxTrials()
+	shared := slices.ContainsFunc(n.runs, func(r *running) bool { return !isOf(w, r) })
+	return full || p.crashedRecently(n) || shared
 }
 
-// isOf reports whether a run is of the unit: only a gang's members are, and only they crash as one.
+// isOf reports whether a run is of the unit's gang: only a gang has runs while it waits.
 func isOf(w waitingUnit, r *running) bool {
-	return w.step.Gang && firstOf(r.name) == firstOf(w.unit.Tasks[0])
+	return w.step.Gang && firstOf(r.name) == firstOf(w.first())
 }
 
-// maxTrials is how many workers may be suspects' own at once.
-func (p *plan) maxTrials() int { return max(1, int(trialShare*float64(len(p.nodes)))) }
+// maxTrials is how many nodes may be reserved for suspects at once.
+func (p *plan) maxTrials() int { return max(1, int(maxTrialShare*float64(len(p.nodes)))) }
 
-// compareRisk orders two nodes for a unit by what a crash may lose. A suspect keeps off others and off workers that have just crashed; one that is on
-// trial takes the worker with the least work besides. Work that is not suspected goes where it always does.
+// compareRisk orders two nodes for a unit by what a crash may lose. A suspect keeps off others and off
+// workers that crashed recently; one on trial takes the worker with the least work. Units that are not
+// suspected don't care.
 func (p *plan) compareRisk(w waitingUnit, a, b *node) int {
 	if w.suspicion == trusted {
 		return 0
 	}
-	order := cmp.Or(compareBool(a.hasSuspects, b.hasSuspects), compareBool(p.unsteady(a), p.unsteady(b)))
+	order := cmp.Or(
+		compareBool(a.hasSuspects, b.hasSuspects),
+		compareBool(p.crashedRecently(a), p.crashedRecently(b)),
+	)
 	if order != 0 || w.suspicion == suspected {
 		return order
 	}
 	return cmp.Or(cmp.Compare(lostWorkOf(a.runs), lostWorkOf(b.runs)), cmp.Compare(len(a.runs), len(b.runs)))
 }
 
-// unsteady reports whether the worker has crashed a short while ago.
-func (p *plan) unsteady(n *node) bool { return p.now.Sub(n.worker.crashedAt) < recentCrash }
+// crashedRecently reports whether the node's worker has crashed a short while ago.
+func (p *plan) crashedRecently(n *node) bool { return p.now.Sub(n.crashedAt) < recentCrash }
