--- a/jobs/leader/election.go
+++ b/jobs/leader/election.go
@@ -1,143 +1,166 @@
 package leader
 
 import (
-	"context"
-	"errors"
 	"math/rand/v2"
-	"net/http"
-	"syscall"
 	"time"
 
-	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
-	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 	"yarrowgrade.example/yarrowgrade/jobs/directory"
-	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// await returns when this entry leads in a term above the one that it has lost. It claims none before the end of the rest.
-func (c *Candidate) await(ctx context.Context, lost int64, rest time.Time) (directory.Leader, bool) {
-	drawn := c.settings.Timing.ElectionTimeout + rand.N(c.settings.Timing.ElectionTimeout/5)
-	began := time.Now()
-	var claimed, asked time.Time
-	answers := make(chan directory.Leader, 1)
-	var gone directory.Leader
-	var vacated time.Time
-	for {
-		if c.resigned() {
-			return directory.Leader{}, false
-		}
-		changed := c.parts.Replica.Changed()
-		leader, sign, next := c.parts.Replica.Leader()
-		if leader.Incarnation == c.settings.Incarnation && leader.Term > lost {
-			return leader, true
-		}
-		known := !c.parts.Replica.SyncedAt().IsZero()
-		// After a gap in this entry's own reads the leader gets its time to show itself.
-		if watching := time.Now().Add(-min(c.parts.Replica.SyncedFor(), time.Since(began))); sign.Before(watching) {
-			sign = watching
-		}
-		// Those that are not in line read less often, and leave the others time to take over.
-		deference := time.Duration(0)
-		if !c.parts.Directory.IsStandby(c.settings.Entry) {
-			deference = c.settings.Timing.NonStandbyDelay
-		}
-		// While the log is slow, so are the signs.
-		patience := max(drawn, 2*c.parts.Latency.HedgeDelay(0)) + deference
-		offered := leader.Term == c.offered.Load()
-		lapsed := time.Since(sign) > patience
-		vacant := leader.Incarnation == "" || offered || leader == gone || lapsed
-		switch {
-		case !vacant:
-			vacated = time.Time{}
-		case vacated.IsZero():
-			vacated = time.Now()
-		}
-		deferring := !offered && !lapsed && time.Since(vacated) < deference
-		if !vacant && known && c.shouldAsk(sign, asked, deference) {
-			asked = time.Now()
-			go c.askLeader(ctx, leader, answers)
-		}
-		if vacant || time.Since(sign) > c.settings.Timing.SuspicionTimeout+deference-awaitTick {
-			// Signs may have come that are not read yet.
-			c.parts.Replica.ReadNow()
-		}
-		if vacant && known && !deferring && time.Now().After(rest) && time.Since(claimed) > patience/2 {
-			claimed = time.Now()
-			if err := c.claim(ctx, leader.Term+1, next); errors.Is(err, topic.ErrConflict) {
-				// Something else was written meanwhile, perhaps by the leader. Once that has been read, it is looked at again.
-				claimed = time.Time{}
-			}
-		}
-		select {
-		case <-changed:
-		case gone = <-answers:
-		case <-time.After(awaitTick):
-		case <-c.resign:
-			return leader, false
-		case <-ctx.Done():
-			return leader, false
-		}
-	}
+// Times of an election.
+const (
+	// electionTick is the longest time between two looks at the evidence.
+	electionTick = 100 * time.Millisecond
+	// askTimeout bounds the question to a leader whether it is still there. Two questions are at
+	// least that far apart.
+	askTimeout = 300 * time.Millisecond
+	// jitterDivisor bounds the random addition to an entry's election timeout: a fifth of it.
+	// Entries that lose the leader at the same moment then don't all claim at once.
+	jitterDivisor = 5
+)
+
+// evidence is what an entry knows about the leader at one moment.
+type evidence struct {
+	// leader is the newest leader in the job topic. It has no incarnation after giving up
+	// leadership.
+	leader directory.Leader
+	// lastWrite is when a write of the leader was last read.
+	lastWrite time.Time
+	// end is the offset after the last record that has been read.
+	end int64
+	// synced says that the whole topic has been read at least once.
+	synced bool
+	// syncedFor is how long this entry has been reading the topic without a gap.
+	syncedFor time.Duration
+	// standby says that this entry is one of the few that take over first.
+	standby bool
+	// hedgeDelay is how long an answer of the log usually takes at most.
+	hedgeDelay time.Duration
+	// offeredTerm is the newest term whose leader has offered leadership to this entry.
+	offeredTerm int64
 }
 
-// shouldAsk reports whether it is time to ask the leader whether it is still there: at once after this process has started,
-// because after a loss of power the leader may be gone as well, and later when no sign of it has come for a while. One that is not in line asks that much
-// later, and not at its start: else all entries ask one that may just have started too.
-func (c *Candidate) shouldAsk(sign, asked time.Time, deference time.Duration) bool {
-	if time.Since(asked) < askTimeout {
-		return false
-	}
-	return asked.IsZero() && deference == 0 || time.Since(sign) > c.settings.Timing.SuspicionTimeout+deference
+// election is the state of an entry that waits until it leads. It never changes; step returns the
+// next one.
+type election struct {
+	timing Timing
+	// self is the incarnation of this entry.
+	self string
+	// lostTerm is the term that this entry has led last: it leads in a higher one only.
+	lostTerm int64
+	// earliestClaim is when it may claim a term at the earliest.
+	earliestClaim time.Time
+	// timeout is the election timeout with this entry's jitter.
+	timeout time.Duration
+	began   time.Time
+
+	askedAt   time.Time
+	claimedAt time.Time
+	// vacantSince is since when the leader has counted as gone; zero while it does not.
+	vacantSince time.Time
+	// gone is the last leader that was found not to be there any more.
+	gone directory.Leader
 }
 
-// askLeader asks the leader whether it is still there, and passes it on as one that is gone if it is not.
-func (c *Candidate) askLeader(ctx context.Context, leader directory.Leader, gone chan<- directory.Leader) {
-	if !c.leaderIsGone(ctx, leader) {
-		return
-	}
-	select {
-	case gone <- leader:
-	default:
-		// An earlier answer has not been taken yet.
+// newElection returns the state of an entry that begins to wait.
+func newElection(timing Timing, self string, lostTerm int64, earliestClaim, now time.Time) election {
+	return election{
+		timing:        timing,
+		self:          self,
+		lostTerm:      lostTerm,
+		earliestClaim: earliestClaim,
+		timeout:       timing.ElectionTimeout + rand.N(timing.ElectionTimeout/jitterDivisor),
+		began:         now,
 	}
 }
 
-// leaderIsGone asks the leader whether it is still there. Only an answer of another life, or none because nothing listens
-// there, says that it is not; the leader's silence says nothing.
-func (c *Candidate) leaderIsGone(ctx context.Context, leader directory.Leader) bool {
-	if leader.Address == c.settings.Address {
-		return true
+// WithGone returns the election after a leader was found not to be there any more.
+func (e election) WithGone(leader directory.Leader) election {
+	e.gone = leader
+	return e
+}
+
+// WithoutClaim returns the election after a claim that came to nothing: the next one need not
+// wait.
+func (e election) WithoutClaim() election {
+	e.claimedAt = time.Time{}
+	return e
+}
+
+// actions are what an entry does next in an election. All may be false: it waits.
+type actions struct {
+	// lead says that this entry is the leader; the other fields are false then.
+	lead bool
+	// ask says to ask the leader whether it is still there.
+	ask bool
+	// read says to read the topic now: it may hold writes of the leader that are not read yet.
+	read bool
+	// claim says to claim the term after that of the leader.
+	claim bool
+}
+
+// step returns what follows from the evidence at a time.
+func (e election) step(now time.Time, ev evidence) (election, actions) {
+	if ev.leader.Incarnation == e.self && ev.leader.Term > e.lostTerm {
+		return e, actions{lead: true}
+	}
+	silence := e.silence(now, ev)
+	delay := e.delay(ev)
+	timeout := e.silenceLimit(ev)
+	offered := ev.leader.Term == ev.offeredTerm
+	timedOut := silence > timeout
+	vacant := ev.leader.Incarnation == "" || offered || ev.leader == e.gone || timedOut
+	switch {
+	case !vacant:
+		e.vacantSince = time.Time{}
+	case e.vacantSince.IsZero():
+		e.vacantSince = now
+	}
+	// A timeout includes the delay, and an offer is meant for this entry.
+	delayed := !offered && !timedOut && now.Sub(e.vacantSince) < delay
+	mayClaim := vacant && ev.synced && !delayed && now.After(e.earliestClaim)
+	a := actions{
+		ask:   !vacant && ev.synced && e.shouldAsk(now, silence, delay),
+		read:  vacant || silence > e.timing.SuspicionTimeout+delay-electionTick,
+		claim: mayClaim && now.Sub(e.claimedAt) > timeout/2,
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
-	defer cancel()
-	var r assignment.Redirect
-	err := jsonhttp.Call(ctx, c.parts.Client, "leader.ask", http.MethodGet, "http://"+leader.Address, assignment.LeaderPath, nil, &r)
-	if err != nil {
-		return errors.Is(err, syscall.ECONNREFUSED)
+	if a.ask {
+		e.askedAt = now
 	}
-	return r.Self != leader.Incarnation
+	if a.claim {
+		e.claimedAt = now
+	}
+	return e, a
 }
 
-// askTimeout bounds the question to a leader.
-const askTimeout = 300 * time.Millisecond
-
-// awaitTick is how often the silence of the leader is looked at.
-const awaitTick = 100 * time.Millisecond
+// silence is how long the leader has written nothing, as far as this entry could have seen it:
+// after a gap in its own reads, and at the beginning, it counts from zero.
+func (e election) silence(now time.Time, ev evidence) time.Duration {
+	watched := min(ev.syncedFor, now.Sub(e.began))
+	return min(now.Sub(ev.lastWrite), watched)
+}
 
-// claim writes the claim of a term. Whether it counts is seen in the topic alone: the log takes the claims of several
-// entries for doubles of one call, because they carry the same term and number, and answers all of them with success.
-func (c *Candidate) claim(ctx context.Context, term, next int64) error {
-	record, err := directory.LeaderRecord(directory.Leader{Term: term, Incarnation: c.settings.Incarnation, Address: c.settings.Address})
-	if err != nil {
-		return err
+// delay is how much longer this entry waits than the standbys. It reads less often than they do,
+// and they go first.
+func (e election) delay(ev evidence) time.Duration {
+	if ev.standby {
+		return 0
 	}
-	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
-	defer cancel()
-	condition := topic.Condition{At: next, Exact: true, Producer: directory.TermProducer(term, 0)}
-	offset, err := c.parts.Log.Append(ctx, []topic.Record{record}, condition)
-	c.parts.Logger.Info().Str("step", "leader.claim").Int64("term", term).Int64("offset", offset).Err(err).Msg("leadership claimed")
-	return err
+	return e.timing.NonStandbyDelay
 }
 
-// claimTimeout bounds a claim.
-const claimTimeout = 900 * time.Millisecond
+// silenceLimit is the silence after which the leader counts as gone. While the log is slow, so
+// are the leader's writes.
+func (e election) silenceLimit(ev evidence) time.Duration {
+	return max(e.timeout, 2*ev.hedgeDelay) + e.delay(ev)
+}
+
+// shouldAsk reports whether it is time to ask the leader whether it is still there. A standby
+// also asks once at its own start: after a loss of power the leader may be gone as well.
+func (e election) shouldAsk(now time.Time, silence, delay time.Duration) bool {
+	if now.Sub(e.askedAt) < askTimeout {
+		return false
+	}
+	atStart := e.askedAt.IsZero() && delay == 0
+	return atStart || silence > e.timing.SuspicionTimeout+delay
+}
--- a/jobs/leader/golden_test.go
+++ b/jobs/leader/golden_test.go
@@ -157,7 +157,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.parts.Log.Append(t.Context(), []topic.Record{record}, topic.Condition{Producer: directory.TermProducer(term, 0)}); err != nil {
+	if _, err := c.deps.Log.Append(t.Context(), []topic.Record{record}, topic.Condition{Producer: directory.TermProducer(term, 0)}); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(time.Second)
@@ -255,7 +255,7 @@
 	withCandidate(t, func(t *testing.T, c *Candidate, log *bytes.Buffer) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); time.Sleep(10 * time.Second) }()
-		c.parts.DirectoryLog = jobtest.NewLog(3).Client("e")
+		c.deps.DirectoryLog = jobtest.NewLog(3).Client("e")
 		c.settings.Dispatch = dispatch.DefaultSettings()
 		go c.Run(ctx)
 		time.Sleep(5 * time.Second)
@@ -283,7 +283,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		tm := &term{leader: directory.Leader{Term: 4, Incarnation: "entry-1/4", Address: "10.1.0.18:7000"}, parts: c.parts, leases: c.leases}
+		tm := &term{leader: directory.Leader{Term: 4, Incarnation: "entry-1/4", Address: "10.1.0.18:7000"}, deps: c.deps, leases: c.leases}
 		if err := tm.renew(t.Context()); err != nil {
 			t.Fatal(err)
 		}
@@ -297,7 +297,7 @@
 // stored are the records of the job topic, one a line.
 func stored(t *testing.T, c *Candidate) []byte {
 	t.Helper()
-	batch, err := c.parts.Log.Read(t.Context(), topic.Query{})
+	batch, err := c.deps.Log.Read(t.Context(), topic.Query{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/jobs/leader/handover.go
+++ b/jobs/leader/handover.go
@@ -39,9 +39,9 @@
 // until one will or ctx ends. It calls handed once one will.
 func (t *term) handOver(ctx context.Context, handed func()) {
 	began := time.Now()
-	wait := max(handOverAfter, 2*t.parts.Latency.HedgeDelay(0))
+	wait := max(handOverAfter, 2*t.deps.Latency.HedgeDelay(0))
 	// Those that should lead are asked first; if none of them will, anybody is.
-	for others := t.parts.Directory.EligibleAddresses; pause.For(ctx, wait); others = t.parts.Directory.Addresses {
+	for others := t.deps.Directory.EligibleAddresses; pause.For(ctx, wait); others = t.deps.Directory.Addresses {
 		if t.offer(ctx, others(), time.Since(began)) {
 			handed()
 			return
@@ -91,7 +91,7 @@
 // it.
 func (t *term) yieldToLarger(ctx context.Context, cores float64) {
 	for pause.For(ctx, yieldEvery) {
-		for _, address := range sample.Draw(t.parts.Directory.LargerThan(cores), yieldAsked) {
+		for _, address := range sample.Draw(t.deps.Directory.LargerThan(cores), yieldAsked) {
 			if t.offerTo(ctx, address, 0) {
 				break
 			}
@@ -105,7 +105,7 @@
 	defer cancel()
 	offer := assignment.Handover{Term: t.leader.Term, Name: t.leader.Incarnation, FailingMillis: failing.Milliseconds()}
 	var none struct{}
-	err := jsonhttp.Call(ctx, t.parts.Client, "leader.offer", http.MethodPost, "http://"+address, assignment.HandoverPath, offer, &none)
+	err := jsonhttp.Call(ctx, t.deps.Client, "leader.offer", http.MethodPost, "http://"+address, assignment.HandoverPath, offer, &none)
 	return err == nil
 }
 
@@ -121,7 +121,7 @@
 		jsonhttp.WriteError(w, &jsonhttp.StatusError{Status: http.StatusConflict, Message: err.Error()})
 		return
 	}
-	c.parts.Logger.Info().Str("step", "leader.handover").Int64("term", offer.Term).Str("leader", offer.Name).Msg("leadership is offered, and taken over")
+	c.deps.Logger.Info().Str("step", "leader.handover").Int64("term", offer.Term).Str("leader", offer.Name).Msg("leadership is offered, and taken over")
 	jsonhttp.Write(w, http.StatusOK, struct{}{})
 }
 
@@ -130,22 +130,22 @@
 	if c.resigned() {
 		return errResigned
 	}
-	if leader, _, _ := c.parts.Replica.Leader(); leader.Term != offer.Term || leader.Incarnation != offer.Name {
+	if leader, _, _ := c.deps.Replica.Leader(); leader.Term != offer.Term || leader.Incarnation != offer.Name {
 		return errSucceeded
 	}
 	failing := time.Duration(offer.FailingMillis) * time.Millisecond
-	if failing < c.settings.Timing.NonStandbyDelay && len(c.parts.Directory.LargerThan(c.settings.Cores)) > 0 {
+	if failing < c.settings.Timing.NonStandbyDelay && len(c.deps.Directory.LargerThan(c.settings.Cores)) > 0 {
 		return errLarger
 	}
-	if watched := c.parts.Replica.SyncedFor(); watched < failing {
+	if watched := c.deps.Replica.SyncedFor(); watched < failing {
 		return fmt.Errorf("the log was away here too, until %v ago", watched)
 	}
 	ctx, cancel := context.WithTimeout(ctx, reachTimeout)
 	defer cancel()
-	_, _, next := c.parts.Replica.Leader()
-	if _, err := c.parts.Log.Read(ctx, topic.Query{From: next, Probe: true}); err != nil && !errors.Is(err, topic.ErrExpired) {
+	_, _, next := c.deps.Replica.Leader()
+	if _, err := c.deps.Log.Read(ctx, topic.Query{From: next, Probe: true}); err != nil && !errors.Is(err, topic.ErrExpired) {
 		return err
 	}
-	c.offered.Store(offer.Term)
+	c.offeredTerm.Store(offer.Term)
 	return nil
 }
--- a/jobs/leader/handover_test.go
+++ b/jobs/leader/handover_test.go
@@ -57,7 +57,7 @@
 		go entries.Run(ctx)
 		time.Sleep(time.Second)
 		calls := &countingTransport{gone: map[string]bool{}}
-		f(t, ctx, &term{leader: directory.Leader{Term: 1, Incarnation: "e", Address: addressOf(1)}, parts: Dependencies{
+		f(t, ctx, &term{leader: directory.Leader{Term: 1, Incarnation: "e", Address: addressOf(1)}, deps: Dependencies{
 			Client: &http.Client{Transport: calls}, Latency: hedge.NewLatency(), DirectoryLog: log.Client("e"), Directory: entries, Logger: zerolog.Nop(),
 		}}, calls)
 	})
@@ -73,7 +73,7 @@
 	for _, n := range []int{20, 40} {
 		withTerm(t, n, func(t *testing.T, ctx context.Context, tm *term, calls *countingTransport) {
 			calls.refusing = true
-			able := tm.parts.Directory.EligibleAddresses()
+			able := tm.deps.Directory.EligibleAddresses()
 			ctx, cancel := context.WithTimeout(ctx, watched)
 			defer cancel()
 			tm.handOver(ctx, func() { t.Error("it was handed over") })
@@ -97,16 +97,16 @@
 func TestGoneEntriesArePruned(t *testing.T) {
 	for _, n := range []int{20, 40} {
 		withTerm(t, n, func(t *testing.T, ctx context.Context, tm *term, calls *countingTransport) {
-			gone := tm.parts.Directory.Standbys()[0]
-			calls.gone[tm.parts.Directory.AddressesByName()[gone]] = true
+			gone := tm.deps.Directory.Standbys()[0]
+			calls.gone[tm.deps.Directory.AddressesByName()[gone]] = true
 			const watched = 20 * time.Second
 			go tm.prune(ctx)
 			time.Sleep(watched)
-			listed := tm.parts.Directory.AddressesByName()
+			listed := tm.deps.Directory.AddressesByName()
 			if _, ok := listed[gone]; ok || len(listed) != n-1 {
 				t.Errorf("%d of %d are listed, want all but %s", len(listed), n, gone)
 			}
-			if line := tm.parts.Directory.Standbys(); len(line) != 5 || slices.Contains(line, gone) {
+			if line := tm.deps.Directory.Standbys(); len(line) != 5 || slices.Contains(line, gone) {
 				t.Errorf("in line are %v, want five that are there", line)
 			}
 			// Five in line and three others in each round, and one that is missed.
@@ -120,10 +120,10 @@
 // TestEntryAnnouncesItselfAgain: an entry that was taken off the directory although it lives is back in it soon.
 func TestEntryAnnouncesItselfAgain(t *testing.T) {
 	withTerm(t, 4, func(t *testing.T, ctx context.Context, tm *term, _ *countingTransport) {
-		d := tm.parts.Directory
-		go d.KeepRegistered(ctx, tm.parts.DirectoryLog, "entry-9", addressOf(9), 1)
+		d := tm.deps.Directory
+		go d.KeepRegistered(ctx, tm.deps.DirectoryLog, "entry-9", addressOf(9), 1)
 		time.Sleep(10 * time.Second)
-		if err := directory.DeregisterEntries(ctx, tm.parts.DirectoryLog, []string{"entry-9", "entry-2"}); err != nil {
+		if err := directory.DeregisterEntries(ctx, tm.deps.DirectoryLog, []string{"entry-9", "entry-2"}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
--- a/jobs/leader/leader.go
+++ b/jobs/leader/leader.go
@@ -17,7 +17,7 @@
 //
 // # Usage
 //
-//	c := leader.New(settings, parts)
+//	c := leader.New(settings, deps)
 //	go c.Run(ctx)
 //	http.HandleFunc(assignment.Path, c.ServePoll)
 package leader
@@ -118,18 +118,18 @@
 // Candidate waits until its turn to lead comes, and leads.
 type Candidate struct {
 	settings Settings
-	parts    Dependencies
+	deps     Dependencies
 	metrics  metrics
 	leases   *leases
 	resign   chan struct{}
-	// offered is the newest term whose leader has offered this entry to lead instead of it.
-	offered atomic.Int64
+	// offeredTerm is the newest term whose leader has offered this entry to lead instead of it.
+	offeredTerm atomic.Int64
 }
 
 // New returns a candidate. Run starts it.
 func New(s Settings, p Dependencies) *Candidate {
 	m := newMetrics(p.Metrics)
-	return &Candidate{settings: s, parts: p, metrics: m, leases: newLeases(s.Timing, p.Suspension, p.Catalog.Cordons, m.looks), resign: make(chan struct{})}
+	return &Candidate{settings: s, deps: p, metrics: m, leases: newLeases(s.Timing, p.Suspension, p.Catalog.Cordons, m.looks), resign: make(chan struct{})}
 }
 
 // Resign ends leadership, if this entry leads, and never claims it again.
@@ -150,7 +150,7 @@
 	lost := int64(-1)
 	rest := time.Time{}
 	for ctx.Err() == nil {
-		leader, ok := c.await(ctx, lost, rest)
+		leader, ok := c.campaign(ctx, lost, rest)
 		if !ok {
 			return
 		}
@@ -161,7 +161,7 @@
 		if errors.Is(err, errUnreached) {
 			rest = time.Now().Add(c.settings.Timing.IsolationTimeout)
 		}
-		c.parts.Logger.Warn().Str("step", "leader.hold").Int64("term", leader.Term).Err(err).Msg("leadership lost")
+		c.deps.Logger.Warn().Str("step", "leader.hold").Int64("term", leader.Term).Err(err).Msg("leadership lost")
 	}
 }
 
@@ -186,28 +186,28 @@
 func (c *Candidate) lead(ctx context.Context, leader directory.Leader) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	t := &term{leader: leader, parts: c.parts, leases: c.leases, written: time.Now()}
+	t := &term{leader: leader, deps: c.deps, leases: c.leases, written: time.Now()}
 	d := dispatch.New(c.settings.Dispatch, dispatch.Dependencies{
-		Catalog: c.parts.Catalog, Permits: c.parts.Permits, Logger: c.parts.Logger, Metrics: c.metrics.dispatch,
+		Catalog: c.deps.Catalog, Permits: c.deps.Permits, Logger: c.deps.Logger, Metrics: c.metrics.dispatch,
 	})
-	for _, v := range c.parts.Replica.Jobs() {
+	for _, v := range c.deps.Replica.Jobs() {
 		d.ApplyJob(v)
 	}
 	// The claim was acknowledged or read back; the first write proves leadership from now on.
-	c.parts.Replica.SetLeading(true)
-	defer c.parts.Replica.SetLeading(false)
+	c.deps.Replica.SetLeading(true)
+	defer c.deps.Replica.SetLeading(false)
 	c.leases.open(leader.Term, suspend.Instant{})
 	defer c.leases.close()
 	began := time.Now()
-	c.parts.Logger.Info().Str("step", "leader.lead").Int64("term", leader.Term).Int("jobs", d.Jobs()).Msg("leadership taken")
+	c.deps.Logger.Info().Str("step", "leader.lead").Int64("term", leader.Term).Int("jobs", d.Jobs()).Msg("leadership taken")
 	if err := t.renew(ctx); err != nil {
 		return err
 	}
-	go directory.AnnounceLeader(ctx, c.parts.DirectoryLog, leader)
+	go directory.AnnounceLeader(ctx, c.deps.DirectoryLog, leader)
 	go t.yieldToLarger(ctx, c.settings.Cores)
 	go t.prune(ctx)
 	for {
-		handedIn, ruled := c.parts.Replica.JobsChanged(), c.parts.Catalog.Changed()
+		handedIn, ruled := c.deps.Replica.JobsChanged(), c.deps.Catalog.Changed()
 		worked, err := c.pass(ctx, t, d, began)
 		if err != nil {
 			return err
@@ -232,7 +232,7 @@
 			return ctx.Err()
 		}
 		timer.Stop()
-		if current, _, _ := c.parts.Replica.Leader(); current.Term > leader.Term {
+		if current, _, _ := c.deps.Replica.Leader(); current.Term > leader.Term {
 			return errSucceeded
 		}
 		if c.leases.silence(time.Now()) > c.settings.Timing.IsolationTimeout && d.Busy() {
@@ -267,7 +267,7 @@
 	for _, a := range c.leases.take() {
 		d.ApplyPoll(a.at, a.poll)
 	}
-	for _, v := range c.parts.Replica.TakeChanged() {
+	for _, v := range c.deps.Replica.TakeChanged() {
 		d.ApplyJob(v)
 	}
 	// A former leader may have given a lease with a proof from just before this one began to lead.
--- a/jobs/leader/prune.go
+++ b/jobs/leader/prune.go
@@ -40,11 +40,11 @@
 		if len(gone) == 0 {
 			continue
 		}
-		if err := directory.DeregisterEntries(ctx, t.parts.DirectoryLog, gone); err != nil {
-			t.parts.Logger.Warn().Str("step", "leader.prune").Strs("entries", gone).Err(err).Msg("entries that are gone could not be taken off the directory")
+		if err := directory.DeregisterEntries(ctx, t.deps.DirectoryLog, gone); err != nil {
+			t.deps.Logger.Warn().Str("step", "leader.prune").Strs("entries", gone).Err(err).Msg("entries that are gone could not be taken off the directory")
 			continue
 		}
-		t.parts.Logger.Info().Str("step", "leader.prune").Strs("entries", gone).Msg("entries that are gone are taken off the directory")
+		t.deps.Logger.Info().Str("step", "leader.prune").Strs("entries", gone).Msg("entries that are gone are taken off the directory")
 		for _, name := range gone {
 			delete(missed, name)
 		}
@@ -53,9 +53,9 @@
 
 // missing looks at some entries, counts in how many looks in a row each was missed, and returns those that are gone.
 func (t *term) missing(ctx context.Context, missed map[string]int) []string {
-	listed := t.parts.Directory.AddressesByName()
+	listed := t.deps.Directory.AddressesByName()
 	// Whoever was missed is looked at again, so that three looks do not take until it is drawn three times.
-	names := slices.Concat(t.parts.Directory.Standbys(), slices.Collect(maps.Keys(missed)), sample.Draw(slices.Collect(maps.Keys(listed)), prunedAtOnce))
+	names := slices.Concat(t.deps.Directory.Standbys(), slices.Collect(maps.Keys(missed)), sample.Draw(slices.Collect(maps.Keys(listed)), prunedAtOnce))
 	looks := map[string]string{}
 	for _, name := range names {
 		if address, ok := listed[name]; ok {
@@ -95,6 +95,6 @@
 	ctx, cancel := context.WithTimeout(ctx, pruneTimeout)
 	defer cancel()
 	var r assignment.Redirect
-	err := jsonhttp.Call(ctx, t.parts.Client, "leader.prune", http.MethodGet, "http://"+address, assignment.LeaderPath, nil, &r)
+	err := jsonhttp.Call(ctx, t.deps.Client, "leader.prune", http.MethodGet, "http://"+address, assignment.LeaderPath, nil, &r)
 	return !fault.NotReached(err) && !errors.Is(err, context.DeadlineExceeded)
 }
--- a/jobs/leader/term.go
+++ b/jobs/leader/term.go
@@ -22,7 +22,7 @@
 // term is the writing side of a term in which this entry leads: it numbers the appends and repeats those without an answer.
 type term struct {
 	leader   directory.Leader
-	parts    Dependencies
+	deps     Dependencies
 	leases   *leases
 	sequence int64
 	written  time.Time
@@ -32,10 +32,10 @@
 func (t *term) write(ctx context.Context, records []topic.Record) error {
 	t.sequence++
 	condition := topic.Condition{Producer: directory.TermProducer(t.leader.Term, t.sequence)}
-	began := t.parts.Suspension.Now()
+	began := t.deps.Suspension.Now()
 	calls := hedge.Call[int64]{
 		Attempt:     func(ctx context.Context, try int) (int64, error) { return t.append(ctx, try, records, condition) },
-		HedgeAfter:  t.parts.Latency.HedgeDelay,
+		HedgeAfter:  t.deps.Latency.HedgeDelay,
 		RetryDelay:  appendPause,
 		Timeout:     appendLimit,
 		IsPermanent: func(err error) bool { return errors.Is(err, topic.ErrFenced) || errors.Is(err, errSucceeded) },
@@ -50,29 +50,29 @@
 	case err != nil:
 		return err
 	}
-	if took := t.parts.Suspension.Since(began); took > slowAppend {
-		t.parts.Logger.Info().Str("step", "leader.write").Int64("term", t.leader.Term).Int64("offset", offset).
+	if took := t.deps.Suspension.Since(began); took > slowAppend {
+		t.deps.Logger.Info().Str("step", "leader.write").Int64("term", t.leader.Term).Int64("offset", offset).
 			Int("records", len(records)).Dur("took_ms", took).Msg("append took long")
 	}
 	// Which of the tries was carried out is not known, only that it was after the first one was sent.
-	t.written = t.parts.Suspension.Monotonic(began)
+	t.written = t.deps.Suspension.Monotonic(began)
 	t.leases.prove(began)
-	t.parts.Replica.ApplyLocal(records, offset)
+	t.deps.Replica.ApplyLocal(records, offset)
 	return nil
 }
 
 // append makes one try.
 func (t *term) append(ctx context.Context, try int, records []topic.Record, c topic.Condition) (int64, error) {
-	if leader, _, _ := t.parts.Replica.Leader(); leader.Term > t.leader.Term {
+	if leader, _, _ := t.deps.Replica.Leader(); leader.Term > t.leader.Term {
 		return 0, errSucceeded
 	}
 	if try == 1 {
-		t.parts.Logger.Warn().Str("step", "leader.write").Int64("term", t.leader.Term).Msg("append without an answer; sent again")
+		t.deps.Logger.Warn().Str("step", "leader.write").Int64("term", t.leader.Term).Msg("append without an answer; sent again")
 	}
 	sent := time.Now()
-	offset, err := t.parts.Log.Append(ctx, records, c)
+	offset, err := t.deps.Log.Append(ctx, records, c)
 	if err == nil {
-		t.parts.Latency.Observe(time.Since(sent))
+		t.deps.Latency.Observe(time.Since(sent))
 	}
 	return offset, err
 }
