--- a/jobs/leader/counts_test.go
+++ b/jobs/leader/counts_test.go
@@ -56,7 +56,8 @@
 		looks := &counter{}
 		open := func() (catalog.Cordons, time.Time) { return nil, time.Now() }
 		l := newLeases(DefaultTiming(6*time.Second), suspend.Clock(nil), open, looks)
-		l.open(3, l.clock.Now())
+		l.open(3)
+		l.prove(l.clock.Now())
 		all := map[string]dispatch.DesiredState{}
 		for i := range n {
 			p := agentPoll(i, 1, 0)
@@ -242,7 +243,7 @@
 		{500 * time.Microsecond, 0},
 		{time.Millisecond, 2 * time.Millisecond},
 		{6 * time.Millisecond, 12 * time.Millisecond},
-		{time.Second, mostRest},
+		{time.Second, maxRest},
 	}
 	for _, test := range tests {
 		if got := restAfter(test.worked); got != test.rest {
--- a/jobs/leader/golden_test.go
+++ b/jobs/leader/golden_test.go
@@ -283,11 +283,11 @@
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second)
-		tm := &term{leader: directory.Leader{Term: 4, Incarnation: "entry-1/4", Address: "10.1.0.18:7000"}, deps: c.deps, leases: c.leases}
-		if err := tm.renew(t.Context()); err != nil {
+		l := c.newLeadership(directory.Leader{Term: 4, Incarnation: "entry-1/4", Address: "10.1.0.18:7000"})
+		if err := l.writer.heartbeat(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if err := c.giveUp(t.Context(), tm); !errors.Is(err, errResigned) {
+		if err := l.giveUp(t.Context()); !errors.Is(err, errResigned) {
 			t.Fatal(err)
 		}
 		goldentest.Bytes(t, "records-term.json", stored(t, c))
--- a/jobs/leader/handover_test.go
+++ b/jobs/leader/handover_test.go
@@ -44,8 +44,14 @@
 	return &http.Response{StatusCode: status, Body: io.NopCloser(strings.NewReader("{}")), Header: http.Header{}, Request: r}, nil
 }
 
+// testTerm is a term in which an entry leads.
+type testTerm struct {
+	leader directory.Leader
+	deps   Dependencies
+}
+
 // withTerm runs a test with a term of the first of n entries, half of which have little processor time.
-func withTerm(t *testing.T, n int, f func(t *testing.T, ctx context.Context, tm *term, calls *countingTransport)) {
+func withTerm(t *testing.T, n int, f func(t *testing.T, ctx context.Context, tm *testTerm, calls *countingTransport)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); time.Sleep(30 * time.Second) }()
@@ -57,7 +63,7 @@
 		go entries.Run(ctx)
 		time.Sleep(time.Second)
 		calls := &countingTransport{gone: map[string]bool{}}
-		f(t, ctx, &term{leader: directory.Leader{Term: 1, Incarnation: "e", Address: addressOf(1)}, deps: Dependencies{
+		f(t, ctx, &testTerm{leader: directory.Leader{Term: 1, Incarnation: "e", Address: addressOf(1)}, deps: Dependencies{
 			Client: &http.Client{Transport: calls}, Latency: hedge.NewLatency(), DirectoryLog: log.Client("e"), Directory: entries, Logger: zerolog.Nop(),
 		}}, calls)
 	})
@@ -71,16 +77,16 @@
 	const watched = 2500 * time.Millisecond
 	const atOnce = 5
 	for _, n := range []int{20, 40} {
-		withTerm(t, n, func(t *testing.T, ctx context.Context, tm *term, calls *countingTransport) {
+		withTerm(t, n, func(t *testing.T, ctx context.Context, tm *testTerm, calls *countingTransport) {
 			calls.refusing = true
 			able := tm.deps.Directory.EligibleAddresses()
 			ctx, cancel := context.WithTimeout(ctx, watched)
 			defer cancel()
-			tm.handOver(ctx, func() { t.Error("it was handed over") })
+			handover{leader: tm.leader, deps: tm.deps}.whileFailing(ctx, func() { t.Error("it was handed over") })
 			if len(calls.hosts) < 2*atOnce {
 				t.Fatalf("only %d offers were made", len(calls.hosts))
 			}
-			if most := int(watched/handOverPause+1) * atOnce; len(calls.hosts) > most {
+			if most := int(watched/offerInterval+1) * atOnce; len(calls.hosts) > most {
 				t.Errorf("%d offers to %d entries, want at most %d", len(calls.hosts), n, most)
 			}
 			for _, host := range calls.hosts[:atOnce] {
@@ -96,11 +102,11 @@
 // The leader takes those off that it does not reach three times in a row, at a cost that does not grow with the entries.
 func TestGoneEntriesArePruned(t *testing.T) {
 	for _, n := range []int{20, 40} {
-		withTerm(t, n, func(t *testing.T, ctx context.Context, tm *term, calls *countingTransport) {
+		withTerm(t, n, func(t *testing.T, ctx context.Context, tm *testTerm, calls *countingTransport) {
 			gone := tm.deps.Directory.Standbys()[0]
 			calls.gone[tm.deps.Directory.AddressesByName()[gone]] = true
 			const watched = 20 * time.Second
-			go tm.prune(ctx)
+			go newPruner(tm.deps, tm.leader.Address).run(ctx)
 			time.Sleep(watched)
 			listed := tm.deps.Directory.AddressesByName()
 			if _, ok := listed[gone]; ok || len(listed) != n-1 {
@@ -110,7 +116,7 @@
 				t.Errorf("in line are %v, want five that are there", line)
 			}
 			// Five in line and three others in each round, and one that is missed.
-			if most := int(watched/pruneEvery) * (5 + 3 + 1); len(calls.hosts) > most {
+			if most := int(watched/pruneInterval) * (5 + 3 + 1); len(calls.hosts) > most {
 				t.Errorf("%d calls in %v with %d entries, want at most %d", len(calls.hosts), watched, n, most)
 			}
 		})
@@ -119,7 +125,7 @@
 
 // TestEntryAnnouncesItselfAgain: an entry that was taken off the directory although it lives is back in it soon.
 func TestEntryAnnouncesItselfAgain(t *testing.T) {
-	withTerm(t, 4, func(t *testing.T, ctx context.Context, tm *term, _ *countingTransport) {
+	withTerm(t, 4, func(t *testing.T, ctx context.Context, tm *testTerm, _ *countingTransport) {
 		d := tm.deps.Directory
 		go d.KeepRegistered(ctx, tm.deps.DirectoryLog, "entry-9", addressOf(9), 1)
 		time.Sleep(10 * time.Second)
--- /dev/null
+++ b/jobs/leader/leadership.go
@@ -0,0 +1,185 @@
+package leader
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"yarrowgrade.example/yarrowgrade/internal/pause"
+	"yarrowgrade.example/yarrowgrade/jobs/directory"
+	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
+)
+
+// leadership is one term in which this entry leads. The goroutine of lead owns it.
+type leadership struct {
+	*Candidate
+	writer     *termWriter
+	controller *dispatch.Controller
+	// formerLeases is until when a former leader may have granted leases.
+	formerLeases time.Time
+}
+
+// lead leads in a term until leadership is lost, and returns why.
+func (c *Candidate) lead(ctx context.Context, leader directory.Leader) error {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	l := c.newLeadership(leader)
+	c.deps.Replica.SetLeading(true)
+	defer c.deps.Replica.SetLeading(false)
+	c.leases.open(leader.Term)
+	defer c.leases.close()
+	l.formerLeases = time.Now().Add(c.settings.Timing.MaxProofAge)
+	c.deps.Logger.Info().Str("step", "leader.lead").Int64("term", leader.Term).Int("jobs", l.controller.Jobs()).
+		Msg("leadership taken")
+	// No lease is granted before this first acknowledged write.
+	if err := l.writer.heartbeat(ctx); err != nil {
+		return err
+	}
+	go directory.AnnounceLeader(ctx, c.deps.DirectoryLog, leader)
+	go handover{leader: leader, deps: c.deps}.toLarger(ctx, c.settings.Cores)
+	go newPruner(c.deps, leader.Address).run(ctx)
+	for {
+		if err := l.round(ctx); err != nil {
+			return err
+		}
+	}
+}
+
+// newLeadership returns the leadership of a term with all jobs that are stored.
+func (c *Candidate) newLeadership(leader directory.Leader) *leadership {
+	l := &leadership{
+		Candidate: c,
+		writer:    &termWriter{leader: leader, deps: c.deps, leases: c.leases, written: time.Now()},
+		controller: dispatch.New(c.settings.Dispatch, dispatch.Dependencies{
+			Catalog: c.deps.Catalog,
+			Permits: c.deps.Permits,
+			Logger:  c.deps.Logger,
+			Metrics: c.metrics.dispatch,
+		}),
+	}
+	for _, job := range c.deps.Replica.Jobs() {
+		l.controller.ApplyJob(job)
+	}
+	return l
+}
+
+// round decides once, rests, writes a heartbeat if one is due, and waits until there is something
+// to decide on. An error ends the leadership.
+func (l *leadership) round(ctx context.Context) error {
+	// Taken before the decision: what changes during it wakes the wait.
+	jobs, operators := l.deps.Replica.JobsChanged(), l.deps.Catalog.Changed()
+	worked, err := l.decide(ctx)
+	if err != nil {
+		return err
+	}
+	pause.For(ctx, restAfter(worked))
+	if time.Since(l.writer.written) >= l.settings.Timing.HeartbeatInterval {
+		if err := l.writer.heartbeat(ctx); err != nil {
+			return err
+		}
+	}
+	if err := l.wait(ctx, jobs, operators); err != nil {
+		return err
+	}
+	return l.checkLeading(ctx)
+}
+
+// decide takes what is new, decides, stores the decision and publishes it to the agents. It
+// returns how long it has worked, not counting the append.
+func (l *leadership) decide(ctx context.Context) (worked time.Duration, err error) {
+	now := time.Now()
+	for _, p := range l.leases.take() {
+		l.controller.ApplyPoll(p.at, p.poll)
+	}
+	for _, job := range l.deps.Replica.TakeChanged() {
+		l.controller.ApplyJob(job)
+	}
+	l.controller.ExpireLeases(l.leases.expire(l.controller.WorkersInUse(), now, l.formerLeases))
+	l.controller.Plan(ctx, now)
+	records, err := l.controller.TakeRecords(now)
+	if err != nil {
+		return 0, err
+	}
+	worked = time.Since(now)
+	if len(records) > 0 {
+		if err := l.writer.write(ctx, records); err != nil {
+			return 0, err
+		}
+	}
+	stored := time.Now()
+	l.leases.publish(l.controller.TakeDesired(now))
+	l.controller.UpdateMetrics(now)
+	worked += time.Since(stored)
+	l.metrics.passTime.RecordDuration(time.Since(now))
+	l.metrics.workTime.RecordDuration(worked)
+	return worked, nil
+}
+
+// wait returns when there is something to decide on, or a heartbeat or decision is due by itself.
+func (l *leadership) wait(ctx context.Context, jobs, operators <-chan struct{}) error {
+	timer := time.NewTimer(l.untilDue())
+	defer timer.Stop()
+	select {
+	case <-jobs:
+	case <-operators:
+	case <-l.leases.news:
+	case permits := <-l.controller.Permits():
+		l.controller.ApplyPermits(permits)
+	case <-timer.C:
+	case <-l.resign:
+		return l.giveUp(ctx)
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+	return nil
+}
+
+// minWait bounds from below the time between two rounds that are due by themselves.
+const minWait = time.Millisecond
+
+// untilDue is how long it is until a heartbeat or a decision is due by itself.
+func (l *leadership) untilDue() time.Duration {
+	heartbeat := l.writer.written.Add(l.settings.Timing.HeartbeatInterval)
+	return max(min(time.Until(heartbeat), time.Until(l.controller.Next())), minWait)
+}
+
+// checkLeading returns an error if another entry leads, or if this one should let another one
+// lead.
+func (l *leadership) checkLeading(ctx context.Context) error {
+	if current, _, _ := l.deps.Replica.Leader(); current.Term > l.writer.leader.Term {
+		return errSuperseded
+	}
+	if l.leases.silence(time.Now()) > l.settings.Timing.IsolationTimeout && l.controller.Busy() {
+		return errors.Join(errIsolated, l.giveUp(ctx))
+	}
+	return nil
+}
+
+// giveUp tells the others that nobody leads, and returns errResigned once that is stored.
+func (l *leadership) giveUp(ctx context.Context) error {
+	l.writer.leader.Incarnation = ""
+	if err := l.writer.heartbeat(ctx); err != nil {
+		return err
+	}
+	return errResigned
+}
+
+// Rest after a decision. A decision looks at all workers and all jobs, so the more there are the
+// longer it takes and the more often something is new: without rest decisions would take all of
+// the processor, and polls would wait for it.
+const (
+	// restFactor is the rest as a multiple of the time that the decision took.
+	restFactor = 2
+	// maxRest bounds the rest; one that would be shorter than minRest is left out.
+	maxRest = 100 * time.Millisecond
+	minRest = 2 * time.Millisecond
+)
+
+// restAfter is how long to rest after a decision that took so long, not counting its append.
+func restAfter(worked time.Duration) time.Duration {
+	rest := min(restFactor*worked, maxRest)
+	if rest < minRest {
+		return 0
+	}
+	return rest
+}
--- a/jobs/leader/leases.go
+++ b/jobs/leader/leases.go
@@ -81,10 +81,10 @@
 }
 
 // open begins a term.
-func (l *leases) open(term int64, proof suspend.Instant) {
+func (l *leases) open(term int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.term, l.fences, l.proof, l.synced, l.heard = term, 0, proof, false, time.Now()
+	l.term, l.fences, l.proof, l.synced, l.heard = term, 0, suspend.Instant{}, false, time.Now()
 	l.agents, l.decided = map[string]*agentLease{}, map[*agentLease]bool{}
 }
 
@@ -246,7 +246,7 @@
 		if p.granted.After(base) {
 			base = p.granted
 		}
-		if now.After(base.Add(l.timing.over())) {
+		if now.After(base.Add(l.timing.leaseEnd())) {
 			p.expired = true
 			l.decided[p] = true
 			over[name] = true
--- a/jobs/leader/leases_test.go
+++ b/jobs/leader/leases_test.go
@@ -28,7 +28,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := newLeases(DefaultTiming(6*time.Second), func() time.Duration { return suspended }, func() (catalog.Cordons, time.Time) { return cordons, cordonsProof }, tally.NoopScope.Counter("looks"))
 		cordons, cordonsProof = nil, time.Now()
-		l.open(3, l.clock.Now())
+		l.open(3)
+		l.prove(l.clock.Now())
 		f(t, l)
 	})
 }
@@ -134,7 +135,7 @@
 	withLeases(t, func(t *testing.T, l *leases) {
 		ask(t, l, poll(1))
 		publishOne(l)
-		time.Sleep(l.timing.over() + time.Millisecond)
+		time.Sleep(l.timing.leaseEnd() + time.Millisecond)
 		l.prove(l.clock.Now())
 		workers := map[string]bool{"w": true}
 		if over := l.expire(workers, time.Now(), time.Time{}); !over["w"] {
--- a/jobs/leader/prune.go
+++ b/jobs/leader/prune.go
@@ -19,66 +19,85 @@
 	"yarrowgrade.example/yarrowgrade/jobs/directory"
 )
 
-// Pace at which the leader looks for entries that are gone. The directory keeps what an entry has announced for good, and ten boxes a day are lost for good at the
-// size to design for: without this the few that are to lead next would all be gone some day, and callers' records and
-// agents' questions would go to boxes that nobody has any more.
+// Pace of the checks.
 const (
-	// pruneEvery is the time between two rounds. In each the entries in line are looked at, and prunedAtOnce others: five and three calls, whatever the size.
-	pruneEvery   = 2 * time.Second
-	prunedAtOnce = 3
-	// pruneAfter is in how many looks in a row an entry was not there when it is taken off. One that was only cut off announces itself again.
-	pruneAfter = 3
-	// pruneTimeout bounds a look.
+	// pruneInterval is the time between two rounds of checks.
+	pruneInterval = 2 * time.Second
+	// pruneSample is how many entries are checked in a round besides the standbys.
+	pruneSample = 3
+	// pruneMisses is how many checks in a row an entry fails before it is deregistered. One that
+	// was only cut off registers again.
+	pruneMisses = 3
+	// pruneTimeout bounds a check.
 	pruneTimeout = 500 * time.Millisecond
 )
 
-// prune takes entries off the directory that are gone, until ctx ends.
-func (t *term) prune(ctx context.Context) {
-	missed := map[string]int{}
-	for pause.For(ctx, pruneEvery) {
-		gone := t.missing(ctx, missed)
+// pruner deregisters entries that are gone. The directory keeps registrations for good: in time
+// all standbys would be boxes that no longer exist, and agents and entries would call such ones.
+type pruner struct {
+	deps Dependencies
+	// self is the address of this entry, which it does not check.
+	self string
+	// misses counts the failed checks in a row, by entry.
+	misses map[string]int
+}
+
+func newPruner(deps Dependencies, self string) *pruner {
+	return &pruner{deps: deps, self: self, misses: map[string]int{}}
+}
+
+// run checks entries until ctx ends.
+func (p *pruner) run(ctx context.Context) {
+	for pause.For(ctx, pruneInterval) {
+		gone := p.check(ctx, p.choose())
 		if len(gone) == 0 {
 			continue
 		}
-		if err := directory.DeregisterEntries(ctx, t.deps.DirectoryLog, gone); err != nil {
-			t.deps.Logger.Warn().Str("step", "leader.prune").Strs("entries", gone).Err(err).Msg("entries that are gone could not be taken off the directory")
+		if err := directory.DeregisterEntries(ctx, p.deps.DirectoryLog, gone); err != nil {
+			p.deps.Logger.Warn().Str("step", "leader.prune").Strs("entries", gone).Err(err).
+				Msg("lost entries could not be deregistered")
 			continue
 		}
-		t.deps.Logger.Info().Str("step", "leader.prune").Strs("entries", gone).Msg("entries that are gone are taken off the directory")
+		p.deps.Logger.Info().Str("step", "leader.prune").Strs("entries", gone).Msg("lost entries deregistered")
 		for _, name := range gone {
-			delete(missed, name)
+			delete(p.misses, name)
 		}
 	}
 }
 
-// missing looks at some entries, counts in how many looks in a row each was missed, and returns those that are gone.
-func (t *term) missing(ctx context.Context, missed map[string]int) []string {
-	listed := t.deps.Directory.AddressesByName()
-	// Whoever was missed is looked at again, so that three looks do not take until it is drawn three times.
-	names := slices.Concat(t.deps.Directory.Standbys(), slices.Collect(maps.Keys(missed)), sample.Draw(slices.Collect(maps.Keys(listed)), prunedAtOnce))
-	looks := map[string]string{}
+// choose returns the entries to check, with their addresses: the standbys, those that failed
+// their last check, and a few others.
+func (p *pruner) choose() map[string]string {
+	addresses := p.deps.Directory.AddressesByName()
+	names := slices.Concat(
+		p.deps.Directory.Standbys(),
+		slices.Collect(maps.Keys(p.misses)),
+		sample.Draw(slices.Collect(maps.Keys(addresses)), pruneSample),
+	)
+	chosen := map[string]string{}
 	for _, name := range names {
-		if address, ok := listed[name]; ok {
-			looks[name] = address
+		if address, ok := addresses[name]; ok {
+			chosen[name] = address
 		}
 	}
-	return t.lookAt(ctx, looks, missed)
+	return chosen
 }
 
-// lookAt looks at entries, by their names and addresses, all at once.
-func (t *term) lookAt(ctx context.Context, looks map[string]string, missed map[string]int) (gone []string) {
+// check checks entries, all at once, and returns those that have failed pruneMisses checks in a
+// row.
+func (p *pruner) check(ctx context.Context, addresses map[string]string) (gone []string) {
 	var mu sync.Mutex
 	var wg conc.WaitGroup
-	for name, address := range looks {
+	for name, address := range addresses {
 		wg.Go(func() {
-			there := t.isThere(ctx, address)
+			answers := p.answers(ctx, address)
 			mu.Lock()
 			defer mu.Unlock()
-			if there || ctx.Err() != nil {
-				delete(missed, name)
+			if answers || ctx.Err() != nil {
+				delete(p.misses, name)
 				return
 			}
-			if missed[name]++; missed[name] >= pruneAfter {
+			if p.misses[name]++; p.misses[name] >= pruneMisses {
 				gone = append(gone, name)
 			}
 		})
@@ -87,14 +106,15 @@
 	return gone
 }
 
-// isThere reports whether something answers at an entry's address.
-func (t *term) isThere(ctx context.Context, address string) bool {
-	if address == t.leader.Address {
+// answers reports whether something answers at an entry's address.
+func (p *pruner) answers(ctx context.Context, address string) bool {
+	if address == p.self {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, pruneTimeout)
 	defer cancel()
 	var r assignment.Redirect
-	err := jsonhttp.Call(ctx, t.deps.Client, "leader.prune", http.MethodGet, "http://"+address, assignment.LeaderPath, nil, &r)
+	url := "http://" + address
+	err := jsonhttp.Call(ctx, p.deps.Client, "leader.prune", http.MethodGet, url, assignment.LeaderPath, nil, &r)
 	return !fault.NotReached(err) && !errors.Is(err, context.DeadlineExceeded)
 }
