--- a/jobs/leader/candidate.go
+++ b/jobs/leader/candidate.go
@@ -26,7 +26,7 @@
 	settings Settings
 	deps     Dependencies
 	metrics  metrics
-	leases   *leases
+	fleet    *fleet
 	// resign is closed by Resign.
 	resign chan struct{}
 	// offeredTerm is the newest term whose leader has offered leadership to this entry.
@@ -40,7 +40,7 @@
 		settings: s,
 		deps:     d,
 		metrics:  m,
-		leases:   newLeases(s.Timing, d.Suspension, d.Catalog.Cordons, m.looks),
+		fleet:    newFleet(s.Timing, d.Suspension, d.Catalog.Cordons, m.pollAnswers),
 		resign:   make(chan struct{}),
 	}
 }
--- a/jobs/leader/counts_test.go
+++ b/jobs/leader/counts_test.go
@@ -51,24 +51,24 @@
 }
 
 // withFleet runs a test with n agents that have polled, and whose workers run what is wanted of them.
-func withFleet(t *testing.T, n int, f func(t *testing.T, l *leases, looks *counter)) {
+func withFleet(t *testing.T, n int, f func(t *testing.T, fl *fleet, looks *counter)) {
 	synctest.Test(t, func(t *testing.T) {
 		looks := &counter{}
 		open := func() (catalog.Cordons, time.Time) { return nil, time.Now() }
-		l := newLeases(DefaultTiming(6*time.Second), suspend.Clock(nil), open, looks)
-		l.open(3)
-		l.prove(l.clock.Now())
+		fl := newFleet(DefaultTiming(6*time.Second), suspend.Clock(nil), open, looks)
+		fl.open(3)
+		fl.prove(fl.clock.Now())
 		all := map[string]dispatch.DesiredState{}
 		for i := range n {
 			p := agentPoll(i, 1, 0)
 			p.Wait = false
-			ask(t, l, p)
+			ask(t, fl, p)
 			all[p.Worker] = wantOf(i, 0)
 		}
-		l.take()
-		l.publish(all)
-		<-l.news
-		f(t, l, looks)
+		fl.take()
+		fl.publish(all)
+		<-fl.decisionDue
+		f(t, fl, looks)
 	})
 }
 
@@ -77,19 +77,19 @@
 // there are.
 func TestPublicationWakesWhomItConcerns(t *testing.T) {
 	for _, n := range sizes {
-		withFleet(t, n, func(t *testing.T, l *leases, looks *counter) {
+		withFleet(t, n, func(t *testing.T, fl *fleet, looks *counter) {
 			for i := range n {
-				go l.serve(t.Context(), agentPoll(i, 2, 1))
+				go fl.serve(t.Context(), agentPoll(i, 2, 1))
 			}
 			synctest.Wait()
 			before := looks.n.Load()
-			l.take()
-			l.publish(map[string]dispatch.DesiredState{"w-7": wantOf(7, 1)})
+			fl.take()
+			fl.publish(map[string]dispatch.DesiredState{"w-7": wantOf(7, 1)})
 			synctest.Wait()
 			if got := looks.n.Load() - before; got != 1 {
 				t.Errorf("%d polls of %d were looked at for one worker, want 1", got, n)
 			}
-			time.Sleep(l.timing.PollWait)
+			time.Sleep(fl.timing.PollWait)
 			synctest.Wait()
 		})
 	}
@@ -98,20 +98,20 @@
 // TestPollsWithNothingNew: each poll of each agent made the entry that led decide anew, 1,600 times a second with 800 workers, for runs that had only come on.
 func TestPollsWithNothingNew(t *testing.T) {
 	for _, n := range sizes {
-		withFleet(t, n, func(t *testing.T, l *leases, _ *counter) {
+		withFleet(t, n, func(t *testing.T, fl *fleet, _ *counter) {
 			decisions := 0
 			for round := range 3 {
 				for i := range n {
 					p := agentPoll(i, int64(2+round), 10*round)
 					p.Wait = false
-					ask(t, l, p)
-					decisions += drained(l.news)
+					ask(t, fl, p)
+					decisions += drained(fl.decisionDue)
 				}
 			}
 			if decisions != 0 {
 				t.Errorf("%d polls of %d asked for a decision, want none", decisions, 3*n)
 			}
-			if got := len(l.take()); got != n {
+			if got := len(fl.take()); got != n {
 				t.Errorf("%d polls are there for the next decision, want %d", got, n)
 			}
 		})
@@ -160,12 +160,12 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			withFleet(t, 1, func(t *testing.T, l *leases, _ *counter) {
+			withFleet(t, 1, func(t *testing.T, fl *fleet, _ *counter) {
 				p := agentPoll(0, 2, 0)
 				p.Wait = false
 				test.change(&p)
-				ask(t, l, p)
-				if got := drained(l.news) == 1; got != test.decides {
+				ask(t, fl, p)
+				if got := drained(fl.decisionDue) == 1; got != test.decides {
 					t.Errorf("it asks for a decision: %v, want %v", got, test.decides)
 				}
 			})
@@ -176,16 +176,16 @@
 // TestLapsedLeaseWakes: what waits for a start while the leader's proof is too old is told as soon as there is a new one, and not when its poll has
 // been held for long enough.
 func TestLapsedLeaseWakes(t *testing.T) {
-	withFleet(t, 1, func(t *testing.T, l *leases, _ *counter) {
-		time.Sleep(l.timing.MaxProofAge + time.Millisecond)
+	withFleet(t, 1, func(t *testing.T, fl *fleet, _ *counter) {
+		time.Sleep(fl.timing.MaxProofAge + time.Millisecond)
 		p := agentPoll(0, 2, 0)
 		p.Runs = nil
 		began := time.Now()
 		go func() {
 			time.Sleep(50 * time.Millisecond)
-			l.prove(l.clock.Now())
+			fl.prove(fl.clock.Now())
 		}()
-		if a := ask(t, l, p); len(a.Start) != 1 || time.Since(began) != 50*time.Millisecond {
+		if a := ask(t, fl, p); len(a.Start) != 1 || time.Since(began) != 50*time.Millisecond {
 			t.Errorf("after %v it is told to start %v", time.Since(began), a.Start)
 		}
 	})
@@ -255,21 +255,21 @@
 // TestPollsBuildOnOthers: a poll that says only what has changed is answered like the full one, and one that builds on a poll which this leader does not have starts and
 // stops nothing: the agent is told on which it may build.
 func TestPollsBuildOnOthers(t *testing.T) {
-	withFleet(t, 1, func(t *testing.T, l *leases, _ *counter) {
+	withFleet(t, 1, func(t *testing.T, fl *fleet, _ *counter) {
 		brief := agentPoll(0, 2, 0)
 		brief.Wait, brief.State, brief.Runs, brief.Complete = false, nil, nil, false
 		brief.Delta = &assignment.Delta{Sequence: 1, Percents: []int{30}}
-		if a := ask(t, l, brief); a.LeaseMillis == 0 || len(a.Start)+len(a.Stop) != 0 || a.BasePoll != 1 {
+		if a := ask(t, fl, brief); a.LeaseMillis == 0 || len(a.Start)+len(a.Stop) != 0 || a.BasePoll != 1 {
 			t.Errorf("it is answered with %+v", a)
 		}
-		if got := l.take()["w-0"].poll; len(got.Runs) != 1 || got.Runs[0].Percent != 30 || got.Sequence != 2 {
+		if got := fl.take()["w-0"].poll; len(got.Runs) != 1 || got.Runs[0].Percent != 30 || got.Sequence != 2 {
 			t.Errorf("the decision gets %+v", got)
 		}
 		brief.Sequence, brief.Delta = 3, &assignment.Delta{Sequence: 2, Percents: []int{40}}
-		if a := ask(t, l, brief); a.LeaseMillis != 0 || len(a.Start)+len(a.Stop) != 0 || a.BasePoll != 1 || !a.Incarnation.IsZero() {
+		if a := ask(t, fl, brief); a.LeaseMillis != 0 || len(a.Start)+len(a.Stop) != 0 || a.BasePoll != 1 || !a.Incarnation.IsZero() {
 			t.Errorf("on a poll that is not known here it is answered with %+v", a)
 		}
-		if got := len(l.take()); got != 0 {
+		if got := len(fl.take()); got != 0 {
 			t.Errorf("%d polls are taken over", got)
 		}
 	})
--- a/jobs/leader/golden_test.go
+++ b/jobs/leader/golden_test.go
@@ -128,14 +128,14 @@
 
 // withCandidate runs a test with a candidate that leads in term 3, though no goroutine of it runs.
 func withCandidate(t *testing.T, f func(t *testing.T, c *Candidate, log *bytes.Buffer)) {
-	withLeases(t, func(t *testing.T, l *leases) {
+	withLeases(t, func(t *testing.T, fl *fleet) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); time.Sleep(10 * time.Second) }()
 		var out bytes.Buffer
 		log := jobtest.NewLog(1)
 		replica := jobstore.NewReplica(log.Client("e"), func() int { return 1 }, zerolog.Nop())
 		go replica.Run(ctx)
-		c := New(Settings{Entry: "entry-1", Incarnation: "entry-1/4", Address: "10.1.0.18:7000", Timing: l.timing}, Dependencies{
+		c := New(Settings{Entry: "entry-1", Incarnation: "entry-1/4", Address: "10.1.0.18:7000", Timing: fl.timing}, Dependencies{
 			Log:       log.Client("e"),
 			Replica:   replica,
 			Catalog:   catalog.NewFollower(jobtest.NewLog(2).Client("e"), catalog.Format{}, zerolog.Nop()),
@@ -144,7 +144,7 @@
 			Logger:    zerolog.New(&out),
 			Metrics:   tally.NoopScope,
 		})
-		c.leases = l
+		c.fleet = fl
 		time.Sleep(time.Second)
 		f(t, c, &out)
 	})
@@ -183,12 +183,12 @@
 		cordonsProof = time.Now()
 		first := served(c.ServePoll, http.MethodPost, assignment.Path, string(goldentest.Read(t, "poll-described.json")))
 		goldentest.Bytes(t, "served-first.txt", first)
-		if got := c.leases.take()["worker-1"].poll; !sameJSON(t, got, described) {
+		if got := c.fleet.take()["worker-1"].poll; !sameJSON(t, got, described) {
 			t.Errorf("the decision gets %+v, want %+v", got, described)
 		}
 		settled := assignment.RunID{Task: job.TaskName{Job: "000000000000000b", Round: 1, Step: 1, Index: 1}, Run: 1}
 		started := assignment.RunID{Task: job.TaskName{Job: "000000000000000c", Round: 1, Step: 1, Index: 1}, Run: 2}
-		c.leases.publish(map[string]dispatch.DesiredState{"worker-1": {Incarnation: goldenLife, AckedEnd: 6, Runs: map[job.TaskName]dispatch.DesiredRun{
+		c.fleet.publish(map[string]dispatch.DesiredState{"worker-1": {Incarnation: goldenLife, AckedEnd: 6, Runs: map[job.TaskName]dispatch.DesiredRun{
 			settled.Task: {Start: assignment.Start{RunID: settled}, Stopping: true},
 			started.Task: {
 				Start: assignment.Start{RunID: started, Spec: "{}", Checkpoint: "checkpoint-4", Permit: "ticket-8"},
@@ -233,14 +233,14 @@
 		goldentest.Bytes(t, "served-workers-none.txt", served(c.ServeWorkers, http.MethodGet, WorkersPath, ""))
 		described := goldenPoll()
 		described.Delta = nil
-		ask(t, c.leases, described)
+		ask(t, c.fleet, described)
 		next := *described.State
 		next.ID.StartMillis++
 		described.Sequence, described.State = 13, &next
-		ask(t, c.leases, described)
+		ask(t, c.fleet, described)
 		cordons = catalog.Cordons{}.With(catalog.Cordon{Zone: "zone-1", Revision: 7, Since: time.Date(2026, 3, 4, 5, 6, 7, 0, time.UTC)})
 		goldentest.Bytes(t, "served-workers.txt", served(c.ServeWorkers, http.MethodGet, WorkersPath, ""))
-		c.leases.close()
+		c.fleet.close()
 		goldentest.Bytes(t, "served-workers-elsewhere.txt", served(c.ServeWorkers, http.MethodGet, WorkersPath, ""))
 	})
 }
--- a/jobs/leader/handler.go
+++ b/jobs/leader/handler.go
@@ -7,14 +7,15 @@
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 )
 
-// ServePoll answers an agent's poll, or says where the leader is.
+// ServePoll answers an agent's poll: 200 with an assignment.Answer, or 409 with an
+// assignment.Redirect if this entry does not lead.
 func (c *Candidate) ServePoll(w http.ResponseWriter, r *http.Request) {
 	var poll assignment.Poll
 	if err := jsonhttp.Read(w, r, &poll); err != nil {
 		jsonhttp.WriteError(w, err)
 		return
 	}
-	answer, ok := c.leases.serve(r.Context(), poll)
+	answer, ok := c.fleet.serve(r.Context(), poll)
 	if !ok {
 		jsonhttp.Write(w, http.StatusConflict, c.redirect())
 		return
@@ -22,7 +23,8 @@
 	jsonhttp.Write(w, http.StatusOK, answer)
 }
 
-// ServeLeader says where the leader is.
+// ServeLeader answers 200 with an assignment.Redirect to the leader, as far as this entry knows
+// it.
 func (c *Candidate) ServeLeader(w http.ResponseWriter, _ *http.Request) {
 	jsonhttp.Write(w, http.StatusOK, c.redirect())
 }
--- a/jobs/leader/leadership.go
+++ b/jobs/leader/leadership.go
@@ -26,8 +26,8 @@
 	l := c.newLeadership(leader)
 	c.deps.Replica.SetLeading(true)
 	defer c.deps.Replica.SetLeading(false)
-	c.leases.open(leader.Term)
-	defer c.leases.close()
+	c.fleet.open(leader.Term)
+	defer c.fleet.close()
 	l.formerLeases = time.Now().Add(c.settings.Timing.MaxProofAge)
 	c.deps.Logger.Info().Str("step", "leader.lead").Int64("term", leader.Term).Int("jobs", l.controller.Jobs()).
 		Msg("leadership taken")
@@ -49,7 +49,7 @@
 func (c *Candidate) newLeadership(leader directory.Leader) *leadership {
 	l := &leadership{
 		Candidate: c,
-		writer:    &termWriter{leader: leader, deps: c.deps, leases: c.leases, written: time.Now()},
+		writer:    newTermWriter(leader, c.deps, c.fleet),
 		controller: dispatch.New(c.settings.Dispatch, dispatch.Dependencies{
 			Catalog: c.deps.Catalog,
 			Permits: c.deps.Permits,
@@ -88,13 +88,13 @@
 // returns how long it has worked, not counting the append.
 func (l *leadership) decide(ctx context.Context) (worked time.Duration, err error) {
 	now := time.Now()
-	for _, p := range l.leases.take() {
+	for _, p := range l.fleet.take() {
 		l.controller.ApplyPoll(p.at, p.poll)
 	}
 	for _, job := range l.deps.Replica.TakeChanged() {
 		l.controller.ApplyJob(job)
 	}
-	l.controller.ExpireLeases(l.leases.expire(l.controller.WorkersInUse(), now, l.formerLeases))
+	l.controller.ExpireLeases(l.fleet.expire(l.controller.WorkersInUse(), now, l.formerLeases))
 	l.controller.Plan(ctx, now)
 	records, err := l.controller.TakeRecords(now)
 	if err != nil {
@@ -107,7 +107,7 @@
 		}
 	}
 	stored := time.Now()
-	l.leases.publish(l.controller.TakeDesired(now))
+	l.fleet.publish(l.controller.TakeDesired(now))
 	l.controller.UpdateMetrics(now)
 	worked += time.Since(stored)
 	l.metrics.passTime.RecordDuration(time.Since(now))
@@ -122,7 +122,7 @@
 	select {
 	case <-jobs:
 	case <-operators:
-	case <-l.leases.news:
+	case <-l.fleet.decisionDue:
 	case permits := <-l.controller.Permits():
 		l.controller.ApplyPermits(permits)
 	case <-timer.C:
@@ -149,7 +149,7 @@
 	if current, _, _ := l.deps.Replica.Leader(); current.Term > l.writer.leader.Term {
 		return errSuperseded
 	}
-	if l.leases.silence(time.Now()) > l.settings.Timing.IsolationTimeout && l.controller.Busy() {
+	if l.fleet.silence(time.Now()) > l.settings.Timing.IsolationTimeout && l.controller.Busy() {
 		return errors.Join(errIsolated, l.giveUp(ctx))
 	}
 	return nil
--- a/jobs/leader/metrics.go
+++ b/jobs/leader/metrics.go
@@ -10,15 +10,15 @@
 // metrics are a candidate's.
 type metrics struct {
 	terms telemetry.Counters[string]
-	// passTime is that of a round of the leading goroutine, workTime the part of it without its append.
+	// passTime is the time of a decision, workTime the part of it outside its append.
 	passTime, workTime tally.Histogram
-	// looks counts how often a poll was compared with what is wanted: when it came, when it was held long enough, and when something was wanted anew.
-	looks tally.Counter
-	// dispatch are those of the decision; they move while this entry leads.
-	dispatch *dispatch.Metrics
+	// pollAnswers counts the answers that were made to polls, also those that were not sent
+	// because the poll was held on.
+	pollAnswers tally.Counter
+	dispatch    *dispatch.Metrics
 }
 
-// Events of terms, as they are counted.
+// Values of the label "event" of the counter "terms".
 const (
 	termBegun      = "taken"
 	termLost       = "lost"
@@ -27,10 +27,10 @@
 
 func newMetrics(scope tally.Scope) metrics {
 	return metrics{
-		terms:    telemetry.NewCounters(scope, "terms", "event", termBegun, termLost, termHandedOver),
-		passTime: telemetry.Times(scope, "pass_time"),
-		workTime: telemetry.Times(scope, "pass_work_time"),
-		looks:    scope.Counter("poll_looks"),
-		dispatch: dispatch.NewMetrics(scope),
+		terms:       telemetry.NewCounters(scope, "terms", "event", termBegun, termLost, termHandedOver),
+		passTime:    telemetry.Times(scope, "pass_time"),
+		workTime:    telemetry.Times(scope, "pass_work_time"),
+		pollAnswers: scope.Counter("poll_looks"),
+		dispatch:    dispatch.NewMetrics(scope),
 	}
 }
--- /dev/null
+++ b/jobs/leader/poll.go
@@ -0,0 +1,215 @@
+package leader
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
+)
+
+// Reasons for which a poll is not taken as it came.
+var (
+	errNotLeading  = errors.New("this entry does not lead in the agent's term")
+	errFormerAgent = errors.New("a newer incarnation of the agent has polled")
+	errUnknownBase = errors.New("the poll is a delta to one that is unknown here")
+)
+
+// fenceBits is how many bits of a fence count the agents' incarnations within a term.
+const fenceBits = 20
+
+// reply is an answer to a poll as things stand.
+type reply struct {
+	answer assignment.Answer
+	// urgent says that the agent has something to do, so the poll must not be held.
+	urgent bool
+	// changed is closed when the answer may be another one.
+	changed <-chan struct{}
+}
+
+// serve answers a poll, after holding it while there is nothing to do. It returns false if this
+// entry does not lead, or not in the term that the agent knows.
+func (f *fleet) serve(ctx context.Context, poll assignment.Poll) (assignment.Answer, bool) {
+	arrived := time.Now()
+	poll, err := f.receive(poll)
+	switch {
+	case errors.Is(err, errUnknownBase):
+		return f.requestFull(poll)
+	case err != nil:
+		return assignment.Answer{}, false
+	}
+	deadline := time.NewTimer(f.timing.PollWait)
+	defer deadline.Stop()
+	for held := true; ; {
+		r, ok := f.answer(poll, arrived)
+		if !ok || r.urgent || !poll.Wait || !held {
+			return r.answer, ok
+		}
+		select {
+		case <-r.changed:
+		case <-deadline.C:
+			held = false
+		case <-ctx.Done():
+			return r.answer, false
+		}
+	}
+}
+
+// receive keeps a poll as the worker's newest, unless it was overtaken by a newer one, and
+// returns it in full if it was a delta. A poll that needs no decision waits for the next one:
+// decisions for each of the polls would be work that grows with the square of the workers.
+func (f *fleet) receive(poll assignment.Poll) (assignment.Poll, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.term == 0 || poll.Term > f.term {
+		return poll, errNotLeading
+	}
+	f.lastPoll = time.Now()
+	w := f.workerOf(poll.Worker)
+	if w.agent.former[poll.Agent] {
+		return poll, errFormerAgent
+	}
+	if w.agent.incarnation != poll.Agent {
+		f.beginSession(w, poll.Agent)
+	}
+	isFull := poll.Delta == nil
+	if !isFull {
+		var known bool
+		if poll, known = poll.Expand(w.reports.base); !known {
+			return poll, errUnknownBase
+		}
+	}
+	if poll.Sequence <= w.reports.newest.Sequence {
+		return poll, nil
+	}
+	urgent := w.needsDecision(poll)
+	w.reports.add(poll, isFull, f.lastPoll)
+	w.history.add(poll)
+	w.pending = true
+	if urgent {
+		f.requestDecision()
+	}
+	return poll, nil
+}
+
+// beginSession turns to another incarnation of a worker's agent. f.mu must be held.
+func (f *fleet) beginSession(w *worker, agent string) {
+	f.fences++
+	w.agent.replace(agent, f.term<<fenceBits+f.fences)
+	w.reports = reports{}
+	w.wake()
+}
+
+// requestDecision wakes the leading goroutine.
+func (f *fleet) requestDecision() {
+	select {
+	case f.decisionDue <- struct{}{}:
+	default:
+	}
+}
+
+// requestFull is the answer to a delta to an unknown poll: it tells the agent on which poll it
+// may build, and gives no lease or orders.
+func (f *fleet) requestFull(poll assignment.Poll) (assignment.Answer, bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	w, ok := f.session(poll)
+	if !ok {
+		return assignment.Answer{}, false
+	}
+	return f.acknowledge(w), true
+}
+
+// session returns the worker of a poll; false if the term has ended, or the poll is of a former
+// incarnation of its agent. f.mu must be held.
+func (f *fleet) session(poll assignment.Poll) (*worker, bool) {
+	w := f.workers[poll.Worker]
+	if f.term == 0 || w == nil || w.agent.incarnation != poll.Agent {
+		return nil, false
+	}
+	return w, true
+}
+
+// acknowledge is an answer that says only what is stored of the agent's polls.
+func (f *fleet) acknowledge(w *worker) assignment.Answer {
+	return assignment.Answer{
+		Term:      f.term,
+		Fence:     w.agent.fence,
+		AckedPoll: w.reports.acked,
+		BasePoll:  w.reports.base.Sequence,
+	}
+}
+
+// answer answers a poll as things stand; false as for serve.
+func (f *fleet) answer(poll assignment.Poll, arrived time.Time) (reply, bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	w, ok := f.session(poll)
+	if !ok {
+		return reply{}, false
+	}
+	f.answers.Inc(1)
+	now := time.Now()
+	a := f.acknowledge(w)
+	a.HeldMillis = now.Sub(arrived).Milliseconds()
+	if lease := f.leaseFor(w, poll); lease > 0 {
+		a.LeaseMillis = lease.Milliseconds()
+		w.granted = now
+	}
+	if poll.State != nil {
+		a.ZoneOpen, a.ZoneProofMillis = f.zoneOpen(poll.State.Zone, now)
+	}
+	r := reply{answer: a, changed: w.changed}
+	switch {
+	case poll.State == nil:
+	case !poll.Complete:
+		// The agent needs the fence before its worker can list what it runs.
+		r.urgent = true
+	case f.published && !w.expired && poll.State.ID == w.desired.Incarnation:
+		r.addOrders(poll, w.desired)
+	}
+	return r, true
+}
+
+// addOrders adds what to start and to stop so that the worker runs what is desired.
+func (r *reply) addOrders(poll assignment.Poll, desired dispatch.DesiredState) {
+	a := &r.answer
+	a.Incarnation, a.AckedEnd = desired.Incarnation, desired.AckedEnd
+	for _, run := range poll.Runs {
+		d, ok := desired.Runs[run.Task]
+		if !desired.Held[run.Task.Job] && (!ok || d.Stopping || d.Start.Run != run.Run) {
+			a.Stop = append(a.Stop, run.RunID)
+		}
+	}
+	known := knownRuns(poll)
+	for _, d := range desired.Runs {
+		if d.Role != nil {
+			a.Roles = append(a.Roles, *d.Role)
+		}
+		switch {
+		case known[d.Start.RunID]:
+		case d.Stopping:
+			a.StopUnlisted = append(a.StopUnlisted, d.Start.RunID)
+		case a.LeaseMillis > 0:
+			a.Start = append(a.Start, d.Start)
+		}
+	}
+	r.urgent = len(a.Start) > 0 || len(a.Stop) > 0 || len(a.StopUnlisted) > 0 || a.AckedEnd > poll.AckedEnd
+}
+
+// knownRuns are the runs that a poll names: those that are on the worker, have ended or were
+// refused.
+func knownRuns(poll assignment.Poll) map[assignment.RunID]bool {
+	known := make(map[assignment.RunID]bool, len(poll.Runs)+len(poll.Ends)+len(poll.Refused))
+	for _, r := range poll.Runs {
+		known[r.RunID] = true
+	}
+	for _, e := range poll.Ends {
+		known[e.RunID] = true
+	}
+	for _, r := range poll.Refused {
+		known[r.RunID] = true
+	}
+	return known
+}
--- a/jobs/leader/writer.go
+++ b/jobs/leader/writer.go
@@ -25,12 +25,17 @@
 type termWriter struct {
 	leader   directory.Leader
 	deps     Dependencies
-	leases   *leases
+	fleet    *fleet
 	sequence int64
 	// written is when the newest acknowledged append was sent.
 	written time.Time
 }
 
+// newTermWriter returns the writer of a term that has just begun.
+func newTermWriter(leader directory.Leader, deps Dependencies, f *fleet) *termWriter {
+	return &termWriter{leader: leader, deps: deps, fleet: f, written: time.Now()}
+}
+
 // write appends records and retries until they are stored. It fails with errSuperseded when a
 // later term has begun, with errHandedOver when another entry takes over because this one does
 // not reach the log, and with the error of ctx.
@@ -50,7 +55,7 @@
 	w.logSlow(began, offset, len(records))
 	// Any of the attempts may be the one that was carried out: only the first one's time is safe.
 	w.written = w.deps.Suspension.Monotonic(began)
-	w.leases.prove(began)
+	w.fleet.prove(began)
 	w.deps.Replica.ApplyLocal(records, offset)
 	return nil
 }
