--- a/internal/hedge/hedge_test.go
+++ b/internal/hedge/hedge_test.go
@@ -8,90 +8,109 @@
 	"time"
 )
 
+const ms = time.Millisecond
+
 var (
 	errAway  = errors.New("away")
 	errFinal = errors.New("final")
 )
 
-// service answers its tries as a test says: each entry is how long the try takes, and its error.
+// reply is how a service answers an attempt: how long it takes, and with which error.
+type reply struct {
+	takes time.Duration
+	err   error
+}
+
+// service answers attempts with its replies in turn, and then with the last one. An answer is the number of the
+// reply.
 type service struct {
-	takes []time.Duration
-	errs  []error
-	begun int
+	replies []reply
+	begun   int
 }
 
-func (s *service) way(ctx context.Context, try int) (int, error) {
+func (s *service) attempt(ctx context.Context, number int) (int, error) {
 	s.begun++
-	if try >= len(s.takes) {
-		try = len(s.takes) - 1
-	}
+	number = min(number, len(s.replies)-1)
+	r := s.replies[number]
 	select {
-	case <-time.After(s.takes[try]):
+	case <-time.After(r.takes):
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
-	return try, s.errs[try]
+	return number, r.err
 }
 
-func after(int) time.Duration { return 100 * time.Millisecond }
+func after(int) time.Duration { return 100 * ms }
 
 func TestDo(t *testing.T) {
-	const hour = time.Hour
 	tests := []struct {
 		name    string
-		service service
-		calls   Call[int]
+		replies []reply
+		call    Call[int]
 		want    int
 		err     error
 		took    time.Duration
 		begun   int
 	}{
-		{"the first answers", service{takes: []time.Duration{10 * time.Millisecond}, errs: []error{nil}}, Call[int]{}, 0, nil, 10 * time.Millisecond, 1},
-		{"a lost answer", service{takes: []time.Duration{hour, 10 * time.Millisecond}, errs: []error{nil, nil}}, Call[int]{}, 1, nil, 110 * time.Millisecond, 2},
-		{"a slow answer still counts", service{takes: []time.Duration{250 * time.Millisecond}, errs: []error{nil}}, Call[int]{}, 0, nil, 250 * time.Millisecond, 3},
-		{"after a failure the next begins at once", service{takes: []time.Duration{10 * time.Millisecond, 10 * time.Millisecond}, errs: []error{errAway, nil}}, Call[int]{RetryDelay: time.Millisecond}, 1, nil, 21 * time.Millisecond, 2},
-		{"a final error ends it", service{takes: []time.Duration{10 * time.Millisecond}, errs: []error{errFinal}}, Call[int]{}, 0, errFinal, 10 * time.Millisecond, 1},
-		{"all have failed", service{takes: []time.Duration{10 * time.Millisecond}, errs: []error{errAway}}, Call[int]{MaxAttempts: 3}, 0, errAway, 30 * time.Millisecond, 3},
-		{"a try is bounded", service{takes: []time.Duration{hour}, errs: []error{nil}}, Call[int]{MaxAttempts: 2}, 0, context.DeadlineExceeded, 1100 * time.Millisecond, 2},
+		{"the first answers", []reply{{10 * ms, nil}}, Call[int]{}, 0, nil, 10 * ms, 1},
+		{"a lost answer", []reply{{time.Hour, nil}, {10 * ms, nil}}, Call[int]{}, 1, nil, 110 * ms, 2},
+		{"a slow answer still counts", []reply{{250 * ms, nil}}, Call[int]{}, 0, nil, 250 * ms, 3},
+		{
+			"after a failure the next begins at once", []reply{{10 * ms, errAway}, {10 * ms, nil}},
+			Call[int]{RetryDelay: ms}, 1, nil, 21 * ms, 2,
+		},
+		{"a final error ends it", []reply{{10 * ms, errFinal}}, Call[int]{}, 0, errFinal, 10 * ms, 1},
+		{"all have failed", []reply{{10 * ms, errAway}}, Call[int]{MaxAttempts: 3}, 0, errAway, 30 * ms, 3},
+		{
+			"an attempt is bounded", []reply{{time.Hour, nil}},
+			Call[int]{MaxAttempts: 2}, 0, context.DeadlineExceeded, 1100 * ms, 2,
+		},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				calls := test.calls
-				calls.Attempt, calls.HedgeAfter, calls.Timeout = test.service.way, after, time.Second
-				calls.IsPermanent = func(err error) bool { return errors.Is(err, errFinal) }
+				s := service{replies: test.replies}
+				call := test.call
+				call.Attempt, call.HedgeAfter, call.Timeout = s.attempt, after, time.Second
+				call.IsPermanent = func(err error) bool { return errors.Is(err, errFinal) }
 				began := time.Now()
-				got, err := calls.Do(t.Context())
+				got, err := call.Do(t.Context())
 				if err == nil && got != test.want || !errors.Is(err, test.err) {
 					t.Errorf("got %d, %v; want %d, %v", got, err, test.want, test.err)
 				}
-				if took := time.Since(began); took != test.took || test.service.begun != test.begun {
-					t.Errorf("took %v with %d tries, want %v with %d", took, test.service.begun, test.took, test.begun)
+				if took := time.Since(began); took != test.took || s.begun != test.begun {
+					t.Errorf("took %v with %d attempts, want %v with %d", took, s.begun, test.took, test.begun)
 				}
 			})
 		})
 	}
 }
 
-// TestDoEnds: when the caller's time is over, so is the call, and nothing of it goes on.
+// TestDoEnds: the call ends with its context, and none of its attempts goes on.
 func TestDoEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithTimeout(t.Context(), 350*time.Millisecond)
+		ctx, cancel := context.WithTimeout(t.Context(), 350*ms)
 		defer cancel()
-		s := service{takes: []time.Duration{time.Hour}, errs: []error{nil}}
-		_, err := Call[int]{Attempt: s.way, HedgeAfter: after, Timeout: time.Second}.Do(ctx)
+		s := service{replies: []reply{{time.Hour, nil}}}
+		_, err := Call[int]{Attempt: s.attempt, HedgeAfter: after, Timeout: time.Second}.Do(ctx)
 		if !errors.Is(err, context.DeadlineExceeded) || s.begun != 4 {
-			t.Errorf("got %v after %d tries, want the deadline after 4", err, s.begun)
+			t.Errorf("got %v after %d attempts, want the deadline after 4", err, s.begun)
 		}
 	})
 }
 
-// TestWorse: an error that leaves doubt is not hidden by a later one that leaves none.
+// TestWorse: an error after which the result is uncertain is not hidden by a later one.
 func TestWorse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := service{takes: []time.Duration{time.Millisecond, time.Millisecond}, errs: []error{errAway, errFinal}}
-		calls := Call[int]{Attempt: s.way, HedgeAfter: after, Timeout: time.Second, MaxAttempts: 2, MergeErrors: func(earlier, _ error) error { return earlier }}
-		if _, err := calls.Do(t.Context()); !errors.Is(err, errAway) {
+		s := service{replies: []reply{{ms, errAway}, {ms, errFinal}}}
+		call := Call[int]{
+			Attempt:     s.attempt,
+			HedgeAfter:  after,
+			Timeout:     time.Second,
+			MaxAttempts: 2,
+			MergeErrors: func(earlier, _ error) error { return earlier },
+		}
+		if _, err := call.Do(t.Context()); !errors.Is(err, errAway) {
 			t.Errorf("got %v, want %v", err, errAway)
 		}
 	})
@@ -99,25 +118,28 @@
 
 func TestLatency(t *testing.T) {
 	tests := []struct {
-		name  string
-		notes []time.Duration
-		want  []time.Duration
+		name     string
+		observed []time.Duration
+		want     []time.Duration
 	}{
-		{"nothing known", nil, []time.Duration{150 * time.Millisecond, 300 * time.Millisecond, 500 * time.Millisecond, 500 * time.Millisecond}},
-		{"quick", []time.Duration{8 * time.Millisecond}, []time.Duration{150 * time.Millisecond, 300 * time.Millisecond, 500 * time.Millisecond}},
-		{"slow at once", []time.Duration{8 * time.Millisecond, 300 * time.Millisecond}, []time.Duration{1200 * time.Millisecond, 1200 * time.Millisecond}},
+		{"nothing known", nil, []time.Duration{150 * ms, 300 * ms, 500 * ms, 500 * ms}},
+		{"quick", []time.Duration{8 * ms}, []time.Duration{150 * ms, 300 * ms, 500 * ms}},
+		{"slow at once", []time.Duration{8 * ms, 300 * ms}, []time.Duration{1200 * ms, 1200 * ms}},
 		{"very slow", []time.Duration{time.Second}, []time.Duration{2 * time.Second, 2 * time.Second}},
-		{"quick again", append([]time.Duration{time.Second}, make([]time.Duration, 40)...), []time.Duration{150 * time.Millisecond}},
+		{
+			"quick again", append([]time.Duration{time.Second}, make([]time.Duration, 40)...),
+			[]time.Duration{150 * ms},
+		},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			l := NewLatency()
-			for _, n := range test.notes {
-				l.Observe(n)
+			for _, took := range test.observed {
+				l.Observe(took)
 			}
-			for try, want := range test.want {
-				if got := l.HedgeDelay(try); got != want {
-					t.Errorf("try %d: got %v, want %v", try, got, want)
+			for attempt, want := range test.want {
+				if got := l.HedgeDelay(attempt); got != want {
+					t.Errorf("attempt %d: got %v, want %v", attempt, got, want)
 				}
 			}
 		})
--- a/jobs/directory/standby_test.go
+++ b/jobs/directory/standby_test.go
@@ -13,7 +13,8 @@
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
-// TestLine: those in line to lead are five at the most, whatever the number of entries, all of them large ones where some are, and not all of one zone.
+// TestLine: there are at most five standbys, whatever the number of entries, all of them large ones where some are, and
+// not all of one availability zone.
 func TestLine(t *testing.T) {
 	tests := []struct {
 		name         string
@@ -33,7 +34,7 @@
 				d := directory.NewDirectory(log.Client("e"), zerolog.Nop())
 				name := func(i int) string { return fmt.Sprintf("front-zone-%d-%d", i%4, i) }
 				if d.IsStandby(name(0)) {
-					t.Error("an entry is in line before anything was read")
+					t.Error("an entry is a standby before anything was read")
 				}
 				for i := range test.entries {
 					directory.RegisterEntry(ctx, log.Client("e"), name(i), fmt.Sprintf("10.0.0.%d:7000", i), test.cores(i))
--- a/jobs/jobstore/golden_test.go
+++ b/jobs/jobstore/golden_test.go
@@ -33,32 +33,60 @@
 
 // goldenJob has every field set.
 func goldenJob() *job.Job {
+	step := job.Step{
+		Tasks:             4,
+		Resources:         job.Resources{CPU: 1500, Memory: 2048, Accelerators: 8},
+		Estimate:          time.Minute,
+		DependsOn:         []int{1},
+		Gang:              true,
+		SameRack:          true,
+		RequiredLabel:     "gpu",
+		DataRack:          "rack-2",
+		MaxPerWorker:      2,
+		Checkpoint:        true,
+		Speculative:       true,
+		LongRunning:       true,
+		Image:             "plates:7",
+		LatencyTarget:     250 * time.Millisecond,
+		BestEffort:        true,
+		MaxUnavailable:    1,
+		HasMaxUnavailable: true,
+	}
 	return &job.Job{
-		ID: one, Queue: "urgent", Team: "plates", Service: "parkpay",
-		Priority: 2, MaxAttempts: 3, ObjectiveFactor: 1.5, ObjectiveSlack: 90 * time.Second, NeedsPermit: true, Spec: "spec of the caller",
-		Steps: []job.Step{{
-			Tasks: 4, Resources: job.Resources{CPU: 1500, Memory: 2048, Accelerators: 8}, Estimate: time.Minute, DependsOn: []int{1},
-			Gang: true, SameRack: true, RequiredLabel: "gpu", DataRack: "rack-2", MaxPerWorker: 2, Checkpoint: true, Speculative: true, LongRunning: true,
-			Image: "plates:7", LatencyTarget: 250 * time.Millisecond, BestEffort: true, MaxUnavailable: 1, HasMaxUnavailable: true,
-		}},
-		RoundCount: 7, FirstRound: goldenTime, RoundInterval: 24 * time.Hour, Accepted: goldenTime.Add(time.Second),
+		ID:              one,
+		Queue:           "urgent",
+		Team:            "plates",
+		Service:         "parkpay",
+		Priority:        2,
+		MaxAttempts:     3,
+		ObjectiveFactor: 1.5,
+		ObjectiveSlack:  90 * time.Second,
+		NeedsPermit:     true,
+		Spec:            "spec of the caller",
+		Steps:           []job.Step{step},
+		RoundCount:      7,
+		FirstRound:      goldenTime,
+		RoundInterval:   24 * time.Hour,
+		Accepted:        goldenTime.Add(time.Second),
 	}
 }
 
 // goldenTask is a stored task with every field set.
-const goldenTask = `{"r":9,"w":"worker-3","l":"i-7f3a91c2@1764722812345","f":2,"fr":8,"d":true,"gu":[6,7],"s":"checkpoint-5","a":"worker-1",` +
-	`"c":3,"cd":1,"ca":2,"ce":1,"co":{"i-0000@5":{"w":"worker-2","r":4,"b":true,"s":true,"at":"2026-03-04T05:06:07.008Z"}}}`
+const goldenTask = `{"r":9,"w":"worker-3","l":"i-7f3a91c2@1764722812345","f":2,"fr":8,"d":true,"gu":[6,7],` +
+	`"s":"checkpoint-5","a":"worker-1","c":3,"cd":1,"ca":2,"ce":1,` +
+	`"co":{"i-0000@5":{"w":"worker-2","r":4,"b":true,"s":true,"at":"2026-03-04T05:06:07.008Z"}}}`
 
 // goldenProgress are stored forms of a progress by name: the newest forms, and those that earlier versions wrote.
 func goldenProgress(t *testing.T) map[string][]byte {
 	t.Helper()
+	start := incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722812345}
 	running := job.NewProgress()
 	for i := range 2 {
-		running.Assign(goldenTime, taskName(i), 1, "worker-"+strconv.Itoa(i), incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722812345})
+		running.Assign(goldenTime, taskName(i), 1, "worker-"+strconv.Itoa(i), start)
 	}
 	large := job.NewProgress()
 	for i := range 40 {
-		large.Assign(goldenTime, taskName(i), 2, "worker-"+strconv.Itoa(i/8), incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722812345})
+		large.Assign(goldenTime, taskName(i), 2, "worker-"+strconv.Itoa(i/8), start)
 	}
 	return map[string][]byte{
 		"progress-defaults": encoded(t, job.NewProgress()),
@@ -100,8 +128,8 @@
 	goldentest.JSON(t, "task", *task)
 }
 
-// TestGoldenOldProgress: earlier versions stored large ones plain, and lives without the time of their start. Both are read, and written in the newest
-// form.
+// TestGoldenOldProgress: earlier versions stored large ones plain, and incarnations without the time of their start.
+// Both are read, and written in the newest form.
 func TestGoldenOldProgress(t *testing.T) {
 	var tasks []string
 	for i := range 40 {
@@ -119,7 +147,7 @@
 		t.Fatal(err)
 	}
 	if got, want := old.Task(taskName(1)).Incarnation, (incarnation.ID{Instance: "i-7f3a91c2"}); got != want {
-		t.Errorf("the life is %v, want %v", got, want)
+		t.Errorf("the incarnation is %v, want %v", got, want)
 	}
 	goldentest.Bytes(t, "progress-old-life", encoded(t, old))
 }
@@ -175,6 +203,7 @@
 func TestGoldenJobsTopic(t *testing.T) {
 	const three job.ID = "0000000000000003"
 	must := made(t)
+	first := directory.Leader{Term: 7, Incarnation: "entry-1", Address: "10.1.0.19:7000"}
 	full, err := job.DecodeProgress(goldenProgress(t)["progress-full"])
 	if err != nil {
 		t.Fatal(err)
@@ -185,7 +214,7 @@
 		must(jobstore.SubmissionRecord(&job.Job{ID: two})),
 		must(jobstore.ProgressRecord(two, job.NewProgress())),
 		jobstore.CancelRecord(two),
-		must(directory.LeaderRecord(directory.Leader{Term: 7, Incarnation: "entry-1", Address: "10.1.0.19:7000"})),
+		must(directory.LeaderRecord(first)),
 		must(jobstore.SubmissionRecord(&job.Job{ID: three})),
 		jobstore.CancelRecord(three),
 	}
@@ -196,7 +225,7 @@
 	stored := readLines(t, "jobs-topic")
 	r := jobstore.NewReplica(jobtest.NewLog(1).Client("entry"), alone, zerolog.Nop())
 	r.ApplyLocal(stored[:6], 0)
-	if leader, _, _ := r.Leader(); leader != (directory.Leader{Term: 7, Incarnation: "entry-1", Address: "10.1.0.19:7000"}) {
+	if leader, _, _ := r.Leader(); leader != first {
 		t.Errorf("the leader is %+v", leader)
 	}
 	r.ApplyLocal(stored[6:], 6)
@@ -230,13 +259,14 @@
 // maskText takes out the text of errors and log lines: it is for people, and nothing reads it.
 func maskText(data []byte) []byte { return textForPeople.ReplaceAll(data, []byte(`"$1":"..."`)) }
 
-// TestGoldenRecordsPath: what an entry asks of another one to have a record kept, the answers, and the line that the keeper logs, in which the
-// trace of a job finds its ID.
+// TestGoldenRecordsPath: the request of an entry to store a record, its answers, and the log line of the entry that
+// stores it, in which the trace of a job finds its ID.
 func TestGoldenRecordsPath(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		var logged bytes.Buffer
 		var asked []byte
-		peer := jobstore.NewWriter(log.Client("b"), hedge.NewLatency(), followed(ctx, log, "b"), func() []string { return nil }, "b", http.DefaultClient, zerolog.New(&logged))
+		peer := jobstore.NewWriter(log.Client("b"), hedge.NewLatency(), followed(ctx, log, "b"),
+			func() []string { return nil }, "b", http.DefaultClient, zerolog.New(&logged))
 		keep := http.HandlerFunc(peer.ServeWrite)
 		network := standin.NewNetwork()
 		router := httprouter.New()
@@ -247,23 +277,25 @@
 		})
 		network.Attach("http://b", router)
 		log.SetFault("a", jobtest.Fault{Refuse: true})
-		w := jobstore.NewWriter(log.Client("a"), hedge.NewLatency(), followed(ctx, log, "a"), func() []string { return []string{"a", "b"} }, "a", network.Client("http://a"), zerolog.Nop())
+		w := newWriter(ctx, log, "a", func() []string { return []string{"a", "b"} }, network.Client("http://a"))
 		time.Sleep(50 * time.Millisecond)
 		if err := w.Write(ctx, jobstore.CancelRecord(one)); err != nil {
 			t.Error(err)
 		}
 		goldentest.Bytes(t, "records-question", asked)
 		var record topic.Record
-		if err := json.Unmarshal(goldentest.Read(t, "records-question"), &record); err != nil || !reflect.DeepEqual(record, jobstore.CancelRecord(one)) {
+		question := goldentest.Read(t, "records-question")
+		err := json.Unmarshal(question, &record)
+		if err != nil || !reflect.DeepEqual(record, jobstore.CancelRecord(one)) {
 			t.Errorf("the question is read as %+v, %v", record, err)
 		}
 		goldentest.Bytes(t, "records-log", maskText(logged.Bytes()))
-		goldentest.Bytes(t, "records-answer", answerOf(keep, http.MethodPost, "", string(goldentest.Read(t, "records-question"))))
+		goldentest.Bytes(t, "records-answer", answerOf(keep, http.MethodPost, "", string(question)))
 		goldentest.Bytes(t, "records-answer-other-key", answerOf(keep, http.MethodPost, "", `{"Key":"d","Value":"MQ=="}`))
 		goldentest.Bytes(t, "records-answer-bad", answerOf(keep, http.MethodPost, "", `{"Key":7}`))
 		log.SetFault("b", jobtest.Fault{Refuse: true})
-		goldentest.Bytes(t, "records-answer-refused", answerOf(keep, http.MethodPost, "", string(goldentest.Read(t, "records-question"))))
+		goldentest.Bytes(t, "records-answer-refused", answerOf(keep, http.MethodPost, "", string(question)))
 		time.Sleep(3 * time.Second)
-		goldentest.Bytes(t, "records-answer-unreached", answerOf(keep, http.MethodPost, "", string(goldentest.Read(t, "records-question"))))
+		goldentest.Bytes(t, "records-answer-unreached", answerOf(keep, http.MethodPost, "", string(question)))
 	})
 }
--- a/jobs/jobstore/hedged_read_test.go
+++ b/jobs/jobstore/hedged_read_test.go
@@ -14,7 +14,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// busyLog takes a while to bring records, and none to say that there is nothing.
+// busyLog is a log that takes a while to send records, and answers at once when there are none.
 type busyLog struct {
 	*jobtest.CountedLog
 	takes time.Duration
@@ -28,9 +28,10 @@
 	return batch, err
 }
 
-// TestMuchToReadIsAskedForOnce: when the store had turned a third of 183 entries away for 9 s and took them again, each of them read what it had missed, and began the
-// same read anew every 80 ms until the first was answered. The store could not send that much, and for 3 s more no entry at all got an answer in time:
-// 12 jobs were refused in that time. What is read must not depend on how long the log takes to send it.
+// TestMuchToReadIsAskedForOnce: the log had rejected a third of 183 entries for 9 s. When it accepted them again,
+// each of them read what it had missed, and repeated the read every 80 ms until the first was answered. The log
+// could not send that much, no entry got an answer in time for 3 s more, and 12 jobs were rejected. How often
+// records are read must not depend on how long the log takes to send them.
 func TestMuchToReadIsAskedForOnce(t *testing.T) {
 	for _, takes := range []time.Duration{400 * time.Millisecond, 800 * time.Millisecond} {
 		bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
@@ -49,20 +50,21 @@
 			log.Heal()
 			time.Sleep(time.Second + takes)
 			if got := busy.Whole.Load() - whole; got > 4 {
-				t.Errorf("%d reads of all that was missed, where one takes %v, want one and those that follow", got, takes)
+				t.Errorf("%d full reads, where one takes %v, want one and those that follow", got, takes)
 			}
 			if got := busy.Brief.Load() - brief; got > 6 {
-				t.Errorf("%d reads that find out whether the log answers, in %v, want at most 6", got, time.Second+takes)
+				t.Errorf("%d probes in %v, want at most 6", got, time.Second+takes)
 			}
 			if age := time.Since(r.SyncedAt()); age > time.Second {
-				t.Errorf("%v after the log was back the proof is %v old", time.Second+takes, age)
+				t.Errorf("%v after the log was back the replica was last in sync %v ago", time.Second+takes, age)
 			}
 		})
 	}
 }
 
-// TestAwayLogIsProbed: while the store was away each of 983 processes read it every 80 ms, 12,000 times a second in all. All together probe it some 500 times a second,
-// however many they are; the leader, which everything waits for, does so as before.
+// TestAwayLogIsProbed: while the log was down each of 983 processes read it every 80 ms, 12,000 times a second in
+// all. All processes together probe it some 500 times a second, however many they are; the leader, for which
+// every job waits, probes at the shortest interval.
 func TestAwayLogIsProbed(t *testing.T) {
 	tests := []struct {
 		readers int
@@ -88,20 +90,21 @@
 			before := counted.Reads()
 			time.Sleep(5 * time.Second)
 			if got := counted.Reads() - before; got > test.most {
-				t.Errorf("one of %d entries read %d times in 5 s of a log that was away, want at most %d", test.readers, got, test.most)
+				t.Errorf("one of %d entries read %d times in 5 s of a log that was down, want at most %d",
+					test.readers, got, test.most)
 			}
 			log.Heal()
 			time.Sleep(test.back)
 			if age := time.Since(r.SyncedAt()); age > test.back {
-				t.Errorf("%v after it was back the proof of one of %d entries is %v old", test.back, test.readers, age)
+				t.Errorf("%v after it was back one of %d entries was last in sync %v ago", test.back, test.readers, age)
 			}
 		})
 	}
 }
 
-// TestNewsWhileReadsHang: while a store drops its history, reads that wait for news hang. A leader learnt of a job only when its hung read had taken too long to be
-// waited for, 1.3 s later, and three urgent jobs of the fleet's second rough day were late. What a read that hangs should have brought is read anew as soon as it
-// is known to be there: the read waits 0.3 s, an answer takes 0.15 s at the most.
+// TestNewsWhileReadsHang: while a log drops its history, reads that wait for records hang. A leader learnt of a job
+// only when its hung read had timed out, 1.3 s later, and three urgent jobs were late. What a hung read should have
+// returned is read again as soon as a probe finds it: the read waits for 0.3 s, an answer takes at most 0.15 s.
 func TestNewsWhileReadsHang(t *testing.T) {
 	for _, readers := range []int{3, 183} {
 		bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
@@ -117,7 +120,7 @@
 				added := time.Now()
 				for _, known := r.Phase(id); !known; _, known = r.Phase(id) {
 					if time.Since(added) > 500*time.Millisecond {
-						t.Fatalf("with %d readers a job is not known %v after it was kept", readers, time.Since(added))
+						t.Fatalf("with %d readers a job is not known %v after it was stored", readers, time.Since(added))
 					}
 					time.Sleep(time.Millisecond)
 				}
--- a/jobs/jobstore/jobstore_test.go
+++ b/jobs/jobstore/jobstore_test.go
@@ -36,7 +36,7 @@
 	return r
 }
 
-// bubble runs a test in a bubble with a context that ends before it.
+// bubble runs a test on a paused clock, with a context that ends before the test.
 func bubble(t *testing.T, f func(t *testing.T, ctx context.Context, log *jobtest.Log)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -58,18 +58,18 @@
 	two job.ID = "0000000000000002"
 )
 
-// alone is how many entries there are for a replica that reads each record as it comes.
+// alone is the number of readers of a replica that reads each record as it comes.
 func alone() int { return 0 }
 
-// TestReadersShare: where many entries read the topic, one read brings many records, and a question for a job's state reads anew. The
-// leader reads each record as it comes, however many entries there are.
+// TestReadersShare: where many entries read the topic, one read brings many records, and a query for a job's state
+// reads first. The leader reads each record as it comes, however many entries there are.
 func TestReadersShare(t *testing.T) {
 	const records, every = 100, 20 * time.Millisecond
 	tests := []struct {
 		name        string
 		readers     int
 		leads       bool
-		behind      bool
+		noStandby   bool
 		least, most int64
 		lag         time.Duration
 	}{
@@ -77,8 +77,8 @@
 		{"55 entries", 55, false, false, 4, 8, 400 * time.Millisecond},
 		{"a thousand entries", 1000, false, false, 4, 8, 420 * time.Millisecond},
 		{"a thousand entries, the leader", 1000, true, false, records - 10, records + 10, 20 * time.Millisecond},
-		{"a thousand entries, one that is not in line to lead", 1000, false, true, 2, 4, 820 * time.Millisecond},
-		{"three entries, one that is not in line to lead", 3, false, true, 60, records + 10, 50 * time.Millisecond},
+		{"a thousand entries, one that is no standby", 1000, false, true, 2, 4, 820 * time.Millisecond},
+		{"three entries, one that is no standby", 3, false, true, 60, records + 10, 50 * time.Millisecond},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -86,7 +86,7 @@
 				add(t, log, submission(t, one, "first"))
 				counted := &jobtest.CountedLog{Log: log.Client("entry")}
 				r := jobstore.NewReplica(counted, func() int { return test.readers }, zerolog.Nop()).
-					WithStandby(func() bool { return !test.behind })
+					WithStandby(func() bool { return !test.noStandby })
 				r.SetLeading(test.leads)
 				go r.Run(ctx)
 				time.Sleep(time.Second)
@@ -107,14 +107,14 @@
 				add(t, log, submission(t, two, "second"))
 				time.Sleep(test.lag)
 				if _, ok := r.Phase(two); !ok {
-					t.Errorf("a job is not known %v after it was kept", test.lag)
+					t.Errorf("a job is not known %v after it was stored", test.lag)
 				}
 			})
 		})
 	}
 }
 
-// TestRefreshOfSilentLog: a question does not wait for a log that gives no answer longer than its own limit.
+// TestRefreshOfSilentLog: a query doesn't wait for a silent log longer than its own deadline.
 func TestRefreshOfSilentLog(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		r := jobstore.NewReplica(log.Client("entry"), func() int { return 55 }, zerolog.Nop())
@@ -139,7 +139,7 @@
 		go r.Run(ctx)
 		time.Sleep(50 * time.Millisecond)
 		if r.SyncedAt().IsZero() {
-			t.Error("there is no proof after 50 ms")
+			t.Error("the replica is not in sync after 50 ms")
 		}
 		add(t, log, submission(t, one, "second"), submission(t, two, "other"))
 		time.Sleep(50 * time.Millisecond)
@@ -161,12 +161,12 @@
 		add(t, log, jobstore.DeleteRecords(one)...)
 		time.Sleep(50 * time.Millisecond)
 		if _, ok := r.Phase(one); ok {
-			t.Error("a job that was dropped is still known")
+			t.Error("a job that was deleted is still known")
 		}
 	})
 }
 
-// TestCompletedStays: what is completed does not turn into cancelled by a cancel that comes late.
+// TestCompletedStays: a late cancellation doesn't turn a completed job into a cancelled one.
 func TestCompletedStays(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		add(t, log, submission(t, one, ""), progress(t, one, job.Completed), jobstore.CancelRecord(one))
@@ -179,7 +179,7 @@
 	})
 }
 
-// TestNoteOvertakes: what this process has appended itself is not undone by reading older records after it.
+// TestNoteOvertakes: reading older records doesn't undo what this process has appended itself.
 func TestNoteOvertakes(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		add(t, log, submission(t, one, ""), progress(t, one, job.Running))
@@ -195,7 +195,7 @@
 	})
 }
 
-// TestExpired: a reader whose next records have gone loads the newest of each key.
+// TestExpired: a reader whose next records have expired loads the newest of each key.
 func TestExpired(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		r := jobstore.NewReplica(log.Client("entry"), alone, zerolog.Nop())
@@ -213,7 +213,7 @@
 	})
 }
 
-// TestBackSoon: a log that was silent is followed again within 0.1 s of its return, and one that is slow is followed too.
+// TestBackSoon: a log that was silent is in use again within 0.1 s of its return, and a slow one is followed too.
 func TestBackSoon(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		r := jobstore.NewReplica(log.Client("entry"), alone, zerolog.Nop())
@@ -228,19 +228,19 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			if took := time.Since(back); took > 100*time.Millisecond {
-				t.Errorf("after %d s away it took %v", away, took)
+				t.Errorf("after %d s of silence it took %v", away, took)
 			}
 		}
 		log.SetFault("entry", jobtest.Fault{Delay: 900 * time.Millisecond})
 		time.Sleep(10 * time.Second)
 		if age := time.Since(r.SyncedAt()); age > 3*time.Second {
-			t.Errorf("with a slow log the proof is %v old", age)
+			t.Errorf("with a slow log the replica was last in sync %v ago", age)
 		}
 	})
 }
 
-// TestDeaf: while reads that wait for news hang, others still prove that there is nothing newer, so that callers' records are
-// kept.
+// TestDeaf: while reads that wait for records hang, probes still show that the replica is in sync, so that callers'
+// records are accepted.
 func TestDeaf(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		r := jobstore.NewReplica(log.Client("entry"), alone, zerolog.Nop())
@@ -249,7 +249,7 @@
 		log.SetFault("entry", jobtest.Fault{Deaf: true})
 		for began := time.Now(); time.Since(began) < 5*time.Second; time.Sleep(10 * time.Millisecond) {
 			if age := time.Since(r.SyncedAt()); age > 800*time.Millisecond {
-				t.Fatalf("the proof is %v old", age)
+				t.Fatalf("the replica was last in sync %v ago", age)
 			}
 		}
 	})
@@ -261,8 +261,8 @@
 	return r
 }
 
-// TestClaims: the log takes the claims of two entries for doubles of one call and answers both with success. Only the one
-// whose claim is read back leads.
+// TestClaims: the log takes the claims of two entries for one term as duplicates of one append and answers both with
+// success. Only the one whose claim is read back leads.
 func TestClaims(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		for _, name := range []string{"a", "b"} {
@@ -270,7 +270,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if _, err := log.Client(name).Append(ctx, []topic.Record{record}, topic.Condition{Exact: true, Producer: directory.TermProducer(1, 0)}); err != nil {
+			claim := topic.Condition{Exact: true, Producer: directory.TermProducer(1, 0)}
+			if _, err := log.Client(name).Append(ctx, []topic.Record{record}, claim); err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
 		}
@@ -284,8 +285,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := log.Client("b").Append(ctx, []topic.Record{late}, topic.Condition{Exact: true, At: 0, Producer: directory.TermProducer(2, 0)}); !errors.Is(err, topic.ErrConflict) {
-			t.Errorf("a claim on an old end got %v", err)
+		claim := topic.Condition{Exact: true, At: 0, Producer: directory.TermProducer(2, 0)}
+		if _, err := log.Client("b").Append(ctx, []topic.Record{late}, claim); !errors.Is(err, topic.ErrConflict) {
+			t.Errorf("a claim at an old end got %v", err)
 		}
 	})
 }
--- a/jobs/topic/golden_test.go
+++ b/jobs/topic/golden_test.go
@@ -25,10 +25,15 @@
 func TestGoldenJSON(t *testing.T) {
 	stored := topic.Stored{Record: topic.Record{Key: "c/0000000000000001", Value: []byte("1")}, Offset: 41}
 	goldentest.JSON(t, "record", stored.Record)
-	goldentest.JSON(t, "relayed", topic.RelayResponse{Records: []topic.Stored{stored}, End: 42, AgeMillis: 12, HeldMillis: 3})
+	goldentest.JSON(t, "relayed", topic.RelayResponse{
+		Records:    []topic.Stored{stored},
+		End:        42,
+		AgeMillis:  12,
+		HeldMillis: 3,
+	})
 }
 
-// TestGoldenRelay: the question for news, and its answer as it is given and taken.
+// TestGoldenRelay: the request of a relay client, and the answer as the server writes it and the client reads it.
 func TestGoldenRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := jobtest.NewLog(1)
