--- a/jobs/directory/standby_test.go
+++ b/jobs/directory/standby_test.go
@@ -17,10 +17,11 @@
 // not all of one availability zone.
 func TestLine(t *testing.T) {
 	tests := []struct {
-		name         string
-		entries      int
-		cores        func(i int) float64
-		able, inLine int
+		name     string
+		entries  int
+		cores    func(i int) float64
+		eligible int
+		standbys int
 	}{
 		{"three", 3, func(int) float64 { return 0.4 }, 3, 3},
 		{"forty alike", 40, func(int) float64 { return 0.4 }, 40, 5},
@@ -41,19 +42,20 @@
 				}
 				go d.Run(ctx)
 				time.Sleep(time.Second)
-				able, line := d.EligibleAddresses(), d.Standbys()
-				if len(able) != test.able || len(line) != test.inLine {
-					t.Fatalf("%d should lead and %v are in line, want %d and %d", len(able), line, test.able, test.inLine)
+				eligible, standbys := d.EligibleAddresses(), d.Standbys()
+				if len(eligible) != test.eligible || len(standbys) != test.standbys {
+					t.Fatalf("%d are eligible and %v standbys, want %d and %d",
+						len(eligible), standbys, test.eligible, test.standbys)
 				}
 				zones := map[byte]bool{}
 				for i, address := range d.StandbyAddresses() {
-					zones[line[i][len("front-zone-")]] = true
-					if !d.IsStandby(line[i]) || !slices.Contains(able, address) {
-						t.Errorf("%s at %s is in line and should not lead", line[i], address)
+					zones[standbys[i][len("front-zone-")]] = true
+					if !d.IsStandby(standbys[i]) || !slices.Contains(eligible, address) {
+						t.Errorf("%s at %s is a standby and not eligible", standbys[i], address)
 					}
 				}
-				if test.inLine == 5 && len(zones) == 1 {
-					t.Errorf("all in line are in one zone: %v", line)
+				if test.standbys == 5 && len(zones) == 1 {
+					t.Errorf("all standbys are in one zone: %v", standbys)
 				}
 			})
 		})
--- a/jobs/jobstore/jobstore_test.go
+++ b/jobs/jobstore/jobstore_test.go
@@ -1,8 +1,10 @@
 package jobstore_test
 
 import (
+	"bytes"
 	"context"
 	"errors"
+	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -166,6 +168,32 @@
 	})
 }
 
+// TestUnreadableRecords: a leader's record and a submission that can't be decoded are logged. The former is ignored; the
+// latter counts, so that the job isn't lost.
+func TestUnreadableRecords(t *testing.T) {
+	var logged bytes.Buffer
+	r := jobstore.NewReplica(jobtest.NewLog(1).Client("entry"), alone, zerolog.New(&logged))
+	leader := directory.Leader{Term: 3, Incarnation: "entry-1", Address: "10.0.0.1:1"}
+	record, err := directory.LeaderRecord(leader)
+	if err != nil {
+		t.Fatal(err)
+	}
+	broken := submission(t, one, "")
+	broken.Value = topic.CorruptValue
+	r.ApplyLocal([]topic.Record{record, {Key: directory.LeaderKey, Value: topic.CorruptValue}, broken}, 0)
+	if got, _, _ := r.Leader(); got != leader {
+		t.Errorf("the leader is %+v, want %+v", got, leader)
+	}
+	if _, known := r.Job(one); !known {
+		t.Error("the job is not known")
+	}
+	for _, want := range []string{"leader is unreadable", `"key":"j/` + string(one) + `"`} {
+		if !strings.Contains(logged.String(), want) {
+			t.Errorf("logged %s, want %s", &logged, want)
+		}
+	}
+}
+
 // TestCompletedStays: a late cancellation doesn't turn a completed job into a cancelled one.
 func TestCompletedStays(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
--- a/jobs/topic/hedged_read.go
+++ b/jobs/topic/hedged_read.go
@@ -28,7 +28,7 @@
 	mu sync.Mutex
 	// fullReads is the number of running full reads; the first attempt is not counted.
 	fullReads int
-	// repeatAt is when the next full read may start beside those that are running.
+	// repeatAt is when the next full read may start while others are running.
 	repeatAt time.Time
 	// interval is the time from the last start of a full read to repeatAt.
 	interval time.Duration
--- a/jobs/topic/log.go
+++ b/jobs/topic/log.go
@@ -6,7 +6,8 @@
 // servers of other processes instead of the log, so that the log isn't read by every process.
 //
 // The package owns the pace of reads, their retries and the buffer of a relay server. It relies on Log
-// returning records in the order of their offsets, without gaps.
+// returning records in the order of their offsets, without gaps. The steps of its log lines begin with
+// "jobstore", as do those of package directory.
 //
 // # Usage
 //
--- a/jobs/topic/pacer.go
+++ b/jobs/topic/pacer.go
@@ -7,7 +7,7 @@
 
 const (
 	// minProbeInterval is the time between two probes of a log that doesn't answer or returns errors. It is
-	// short because callers that were turned away come back within some hundred milliseconds, and because a
+	// short because rejected callers come back within some hundred milliseconds, and because a
 	// new connection works at once when the log is back, while an old one may stay silent for a second.
 	minProbeInterval = 80 * time.Millisecond
 	// probeIntervalPerReader is the probe interval for each process that reads the topic, where that is
@@ -23,8 +23,8 @@
 	minInterval func() time.Duration
 	// readers returns how many processes read the topic.
 	readers func() int
-	// readNow ends the interval early.
-	readNow chan struct{}
+	// woken ends the interval early.
+	woken chan struct{}
 	// lastRead is when the previous read started.
 	lastRead time.Time
 }
@@ -34,13 +34,13 @@
 		wait:        func() time.Duration { return wait },
 		minInterval: func() time.Duration { return 0 },
 		readers:     func() int { return 1 },
-		readNow:     make(chan struct{}, 1),
+		woken:       make(chan struct{}, 1),
 	}
 }
 
 // next blocks until the next read may start and returns how long it may wait for records. The interval is
-// taken off the wait, so that the reader is never longer out of sync than with reads back to back. A read that
-// hurry asked for doesn't wait.
+// taken off the wait, so that the reader is never longer out of sync than with reads back to back. A read after
+// wake doesn't wait.
 func (p *pacer) next(ctx context.Context) time.Duration {
 	interval := p.minInterval()
 	if interval <= 0 {
@@ -51,16 +51,16 @@
 	select {
 	case <-timer.C:
 		return max(p.wait()-interval, 0)
-	case <-p.readNow:
+	case <-p.woken:
 	case <-ctx.Done():
 	}
 	return 0
 }
 
-// hurry lets the next read start at once.
-func (p *pacer) hurry() {
+// wake lets the next read start at once.
+func (p *pacer) wake() {
 	select {
-	case p.readNow <- struct{}{}:
+	case p.woken <- struct{}{}:
 	default:
 	}
 }
--- a/jobs/topic/tail.go
+++ b/jobs/topic/tail.go
@@ -36,7 +36,8 @@
 	SyncedAt suspend.Instant
 }
 
-// Tail follows a topic: it loads the newest record of each key and then reads what is appended.
+// Tail follows a topic: it loads the newest record of each key and then reads what is appended. Its With methods
+// have to be called before Run.
 type Tail struct {
 	log Log
 	// name identifies the topic in log lines.
@@ -95,7 +96,7 @@
 }
 
 // ReadNow lets the next read start at once.
-func (t *Tail) ReadNow() { t.pacer.hurry() }
+func (t *Tail) ReadNow() { t.pacer.wake() }
 
 // Latency returns the estimate of the log's response time.
 func (t *Tail) Latency() *hedge.Latency { return t.latency }
