--- a/internal/broadcast/broadcast.go
+++ b/internal/broadcast/broadcast.go
@@ -1,7 +1,7 @@
 // Package broadcast wakes all goroutines that wait for a change of a shared state.
 //
-// A Signal belongs to the state and is guarded by the same lock: a waiter that reads the state and takes the
-// channel under one lock can't miss a change.
+// A Signal belongs to the state and is guarded by the same lock: a waiter that reads the state and
+// takes the channel under one lock can't miss a change.
 //
 // # Usage
 //
@@ -11,8 +11,8 @@
 //	<-changed // a later signal.Notify(), called with mu held, closes it
 package broadcast
 
-// Signal tells waiters of changes. The zero value is ready to use. Its methods must be called with the lock
-// of its owner held.
+// Signal tells waiters of changes. The zero value is ready to use. Its methods must be called with
+// the lock of its owner held.
 type Signal struct {
 	next chan struct{}
 }
--- a/internal/hedge/hedge.go
+++ b/internal/hedge/hedge.go
@@ -1,16 +1,21 @@
-// Package hedge makes hedged calls to a service that may be slow, lose answers or be down: an attempt
-// without an answer within the usual time is followed by another one in parallel, and the first answer
-// counts. It is only for calls that may be carried out twice without harm.
+// Package hedge makes hedged calls to a service that may be slow, lose answers or be down: an
+// attempt without an answer within the usual time is followed by another one in parallel, and the
+// first answer counts. It is only for calls that may be carried out twice without harm.
 //
-// Earlier attempts go on when the next one starts: a service that is merely slow answers the first one,
-// and cancelling it would only add load.
+// Earlier attempts go on when the next one starts: a service that is merely slow answers the first
+// one, and cancelling it would only add load.
 //
-// The package keeps no state but the latency estimate of a Latency, and relies on the runtime's clock.
+// The package keeps no state but the latency estimate of a Latency, and relies on the runtime's
+// clock.
 //
 // # Usage
 //
 //	latency := hedge.NewLatency()
-//	call := hedge.Call[int64]{Attempt: append, HedgeAfter: latency.HedgeDelay, Timeout: 3 * time.Second}
+//	call := hedge.Call[int64]{
+//		Attempt:    append,
+//		HedgeAfter: latency.HedgeDelay,
+//		Timeout:    3 * time.Second,
+//	}
 //	offset, err := call.Do(ctx)
 package hedge
 
@@ -23,7 +28,8 @@
 type Call[T any] struct {
 	// Attempt makes one attempt.
 	Attempt func(ctx context.Context, attempt int) (T, error)
-	// HedgeAfter returns how long an attempt may go unanswered before the next one starts in parallel.
+	// HedgeAfter returns how long an attempt may go unanswered before the next one starts in
+	// parallel.
 	HedgeAfter func(attempt int) time.Duration
 	// RetryDelay is the delay between a failed attempt and the next one.
 	RetryDelay time.Duration
@@ -33,8 +39,8 @@
 	MaxAttempts int
 	// IsPermanent reports whether an error ends the call. Nil means that no error does.
 	IsPermanent func(error) bool
-	// MergeErrors chooses between the errors of two attempts, for the error of a call whose attempts have
-	// all failed. Nil chooses the later one.
+	// MergeErrors chooses between the errors of two attempts, for the error of a call whose
+	// attempts have all failed. Nil chooses the later one.
 	MergeErrors func(earlier, later error) error
 }
 
@@ -44,8 +50,8 @@
 	err   error
 }
 
-// Do returns the first answer. It returns an error when one is permanent, when all attempts have failed, or
-// when ctx ends, which is reported by its cause.
+// Do returns the first answer. It returns an error when one is permanent, when all attempts have
+// failed, or when ctx ends, which is reported by its cause.
 func (c Call[T]) Do(ctx context.Context) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/hedge/hedge_test.go
+++ b/internal/hedge/hedge_test.go
@@ -21,8 +21,8 @@
 	err   error
 }
 
-// service answers attempts with its replies in turn, and then with the last one. An answer is the number of the
-// reply.
+// service answers attempts with its replies in turn, and then with the last one. An answer is the
+// number of the reply.
 type service struct {
 	replies []reply
 	begun   int
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// For waits for d and reports whether ctx is still alive. It returns early when ctx ends, and at once when d
-// is zero or negative.
+// For waits for d and reports whether ctx is still alive. It returns early when ctx ends, and at
+// once when d is zero or negative.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/suspend/suspend_test.go
+++ b/internal/suspend/suspend_test.go
@@ -8,7 +8,8 @@
 	"yarrowgrade.example/yarrowgrade/internal/suspend"
 )
 
-// TestSince: an instant ages by the monotonic clock and by suspensions after it, and not by earlier suspensions.
+// TestSince: an instant ages by the monotonic clock and by suspensions after it, and not by earlier
+// suspensions.
 func TestSince(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gap := 7 * time.Second
--- a/jobs/directory/directory.go
+++ b/jobs/directory/directory.go
@@ -1,11 +1,14 @@
-// Package directory tells who is there: the entries, their addresses and sizes, and who is the leader.
+// Package directory tells who is there: the entries, their addresses and sizes, and who is the
+// leader.
 //
-// It owns the directory's topic, which holds a record for the address and one for the size of each entry, and
-// one for the leader. Entries register themselves, the leader announces itself and deregisters entries that it
-// can't reach. Agents follow this small topic instead of that of the jobs. The package also has the rule which
-// entries should lead: the eligible ones, and of these the few standbys.
+// It owns the directory's topic, which holds a record for the address and one for the size of each
+// entry, and one for the leader. Entries register themselves, the leader announces itself and
+// deregisters entries that it can't reach. Agents follow this small topic instead of that of the
+// jobs. The package also has the rule which entries should lead: the eligible ones, and of these
+// the few standbys.
 //
-// It relies on package topic for reading and on the log for fencing off announcements of former leaders.
+// It relies on package topic for reading and on the log for fencing off announcements of former
+// leaders.
 //
 // # Usage
 //
@@ -30,8 +33,9 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// Prefixes of keys, before the name of an entry. The value under addressPrefix is the entry's address, that
-// under coresPrefix its share of processor time in cores; older entries write only the former.
+// Prefixes of keys, before the name of an entry. The value under addressPrefix is the entry's
+// address, that under coresPrefix its share of processor time in cores; older entries write only
+// the former.
 const (
 	addressPrefix = "e/"
 	coresPrefix   = "p/"
@@ -39,17 +43,18 @@
 
 // Pace of reads. Every entry and agent reads the directory.
 const (
-	// readWait is how long a read waits for records. Changes are rare; a connection that goes silent
-	// meanwhile is noticed by probes, and agents also learn of a new leader from entries.
+	// readWait is how long a read waits for records. Changes are rare; a connection that goes
+	// silent meanwhile is noticed by probes, and agents also learn of a new leader from entries.
 	readWait = 20 * time.Second
 	// minReadInterval lets one read bring the records of entries that start together.
 	minReadInterval = 250 * time.Millisecond
-	// assumedReaders is the number of readers for which probes of a log that doesn't answer are paced.
-	// Agents don't know the actual number.
+	// assumedReaders is the number of readers for which probes of a log that doesn't answer are
+	// paced. Agents don't know the actual number.
 	assumedReaders = 250
 )
 
-// Directory holds the newest state of the directory's topic. Its methods may be called from any goroutine.
+// Directory holds the newest state of the directory's topic. Its methods may be called from any
+// goroutine.
 type Directory struct {
 	tail   *topic.Tail
 	logger zerolog.Logger
@@ -109,8 +114,8 @@
 	}
 }
 
-// applyAddress sets the address of an entry or removes the entry. A malformed address is ignored. The lock must
-// be held.
+// applyAddress sets the address of an entry or removes the entry. A malformed address is ignored.
+// The lock must be held.
 func (d *Directory) applyAddress(name string, value []byte) {
 	if value == nil {
 		delete(d.addresses, name)
--- a/jobs/directory/golden_test.go
+++ b/jobs/directory/golden_test.go
@@ -64,8 +64,8 @@
 	return records
 }
 
-// TestGoldenDirectoryTopic: the records of the directory's topic, and the directory that reads them. Earlier versions
-// register no size.
+// TestGoldenDirectoryTopic: the records of the directory's topic, and the directory that reads
+// them. Earlier versions register no size.
 func TestGoldenDirectoryTopic(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		client := log.Client("entry")
--- a/jobs/directory/leader.go
+++ b/jobs/directory/leader.go
@@ -7,7 +7,8 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// LeaderKey is the key of the record that names the leader, in the directory's topic and in that of the jobs.
+// LeaderKey is the key of the record that names the leader, in the directory's topic and in that of
+// the jobs.
 const LeaderKey = "d"
 
 // producerName is the producer of all leaders; the log orders them by their terms.
@@ -16,7 +17,8 @@
 // Leader is the leader of a term.
 type Leader struct {
 	Term int64 `json:"term"`
-	// Incarnation names the start of the entry that leads; it is empty if the leader has stepped down.
+	// Incarnation names the start of the entry that leads; it is empty if the leader has stepped
+	// down.
 	Incarnation string `json:"holder"`
 	// Address is where agents reach the leader, as a host and port.
 	Address string `json:"address"`
--- a/jobs/directory/register.go
+++ b/jobs/directory/register.go
@@ -15,13 +15,14 @@
 	appendTimeout = time.Second
 	// retryDelay is the delay after a failed attempt.
 	retryDelay = 80 * time.Millisecond
-	// minRegisterInterval is the shortest time between two registrations of an entry. It leaves time for the
-	// registration to be read back.
+	// minRegisterInterval is the shortest time between two registrations of an entry. It leaves
+	// time for the registration to be read back.
 	minRegisterInterval = 5 * time.Second
 )
 
-// KeepRegistered registers an entry, and again whenever it is missing from the directory: the leader
-// deregisters entries that it can't reach, and this one may only have been cut off for a while.
+// KeepRegistered registers an entry, and again whenever it is missing from the directory: the
+// leader deregisters entries that it can't reach, and this one may only have been cut off for a
+// while.
 func (d *Directory) KeepRegistered(ctx context.Context, log topic.Log, name, address string, cores float64) {
 	for ctx.Err() == nil {
 		RegisterEntry(ctx, log, name, address, cores)
@@ -42,8 +43,8 @@
 	return d.synced && d.addresses[name] != address
 }
 
-// RegisterEntry writes the address and the size of an entry to the directory, and retries until it succeeds or
-// ctx ends. A size of zero cores means that it is unknown.
+// RegisterEntry writes the address and the size of an entry to the directory, and retries until it
+// succeeds or ctx ends. A size of zero cores means that it is unknown.
 func RegisterEntry(ctx context.Context, log topic.Log, name, address string, cores float64) {
 	records := []topic.Record{{Key: addressPrefix + name, Value: []byte(address)}}
 	if cores > 0 {
@@ -65,8 +66,8 @@
 	return err
 }
 
-// AnnounceLeader writes to the directory who is the leader, and retries until it succeeds, a later term has been
-// announced, or ctx ends.
+// AnnounceLeader writes to the directory who is the leader, and retries until it succeeds, a later
+// term has been announced, or ctx ends.
 func AnnounceLeader(ctx context.Context, log topic.Log, leader Leader) {
 	record, err := LeaderRecord(leader)
 	if err != nil {
@@ -76,8 +77,9 @@
 	appendUntilDone(ctx, log, []topic.Record{record}, topic.Condition{Producer: TermProducer(leader.Term, 0)})
 }
 
-// appendUntilDone appends records and retries until they are stored or fenced off. Failed attempts are not
-// logged here: topic.WithMetrics counts them, and the directory's tail logs when the log doesn't answer.
+// appendUntilDone appends records and retries until they are stored or fenced off. Failed attempts
+// are not logged here: topic.WithMetrics counts them, and the directory's tail logs when the log
+// doesn't answer.
 func appendUntilDone(ctx context.Context, log topic.Log, records []topic.Record, c topic.Condition) {
 	for ctx.Err() == nil {
 		attempt, cancel := context.WithTimeout(ctx, appendTimeout)
--- a/jobs/directory/standby.go
+++ b/jobs/directory/standby.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	// largerFactor is by how much the size of an entry must exceed that of another one to make the other
-	// ineligible. Entries of similar size may all lead.
+	// largerFactor is by how much the size of an entry must exceed that of another one to make the
+	// other ineligible. Entries of similar size may all lead.
 	largerFactor = 2.0
-	// maxStandbys is the number of entries that watch the leader closely and claim the lead as soon as it is
-	// gone. The others read less often and wait longer, so that neither reads nor claims grow with the number
-	// of entries. It has to be large enough for one of them to be up when a third of the entries are down.
+	// maxStandbys is the number of entries that watch the leader closely and claim the lead as soon
+	// as it is gone. The others read less often and wait longer, so that neither reads nor claims
+	// grow with the number of entries. It has to be large enough for one of them to be up when a
+	// third of the entries are down.
 	maxStandbys = 5
 )
 
@@ -34,8 +35,8 @@
 	return d.addressesOf(d.eligible())
 }
 
-// eligible returns the names of the entries than which no other is larger by largerFactor, sorted. Where no size
-// is known all entries are eligible. The lock must be held.
+// eligible returns the names of the entries than which no other is larger by largerFactor, sorted.
+// Where no size is known all entries are eligible. The lock must be held.
 func (d *Directory) eligible() []string {
 	largest := 0.0
 	for name := range d.addresses {
@@ -44,8 +45,8 @@
 	return d.names(func(name string) bool { return d.cores[name]*largerFactor > largest || largest == 0 })
 }
 
-// chooseStandbys chooses among the eligible entries by a hash of their names: every process chooses the same
-// ones, and the choice doesn't depend on their availability zones. The lock must be held.
+// chooseStandbys chooses among the eligible entries by a hash of their names: every process chooses
+// the same ones, and the choice doesn't depend on their availability zones. The lock must be held.
 func (d *Directory) chooseStandbys() {
 	names := d.eligible()
 	slices.SortFunc(names, func(a, b string) int {
--- a/jobs/directory/standby_test.go
+++ b/jobs/directory/standby_test.go
@@ -13,8 +13,8 @@
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
-// TestLine: there are at most five standbys, whatever the number of entries, all of them large ones where some are, and
-// not all of one availability zone.
+// TestLine: there are at most five standbys, whatever the number of entries, all of them large ones
+// where some are, and not all of one availability zone.
 func TestLine(t *testing.T) {
 	tests := []struct {
 		name     string
--- a/jobs/jobstore/forward.go
+++ b/jobs/jobstore/forward.go
@@ -36,8 +36,8 @@
 	return result.Offset, err
 }
 
-// ServeWrite stores a record for another entry. It answers 503 if the record is not stored and never will be, and
-// 504 if that is uncertain.
+// ServeWrite stores a record for another entry. It answers 503 if the record is not stored and
+// never will be, and 504 if that is uncertain.
 func (wr *Writer) ServeWrite(w http.ResponseWriter, r *http.Request) {
 	var record topic.Record
 	if err := jsonhttp.Read(w, r, &record); err != nil {
--- a/jobs/jobstore/golden_test.go
+++ b/jobs/jobstore/golden_test.go
@@ -76,7 +76,8 @@
 	`"s":"checkpoint-5","a":"worker-1","c":3,"cd":1,"ca":2,"ce":1,` +
 	`"co":{"i-0000@5":{"w":"worker-2","r":4,"b":true,"s":true,"at":"2026-03-04T05:06:07.008Z"}}}`
 
-// goldenProgress are stored forms of a progress by name: the newest forms, and those that earlier versions wrote.
+// goldenProgress are stored forms of a progress by name: the newest forms, and those that earlier
+// versions wrote.
 func goldenProgress(t *testing.T) map[string][]byte {
 	t.Helper()
 	start := incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722812345}
@@ -128,8 +129,8 @@
 	goldentest.JSON(t, "task", *task)
 }
 
-// TestGoldenOldProgress: earlier versions stored large ones plain, and incarnations without the time of their start.
-// Both are read, and written in the newest form.
+// TestGoldenOldProgress: earlier versions stored large ones plain, and incarnations without the
+// time of their start. Both are read, and written in the newest form.
 func TestGoldenOldProgress(t *testing.T) {
 	var tasks []string
 	for i := range 40 {
@@ -259,8 +260,8 @@
 // maskText takes out the text of errors and log lines: it is for people, and nothing reads it.
 func maskText(data []byte) []byte { return textForPeople.ReplaceAll(data, []byte(`"$1":"..."`)) }
 
-// TestGoldenRecordsPath: the request of an entry to store a record, its answers, and the log line of the entry that
-// stores it, in which the trace of a job finds its ID.
+// TestGoldenRecordsPath: the request of an entry to store a record, its answers, and the log line
+// of the entry that stores it, in which the trace of a job finds its ID.
 func TestGoldenRecordsPath(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		var logged bytes.Buffer
--- a/jobs/jobstore/hedged_read_test.go
+++ b/jobs/jobstore/hedged_read_test.go
@@ -28,10 +28,11 @@
 	return batch, err
 }
 
-// TestMuchToReadIsAskedForOnce: the log had rejected a third of 183 entries for 9 s. When it accepted them again,
-// each of them read what it had missed, and repeated the read every 80 ms until the first was answered. The log
-// could not send that much, no entry got an answer in time for 3 s more, and 12 jobs were rejected. How often
-// records are read must not depend on how long the log takes to send them.
+// TestMuchToReadIsAskedForOnce: the log had rejected a third of 183 entries for 9 s. When it
+// accepted them again, each of them read what it had missed, and repeated the read every 80 ms
+// until the first was answered. The log could not send that much, no entry got an answer in time
+// for 3 s more, and 12 jobs were rejected. How often records are read must not depend on how long
+// the log takes to send them.
 func TestMuchToReadIsAskedForOnce(t *testing.T) {
 	for _, takes := range []time.Duration{400 * time.Millisecond, 800 * time.Millisecond} {
 		bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
@@ -62,9 +63,9 @@
 	}
 }
 
-// TestAwayLogIsProbed: while the log was down each of 983 processes read it every 80 ms, 12,000 times a second in
-// all. All processes together probe it some 500 times a second, however many they are; the leader, for which
-// every job waits, probes at the shortest interval.
+// TestAwayLogIsProbed: while the log was down each of 983 processes read it every 80 ms, 12,000
+// times a second in all. All processes together probe it some 500 times a second, however many they
+// are; the leader, for which every job waits, probes at the shortest interval.
 func TestAwayLogIsProbed(t *testing.T) {
 	tests := []struct {
 		readers int
@@ -102,9 +103,10 @@
 	}
 }
 
-// TestNewsWhileReadsHang: while a log drops its history, reads that wait for records hang. A leader learnt of a job
-// only when its hung read had timed out, 1.3 s later, and three urgent jobs were late. What a hung read should have
-// returned is read again as soon as a probe finds it: the read waits for 0.3 s, an answer takes at most 0.15 s.
+// TestNewsWhileReadsHang: while a log drops its history, reads that wait for records hang. A leader
+// learnt of a job only when its hung read had timed out, 1.3 s later, and three urgent jobs were
+// late. What a hung read should have returned is read again as soon as a probe finds it: the read
+// waits for 0.3 s, an answer takes at most 0.15 s.
 func TestNewsWhileReadsHang(t *testing.T) {
 	for _, readers := range []int{3, 183} {
 		bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
--- a/jobs/jobstore/jobstore_test.go
+++ b/jobs/jobstore/jobstore_test.go
@@ -63,8 +63,9 @@
 // alone is the number of readers of a replica that reads each record as it comes.
 func alone() int { return 0 }
 
-// TestReadersShare: where many entries read the topic, one read brings many records, and a query for a job's state
-// reads first. The leader reads each record as it comes, however many entries there are.
+// TestReadersShare: where many entries read the topic, one read brings many records, and a query
+// for a job's state reads first. The leader reads each record as it comes, however many entries
+// there are.
 func TestReadersShare(t *testing.T) {
 	const records, every = 100, 20 * time.Millisecond
 	tests := []struct {
@@ -168,8 +169,8 @@
 	})
 }
 
-// TestUnreadableRecords: a leader's record and a submission that can't be decoded are logged. The former is ignored; the
-// latter counts, so that the job isn't lost.
+// TestUnreadableRecords: a leader's record and a submission that can't be decoded are logged. The
+// former is ignored; the latter counts, so that the job isn't lost.
 func TestUnreadableRecords(t *testing.T) {
 	var logged bytes.Buffer
 	r := jobstore.NewReplica(jobtest.NewLog(1).Client("entry"), alone, zerolog.New(&logged))
@@ -241,7 +242,8 @@
 	})
 }
 
-// TestBackSoon: a log that was silent is in use again within 0.1 s of its return, and a slow one is followed too.
+// TestBackSoon: a log that was silent is in use again within 0.1 s of its return, and a slow one is
+// followed too.
 func TestBackSoon(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		r := jobstore.NewReplica(log.Client("entry"), alone, zerolog.Nop())
@@ -267,8 +269,8 @@
 	})
 }
 
-// TestDeaf: while reads that wait for records hang, probes still show that the replica is in sync, so that callers'
-// records are accepted.
+// TestDeaf: while reads that wait for records hang, probes still show that the replica is in sync,
+// so that callers' records are accepted.
 func TestDeaf(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		r := jobstore.NewReplica(log.Client("entry"), alone, zerolog.Nop())
@@ -289,8 +291,8 @@
 	return r
 }
 
-// TestClaims: the log takes the claims of two entries for one term as duplicates of one append and answers both with
-// success. Only the one whose claim is read back leads.
+// TestClaims: the log takes the claims of two entries for one term as duplicates of one append and
+// answers both with success. Only the one whose claim is read back leads.
 func TestClaims(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		for _, name := range []string{"a", "b"} {
--- a/jobs/jobstore/pacing.go
+++ b/jobs/jobstore/pacing.go
@@ -5,26 +5,28 @@
 	"time"
 )
 
-// Pace of reads. If every entry read each record as it comes, the reads would grow as the number of entries
-// times that of records. So entries read at intervals that grow with their number, and one read brings all
-// records of an interval.
+// Pace of reads. If every entry read each record as it comes, the reads would grow as the number of
+// entries times that of records. So entries read at intervals that grow with their number, and one
+// read brings all records of an interval.
 const (
 	// readWait is how long a read waits for records.
 	readWait = 300 * time.Millisecond
 	// readIntervalPerReader is the time between two reads for each entry that reads the topic.
 	readIntervalPerReader = 7 * time.Millisecond
-	// maxStandbyInterval bounds the interval of standbys. It has to be well below the time-out after which
-	// they claim the lead, so that they see the leader's heartbeats in time.
+	// maxStandbyInterval bounds the interval of standbys. It has to be well below the time-out
+	// after which they claim the lead, so that they see the leader's heartbeats in time.
 	maxStandbyInterval = 400 * time.Millisecond
-	// maxOtherInterval bounds the interval of the other entries. It has to be shorter than maxSyncAge by more
-	// than the log's response time, so that they always accept callers' records.
+	// maxOtherInterval bounds the interval of the other entries. It has to be shorter than
+	// maxSyncAge by more than the log's response time, so that they always accept callers' records.
 	maxOtherInterval = 800 * time.Millisecond
-	// refreshAge is how long ago an entry may have been in sync to answer a query without reading first.
+	// refreshAge is how long ago an entry may have been in sync to answer a query without reading
+	// first.
 	refreshAge = 50 * time.Millisecond
 )
 
-// minReadInterval returns the shortest time between two reads. The leader needs each record at once. A slow log
-// adds its response time to the age of what was read, so the longer interval is only for a fast one.
+// minReadInterval returns the shortest time between two reads. The leader needs each record at
+// once. A slow log adds its response time to the age of what was read, so the longer interval is
+// only for a fast one.
 func (r *Replica) minReadInterval() time.Duration {
 	if r.leading.Load() {
 		return 0
@@ -36,8 +38,8 @@
 	return min(time.Duration(r.readers())*readIntervalPerReader, longest)
 }
 
-// probeReaders returns how many processes share the probes of a log that doesn't answer. The leader probes as
-// if it were alone: no job starts until it is back.
+// probeReaders returns how many processes share the probes of a log that doesn't answer. The leader
+// probes as if it were alone: no job starts until it is back.
 func (r *Replica) probeReaders() int {
 	if r.leading.Load() {
 		return 1
@@ -57,8 +59,8 @@
 // ReadNow lets the next read start at once.
 func (r *Replica) ReadNow() { r.tail.ReadNow() }
 
-// Refresh reads what there is, unless the replica was in sync a moment ago or reads all the time anyway. It
-// returns early when ctx ends.
+// Refresh reads what there is, unless the replica was in sync a moment ago or reads all the time
+// anyway. It returns early when ctx ends.
 func (r *Replica) Refresh(ctx context.Context) {
 	asked := time.Now()
 	for ctx.Err() == nil {
--- a/jobs/jobstore/peers.go
+++ b/jobs/jobstore/peers.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// maxPeersAsked is the number of other entries asked to store a record. It has to be large enough to find
-	// one that reaches a log which rejects part of the entries, and small enough that a rejection by all of
-	// them leaves the caller time to come back.
+	// maxPeersAsked is the number of other entries asked to store a record. It has to be large
+	// enough to find one that reaches a log which rejects part of the entries, and small enough
+	// that a rejection by all of them leaves the caller time to come back.
 	maxPeersAsked = 5
 	// probeInterval is the time between two probes of an unreachable entry.
 	probeInterval = time.Second
@@ -50,8 +50,8 @@
 	}
 }
 
-// choose returns the entries to ask for one record: a few of the reachable ones, evenly spread over the list, and
-// others each time.
+// choose returns the entries to ask for one record: a few of the reachable ones, evenly spread over
+// the list, and others each time.
 func (p *peers) choose() []string {
 	var reachable []string
 	for _, address := range p.addresses() {
@@ -70,8 +70,8 @@
 	return chosen
 }
 
-// unreachable reports whether an entry was unreachable when it was last asked or probed. Probes run in the
-// background: connecting to a box that is gone takes time that callers don't have.
+// unreachable reports whether an entry was unreachable when it was last asked or probed. Probes run
+// in the background: connecting to a box that is gone takes time that callers don't have.
 func (p *peers) unreachable(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/jobs/jobstore/replica.go
+++ b/jobs/jobstore/replica.go
@@ -1,13 +1,14 @@
-// Package jobstore stores jobs in one keyed topic of the log: submissions, cancellations, the progress of each
-// job, and who is the leader.
+// Package jobstore stores jobs in one keyed topic of the log: submissions, cancellations, the
+// progress of each job, and who is the leader.
 //
-// A Replica follows the topic and holds the newest record of each key. It reports when it was last in sync, and
-// its users decide whether that is recent enough. A Writer stores callers' records, through other entries if
-// this one can't reach the log. Every entry writes submissions and cancellations; only the leader writes
-// progress, and the log fences off a leader that has been succeeded by the term in its appends.
+// A Replica follows the topic and holds the newest record of each key. It reports when it was last
+// in sync, and its users decide whether that is recent enough. A Writer stores callers' records,
+// through other entries if this one can't reach the log. Every entry writes submissions and
+// cancellations; only the leader writes progress, and the log fences off a leader that has been
+// succeeded by the term in its appends.
 //
-// The package owns the keys and the pace of reads. The encoding of values is that of package job, reading and
-// retries are those of package topic.
+// The package owns the keys and the pace of reads. The encoding of values is that of package job,
+// reading and retries are those of package topic.
 //
 // # Usage
 //
@@ -50,13 +51,15 @@
 	leaderSeenAt time.Time
 	// next is the offset up to which all records have been read.
 	next int64
-	// changed tells of any record, jobsChanged of changed jobs or another leader, updated of every read.
+	// changed tells of any record, jobsChanged of changed jobs or another leader, updated of every
+	// read.
 	changed     broadcast.Signal
 	jobsChanged broadcast.Signal
 	updated     broadcast.Signal
 }
 
-// NewReplica returns an empty replica. The function readers returns how many entries read the topic.
+// NewReplica returns an empty replica. The function readers returns how many entries read the
+// topic.
 func NewReplica(log topic.Log, readers func() int, logger zerolog.Logger) *Replica {
 	r := &Replica{
 		tail:      topic.NewTail(log, "jobs", readWait, logger),
@@ -116,8 +119,8 @@
 	}
 }
 
-// ApplyLocal applies records that this process has appended, before a read returns them. The first of them has
-// the given offset.
+// ApplyLocal applies records that this process has appended, before a read returns them. The first
+// of them has the given offset.
 func (r *Replica) ApplyLocal(records []topic.Record, first int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -170,16 +173,17 @@
 	return r.changed.Next()
 }
 
-// JobsChanged returns a channel that is closed once TakeChanged has something to return or the leader changes.
-// Progress doesn't count: it is the leader itself that writes it.
+// JobsChanged returns a channel that is closed once TakeChanged has something to return or the
+// leader changes. Progress doesn't count: it is the leader itself that writes it.
 func (r *Replica) JobsChanged() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.jobsChanged.Next()
 }
 
-// SyncedAt returns when the replica was last in sync with the end of the topic: the time at which the read was
-// sent. It is zero before the first time. The time since then includes suspensions of the machine.
+// SyncedAt returns when the replica was last in sync with the end of the topic: the time at which
+// the read was sent. It is zero before the first time. The time since then includes suspensions of
+// the machine.
 func (r *Replica) SyncedAt() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -193,8 +197,8 @@
 	return r.sync.duration()
 }
 
-// Leader returns the newest leader, when its last record came (zero if none has since the last snapshot), and the
-// offset up to which all records have been read.
+// Leader returns the newest leader, when its last record came (zero if none has since the last
+// snapshot), and the offset up to which all records have been read.
 func (r *Replica) Leader() (leader directory.Leader, seenAt time.Time, next int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -244,8 +248,8 @@
 	return r.jobs.ids()
 }
 
-// TakeChanged returns the jobs that were submitted or cancelled since the last call of Jobs or TakeChanged, in
-// no order.
+// TakeChanged returns the jobs that were submitted or cancelled since the last call of Jobs or
+// TakeChanged, in no order.
 func (r *Replica) TakeChanged() []StoredJob {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/jobs/jobstore/sync.go
+++ b/jobs/jobstore/sync.go
@@ -6,8 +6,8 @@
 	"yarrowgrade.example/yarrowgrade/internal/suspend"
 )
 
-// maxSyncGap is the longest time between two points of being in sync for what happened in between to count as
-// seen in time.
+// maxSyncGap is the longest time between two points of being in sync for what happened in between
+// to count as seen in time.
 const maxSyncGap = 1200 * time.Millisecond
 
 // syncState tracks when a replica was in sync with the end of its topic.
--- a/jobs/jobstore/table.go
+++ b/jobs/jobstore/table.go
@@ -93,8 +93,9 @@
 	t.rows = map[job.ID]*row{}
 }
 
-// apply applies a record, unless a newer one of its key has been applied. It reports whether the record is
-// newer progress of a job. An error means that the job's queue is unknown; the record counts nevertheless.
+// apply applies a record, unless a newer one of its key has been applied. It reports whether the
+// record is newer progress of a job. An error means that the job's queue is unknown; the record
+// counts nevertheless.
 func (t *table) apply(s topic.Stored) (progressed bool, err error) {
 	prefix, id, ok := splitKey(s.Key)
 	if !ok {
--- a/jobs/jobstore/writer.go
+++ b/jobs/jobstore/writer.go
@@ -18,13 +18,15 @@
 	appendTimeout = 2 * time.Second
 	// retryDelay is the delay between two rounds of attempts.
 	retryDelay = 150 * time.Millisecond
-	// maxSyncAge is how long ago the replica may have been in sync for a record to be sent to the log. A log
-	// that has been silent for longer would leave it uncertain whether the record is stored.
+	// maxSyncAge is how long ago the replica may have been in sync for a record to be sent to the
+	// log. A log that has been silent for longer would leave it uncertain whether the record is
+	// stored.
 	maxSyncAge = 1200 * time.Millisecond
 )
 
-// Writer stores callers' records, submissions and cancellations, through this entry's own connection to the log
-// or through another entry. Storing such a record twice does no harm, so attempts without an answer are hedged.
+// Writer stores callers' records, submissions and cancellations, through this entry's own
+// connection to the log or through another entry. Storing such a record twice does no harm, so
+// attempts without an answer are hedged.
 type Writer struct {
 	log     topic.Log
 	latency *hedge.Latency
@@ -34,8 +36,8 @@
 	logger  zerolog.Logger
 }
 
-// NewWriter returns a writer. The latency is the process's estimate for the log, addresses returns those of all
-// entries, and self is the address of this one.
+// NewWriter returns a writer. The latency is the process's estimate for the log, addresses returns
+// those of all entries, and self is the address of this one.
 func NewWriter(
 	log topic.Log, latency *hedge.Latency, replica *Replica, addresses func() []string, self string,
 	client *http.Client, logger zerolog.Logger,
@@ -53,8 +55,8 @@
 // route is one way to store a record. It returns the record's offset.
 type route func(ctx context.Context) (int64, error)
 
-// Write stores a record. If topic.NotApplied holds for its error, the record is not stored and never will be.
-// After any other error it may be stored, also later.
+// Write stores a record. If topic.NotApplied holds for its error, the record is not stored and
+// never will be. After any other error it may be stored, also later.
 func (wr *Writer) Write(ctx context.Context, record topic.Record) error {
 	uncertain := false
 	for {
@@ -74,7 +76,8 @@
 	}
 }
 
-// routes returns the routes for a record: this entry's own one first, if the log is reachable, then a few peers.
+// routes returns the routes for a record: this entry's own one first, if the log is reachable, then
+// a few peers.
 func (wr *Writer) routes(record topic.Record) []route {
 	var routes []route
 	if wr.logReachable() {
@@ -86,8 +89,8 @@
 	return routes
 }
 
-// round tries the routes in their order, each as soon as the previous one has failed or is slow, until one
-// succeeds.
+// round tries the routes in their order, each as soon as the previous one has failed or is slow,
+// until one succeeds.
 func (wr *Writer) round(ctx context.Context, routes []route) (int64, error) {
 	if len(routes) == 0 {
 		return 0, fmt.Errorf("%w: no way to the log", topic.ErrRejected)
@@ -110,9 +113,9 @@
 	return earlier
 }
 
-// logReachable reports whether this entry may send a record to the log: the log has answered lately and doesn't
-// reject this entry. Otherwise the caller is better off with a rejection at once than with an uncertain result
-// after its deadline.
+// logReachable reports whether this entry may send a record to the log: the log has answered lately
+// and doesn't reject this entry. Otherwise the caller is better off with a rejection at once than
+// with an uncertain result after its deadline.
 func (wr *Writer) logReachable() bool {
 	syncedAt := wr.replica.SyncedAt()
 	return !syncedAt.IsZero() && time.Since(syncedAt) < maxSyncAge && !wr.replica.Rejected()
--- a/jobs/jobstore/writer_test.go
+++ b/jobs/jobstore/writer_test.go
@@ -122,7 +122,8 @@
 	return nil, &net.OpError{Op: "dial", Err: errors.New("i/o timeout")}
 }
 
-// TestGonePeer: an entry whose box is gone holds up one rejection, and no later one; once it is back it is used again.
+// TestGonePeer: an entry whose box is gone holds up one rejection, and no later one; once it is
+// back it is used again.
 func TestGonePeer(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		network := standin.NewNetwork()
@@ -160,8 +161,8 @@
 	})
 }
 
-// TestFewAreAsked: in a large fleet a rejection doesn't wait for each entry, also when the log rejects the first of
-// them, and where it rejects only part of the entries the others are found.
+// TestFewAreAsked: in a large fleet a rejection doesn't wait for each entry, also when the log
+// rejects the first of them, and where it rejects only part of the entries the others are found.
 func TestFewAreAsked(t *testing.T) {
 	const entries = 55
 	tests := []struct {
--- a/jobs/topic/golden_test.go
+++ b/jobs/topic/golden_test.go
@@ -33,7 +33,8 @@
 	})
 }
 
-// TestGoldenRelay: the request of a relay client, and the answer as the server writes it and the client reads it.
+// TestGoldenRelay: the request of a relay client, and the answer as the server writes it and the
+// client reads it.
 func TestGoldenRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := jobtest.NewLog(1)
--- a/jobs/topic/health.go
+++ b/jobs/topic/health.go
@@ -9,8 +9,8 @@
 	"github.com/rs/zerolog"
 )
 
-// rejectedAfter is the number of consecutive errors after which the log is taken to reject this process. A
-// single error may be the reset of one connection.
+// rejectedAfter is the number of consecutive errors after which the log is taken to reject this
+// process. A single error may be the reset of one connection.
 const rejectedAfter = 2
 
 // health tracks whether the log answers, and logs when it stops and when it answers again.
@@ -20,8 +20,8 @@
 
 	failures     int
 	failingSince time.Time
-	// errors counts consecutive attempts that ended with an error other than a timeout. It is read by other
-	// goroutines.
+	// errors counts consecutive attempts that ended with an error other than a timeout. It is read
+	// by other goroutines.
 	errors atomic.Int64
 }
 
--- a/jobs/topic/hedged_read.go
+++ b/jobs/topic/hedged_read.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// minFullReadInterval is the time after which a full read that is still running is repeated; it doubles with
-// each repetition. A log that is back after an outage has much to send to many readers, and would not get
-// through if they repeated their reads at the pace of probes.
+// minFullReadInterval is the time after which a full read that is still running is repeated; it
+// doubles with each repetition. A log that is back after an outage has much to send to many
+// readers, and would not get through if they repeated their reads at the pace of probes.
 const minFullReadInterval = time.Second
 
-// errReadRunning is the result of a probe that found records which a running read is fetching already.
+// errReadRunning is the result of a probe that found records which a running read is fetching
+// already.
 var errReadRunning = errors.New("records are being read")
 
 // hedgedRead is one read of a topic, made in as many attempts as it takes.
 //
-// The first attempt waits for records and returns them. The later ones probe whether the log answers. A probe
-// that finds no record answers the read as well. One that finds records shows that the first attempt is stuck,
-// and starts a full read, unless a recent one is still running.
+// The first attempt waits for records and returns them. The later ones probe whether the log
+// answers. A probe that finds no record answers the read as well. One that finds records shows that
+// the first attempt is stuck, and starts a full read, unless a recent one is still running.
 type hedgedRead struct {
 	log  Log
 	next int64
--- a/jobs/topic/log.go
+++ b/jobs/topic/log.go
@@ -1,13 +1,14 @@
-// Package topic is the client side of a keyed topic in an append-only log service, of which the newest record
-// of each key counts.
+// Package topic is the client side of a keyed topic in an append-only log service, of which the
+// newest record of each key counts.
 //
-// Log is the service as the platform's adapter provides it. A Tail follows a topic and reports up to when
-// its reader is in sync. A RelayServer passes on what a Tail has read, and a RelayClient reads from relay
-// servers of other processes instead of the log, so that the log isn't read by every process.
+// Log is the service as the platform's adapter provides it. A Tail follows a topic and reports up
+// to when its reader is in sync. A RelayServer passes on what a Tail has read, and a RelayClient
+// reads from relay servers of other processes instead of the log, so that the log isn't read by
+// every process.
 //
-// The package owns the pace of reads, their retries and the buffer of a relay server. It relies on Log
-// returning records in the order of their offsets, without gaps. The steps of its log lines begin with
-// "jobstore", as do those of package directory.
+// The package owns the pace of reads, their retries and the buffer of a relay server. It relies on
+// Log returning records in the order of their offsets, without gaps. The steps of its log lines
+// begin with "jobstore", as do those of package directory.
 //
 // # Usage
 //
@@ -38,11 +39,11 @@
 	Records []Stored
 	// End is the offset of the next record to be written.
 	End int64
-	// Staleness is how long before the read was sent the topic was known to end at End; zero for a read of
-	// the log itself.
+	// Staleness is how long before the read was sent the topic was known to end at End; zero for a
+	// read of the log itself.
 	Staleness time.Duration
-	// Unreadable holds an error for each record that could not be read. If at least its key could be, the
-	// record is in Records with the value CorruptValue.
+	// Unreadable holds an error for each record that could not be read. If at least its key could
+	// be, the record is in Records with the value CorruptValue.
 	Unreadable []error
 }
 
--- a/jobs/topic/pacer.go
+++ b/jobs/topic/pacer.go
@@ -6,12 +6,13 @@
 )
 
 const (
-	// minProbeInterval is the time between two probes of a log that doesn't answer or returns errors. It is
-	// short because rejected callers come back within some hundred milliseconds, and because a
-	// new connection works at once when the log is back, while an old one may stay silent for a second.
+	// minProbeInterval is the time between two probes of a log that doesn't answer or returns
+	// errors. It is short because rejected callers come back within some hundred milliseconds, and
+	// because a new connection works at once when the log is back, while an old one may stay silent
+	// for a second.
 	minProbeInterval = 80 * time.Millisecond
-	// probeIntervalPerReader is the probe interval for each process that reads the topic, where that is
-	// longer. It bounds the probes of all processes together.
+	// probeIntervalPerReader is the probe interval for each process that reads the topic, where
+	// that is longer. It bounds the probes of all processes together.
 	probeIntervalPerReader = 2 * time.Millisecond
 )
 
@@ -19,7 +20,8 @@
 type pacer struct {
 	// wait returns how long a read may wait for records.
 	wait func() time.Duration
-	// minInterval returns the shortest time between the starts of two reads; zero lets them follow at once.
+	// minInterval returns the shortest time between the starts of two reads; zero lets them follow
+	// at once.
 	minInterval func() time.Duration
 	// readers returns how many processes read the topic.
 	readers func() int
@@ -38,9 +40,9 @@
 	}
 }
 
-// next blocks until the next read may start and returns how long it may wait for records. The interval is
-// taken off the wait, so that the reader is never longer out of sync than with reads back to back. A read after
-// wake doesn't wait.
+// next blocks until the next read may start and returns how long it may wait for records. The
+// interval is taken off the wait, so that the reader is never longer out of sync than with reads
+// back to back. A read after wake doesn't wait.
 func (p *pacer) next(ctx context.Context) time.Duration {
 	interval := p.minInterval()
 	if interval <= 0 {
--- a/jobs/topic/relay_client.go
+++ b/jobs/topic/relay_client.go
@@ -15,14 +15,15 @@
 	"yarrowgrade.example/yarrowgrade/internal/sample"
 )
 
-// RelayClient is a log that reads new records from relay servers. It falls back to the log itself when there is
-// no server to ask, or the one that was asked fails or is out of sync. Appends, loads and probes always go to
-// the log.
+// RelayClient is a log that reads new records from relay servers. It falls back to the log itself
+// when there is no server to ask, or the one that was asked fails or is out of sync. Appends, loads
+// and probes always go to the log.
 type RelayClient struct {
 	Log
 	path   string
 	client *http.Client
-	// servers returns the addresses of the relay servers; none if this process has to read the log itself.
+	// servers returns the addresses of the relay servers; none if this process has to read the log
+	// itself.
 	servers func() []string
 	logger  zerolog.Logger
 
@@ -91,7 +92,8 @@
 	if err != nil {
 		return Batch{}, err
 	}
-	// The staleness counts from when the request was sent, and the server has held the request since.
+	// The staleness counts from when the request was sent, and the server has held the request
+	// since.
 	age := time.Duration(response.AgeMillis-response.HeldMillis) * time.Millisecond
 	if age > maxRelayedAge || response.End != from+int64(len(response.Records)) {
 		return Batch{}, fault.New("jobstore.relay", address, fmt.Errorf("%w: got %d of the records up to %d, in sync %v ago",
--- a/jobs/topic/relay_server.go
+++ b/jobs/topic/relay_server.go
@@ -64,8 +64,8 @@
 	return response, s.changed.Next(), nil
 }
 
-// ServeHTTP answers GET ?from=OFFSET with a RelayResponse, as soon as there are records or after relayWait. It
-// answers 404 if it doesn't have all records from the offset on.
+// ServeHTTP answers GET ?from=OFFSET with a RelayResponse, as soon as there are records or after
+// relayWait. It answers 404 if it doesn't have all records from the offset on.
 func (s *RelayServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	received := time.Now()
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
--- a/jobs/topic/tail.go
+++ b/jobs/topic/tail.go
@@ -14,8 +14,8 @@
 const (
 	// readTimeout bounds one attempt to read, in addition to the time that it waits for records.
 	readTimeout = 2500 * time.Millisecond
-	// loadInterval is the time between two hedged loads of the newest records; the interval of probes
-	// applies where it is longer.
+	// loadInterval is the time between two hedged loads of the newest records; the interval of
+	// probes applies where it is longer.
 	loadInterval = 500 * time.Millisecond
 	// silentAfter is the number of unanswered attempts after which the log counts as silent.
 	silentAfter = 3
@@ -31,13 +31,13 @@
 	Snapshot bool
 	// Next is the offset up to which all records have been read.
 	Next int64
-	// SyncedAt is when the read was sent, if it reached the end of the topic, and zero otherwise. What was
-	// appended before that time has been read.
+	// SyncedAt is when the read was sent, if it reached the end of the topic, and zero otherwise.
+	// What was appended before that time has been read.
 	SyncedAt suspend.Instant
 }
 
-// Tail follows a topic: it loads the newest record of each key and then reads what is appended. Its With methods
-// have to be called before Run.
+// Tail follows a topic: it loads the newest record of each key and then reads what is appended. Its
+// With methods have to be called before Run.
 type Tail struct {
 	log Log
 	// name identifies the topic in log lines.
@@ -56,8 +56,8 @@
 	next   int64
 }
 
-// NewTail returns a tail of a topic whose reads wait for records for the given time. The name identifies the
-// topic in log lines.
+// NewTail returns a tail of a topic whose reads wait for records for the given time. The name
+// identifies the topic in log lines.
 func NewTail(log Log, name string, wait time.Duration, logger zerolog.Logger) *Tail {
 	return &Tail{
 		log:     log,
@@ -69,8 +69,8 @@
 	}
 }
 
-// WithMinInterval sets the shortest time between the starts of two reads, so that one read brings all records
-// of that time. The function is called before each read.
+// WithMinInterval sets the shortest time between the starts of two reads, so that one read brings
+// all records of that time. The function is called before each read.
 func (t *Tail) WithMinInterval(interval func() time.Duration) *Tail {
 	t.pacer.minInterval = interval
 	return t
@@ -82,8 +82,8 @@
 	return t
 }
 
-// WithReaders sets how many processes read the topic. The more there are, the less often each of them probes
-// a log that doesn't answer.
+// WithReaders sets how many processes read the topic. The more there are, the less often each of
+// them probes a log that doesn't answer.
 func (t *Tail) WithReaders(readers func() int) *Tail {
 	t.pacer.readers = readers
 	return t
@@ -101,7 +101,8 @@
 // Latency returns the estimate of the log's response time.
 func (t *Tail) Latency() *hedge.Latency { return t.latency }
 
-// Rejected reports whether the last reads ended with errors: the log is up but rejects this process.
+// Rejected reports whether the last reads ended with errors: the log is up but rejects this
+// process.
 func (t *Tail) Rejected() bool { return t.health.rejected() }
 
 // Run passes all updates to apply until ctx ends.
