--- a/jobs/jobstore/writer_test.go
+++ b/jobs/jobstore/writer_test.go
@@ -15,15 +15,15 @@
 	"github.com/rs/zerolog"
 
 	"yarrowgrade.example/yarrowgrade/internal/hedge"
+	"yarrowgrade.example/yarrowgrade/internal/memnet"
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
-	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
 )
 
 // writers starts two entries that store records for each other, and returns the first.
 func writers(ctx context.Context, log *jobtest.Log) *jobstore.Writer {
-	network := standin.NewNetwork()
+	network := memnet.New()
 	var first *jobstore.Writer
 	peers := func() []string { return []string{"a", "b"} }
 	for _, name := range peers() {
@@ -126,7 +126,7 @@
 // back it is used again.
 func TestGonePeer(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
-		network := standin.NewNetwork()
+		network := memnet.New()
 		peer := newWriter(ctx, log, "b", func() []string { return nil }, http.DefaultClient)
 		network.Attach("http://b", routerOf(peer.ServeWrite))
 		client := network.Client("http://a")
@@ -178,7 +178,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
-				network := standin.NewNetwork()
+				network := memnet.New()
 				var names []string
 				for i := range entries {
 					names = append(names, fmt.Sprintf("entry-%02d", i))
--- /dev/null
+++ b/jobs/runner/starts.go
@@ -0,0 +1,193 @@
+package runner
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"yarrowgrade.example/yarrowgrade/internal/pause"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+)
+
+const (
+	// maxUnavailable is how often a start is tried on a worker that is unavailable before the
+	// leader is told.
+	maxUnavailable = 8
+	// wakeMargin is for how long this process may have to wait for a processor between looking
+	// at a clock and sending.
+	wakeMargin = 150 * time.Millisecond
+)
+
+// zoneProofMaxAge is how old the proof that the worker's zone is not cordoned may be when a
+// start is sent. An operator's cordon is acknowledged no earlier than the proof was taken, and
+// the start is carried out no later than its call ends, so with this bound nothing starts later
+// than CordonWithin after it.
+func (s Settings) zoneProofMaxAge() time.Duration {
+	return time.Duration(float64(s.CordonWithin)*(1-s.Drift)) - callTimeout - wakeMargin
+}
+
+// pendingStart is a start that the agent tries to get carried out.
+type pendingStart struct {
+	assignment.Start
+	generation int
+	// unavailable counts the attempts at which the worker was unavailable.
+	unavailable int
+	// zoneLogged says that it was logged that the start waits for a proof of the zone.
+	zoneLogged bool
+}
+
+// beginStart starts a run in the background unless it is known already. The lock must be held.
+func (r *Runner) beginStart(ctx context.Context, s assignment.Start) {
+	if r.worker == nil || r.present.runs.known[s.RunID] != nil {
+		return
+	}
+	if r.present.runs.over(s.RunID) {
+		r.reportOver(s.RunID)
+		return
+	}
+	if r.worker.Draining {
+		r.refuse(assignment.Refusal{RunID: s.RunID, Reason: reasonDraining})
+		return
+	}
+	r.present.runs.known[s.RunID] = newRun()
+	pending := &pendingStart{Start: s, generation: r.generation}
+	r.background.Go(func() { r.start(ctx, pending) })
+}
+
+// start tries until it is known whether the run has started, or until the run is no longer
+// wanted.
+func (r *Runner) start(ctx context.Context, s *pendingStart) {
+	for ctx.Err() == nil {
+		attempt := r.prepareStart(s)
+		if attempt.obsolete {
+			return
+		}
+		if attempt.allowed && r.tryStart(ctx, s, attempt) {
+			return
+		}
+		pause.For(ctx, retryPause)
+	}
+}
+
+// startAttempt says whether a start may be sent now, and what it brings.
+type startAttempt struct {
+	// obsolete says that nothing is left to do: the run is running or stopping, or its
+	// incarnation is over.
+	obsolete bool
+	allowed  bool
+	order    Order
+	// until is the end of the lease by the worker's clock, in milliseconds.
+	until int64
+	// repeated says that an earlier attempt may have been carried out.
+	repeated bool
+}
+
+// prepareStart decides whether a start may be sent now. It takes a fence, a lease that is not
+// over, a new enough proof that the zone is not cordoned, a leader that knows the worker's
+// capacity, and that nothing is unknown of the last attempt.
+func (r *Runner) prepareStart(s *pendingStart) startAttempt {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := time.Now()
+	order, fenced := r.order()
+	until, leased := r.leaseDeadline(now)
+	k := r.present.runs.known[s.RunID]
+	if s.generation != r.generation || k == nil || k.running || k.stopping {
+		return startAttempt{obsolete: true}
+	}
+	open := r.zoneOpen(now)
+	if fenced && !open {
+		r.noteZoneWait(s)
+	}
+	resolved := r.outcomeKnown(k)
+	attempt := startAttempt{order: order, until: until, repeated: k.ordered}
+	attempt.allowed = fenced && leased && open && r.capacityCurrent(now) && resolved
+	if attempt.allowed {
+		k.ordered = true
+	}
+	return attempt
+}
+
+// zoneOpen reports whether the proof that the worker's zone is not cordoned is new enough. The
+// lock must be held.
+func (r *Runner) zoneOpen(now time.Time) bool {
+	return now.Sub(r.monotonic(r.present.zoneOpenAt)) <= r.settings.zoneProofMaxAge()
+}
+
+// noteZoneWait logs and counts, once for each start, that it waits for a proof of the zone.
+func (r *Runner) noteZoneWait(s *pendingStart) {
+	if s.zoneLogged {
+		return
+	}
+	s.zoneLogged = true
+	r.dependencies.Logger.Info().Str("step", "runner.start").Stringer("task", s.Task).Int("run", s.Run).
+		Msg("start waits until the zone is known not to be cordoned")
+	r.metrics.zoneWaits.Inc(1)
+}
+
+// outcomeKnown reports whether it is known what became of the last attempt to start a run. One
+// that got no answer may have crashed the worker, and the next one would reach the incarnation
+// that follows under the same instance, and crash it too, uncounted. So a list has to say first
+// that the worker is still in the same incarnation. Where each incarnation has an instance of
+// its own, the order itself makes sure of that. The lock must be held.
+func (r *Runner) outcomeKnown(k *run) bool {
+	sharesInstance := r.worker != nil && r.worker.ID.StartMillis != 0
+	if k.uncertainAt.IsZero() || !sharesInstance || r.present.listedAt.After(k.uncertainAt) {
+		return true
+	}
+	signal(r.extend)
+	return false
+}
+
+// tryStart sends a start, and reports whether there is nothing left to try.
+func (r *Runner) tryStart(ctx context.Context, s *pendingStart, attempt startAttempt) (done bool) {
+	call, cancel := context.WithTimeout(ctx, callTimeout)
+	clock, err := r.dependencies.Worker.Start(call, attempt.order, s.Start, attempt.until)
+	cancel()
+	r.metrics.starts.Inc(outcomeOf(err))
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	k := r.present.runs.known[s.RunID]
+	if s.generation != r.generation || k == nil {
+		return true
+	}
+	if !attempt.repeated && notApplied(err) {
+		k.ordered = false
+	}
+	r.noteAnswer(clock, err)
+	r.dependencies.Logger.Info().Str("step", "runner.start").Stringer("task", s.Task).Int("run", s.Run).Err(err).
+		Msg("start ordered")
+	return r.applyStart(ctx, s, k, err)
+}
+
+// applyStart applies the answer to a start, and reports whether there is nothing left to try.
+// The lock must be held.
+func (r *Runner) applyStart(ctx context.Context, s *pendingStart, k *run, err error) (done bool) {
+	switch {
+	case err == nil:
+		k.running, k.percent, k.startedAt = true, 0, time.Now()
+		return true
+	case errors.Is(err, ErrOtherIncarnation):
+		r.endIncarnation(err)
+		return true
+	case errors.Is(err, ErrAlreadyRan):
+		// An attempt without an answer may have started it, and it may have ended: only a list
+		// can tell.
+		r.beginStop(ctx, s.RunID, reasonAlreadyRan)
+		return true
+	case errors.Is(err, ErrNoCapacity):
+		r.beginStop(ctx, s.RunID, reasonNoCapacity)
+		return true
+	case errors.Is(err, ErrRejected):
+		r.beginStop(ctx, s.RunID, reasonRejected)
+		return true
+	case errors.Is(err, ErrUnavailable):
+		if s.unavailable++; s.unavailable >= maxUnavailable {
+			r.beginStop(ctx, s.RunID, reasonUnavailable)
+			return true
+		}
+	case !notApplied(err):
+		k.uncertainAt = time.Now()
+	}
+	return false
+}
--- /dev/null
+++ b/jobs/runner/throttle.go
@@ -0,0 +1,163 @@
+package runner
+
+import (
+	"context"
+	"time"
+
+	"yarrowgrade.example/yarrowgrade/internal/pause"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+)
+
+// Best-effort runs are throttled while runs with a latency target share their worker. The
+// worker's latency figures are of the last half second, so a look each throttleInterval sees
+// the effect of the one before.
+const (
+	throttleInterval = 700 * time.Millisecond
+	// fullSpeed, in percent, is the speed of a run that is not throttled.
+	fullSpeed = 100
+	// firstSpeed is the speed at which best-effort runs begin beside a run with a latency target.
+	firstSpeed = 50
+	// Above highLatency, as a share of the target, the speed is halved, and below minSpeed it
+	// is zero. Below lowLatency it is raised by speedStep.
+	highLatency = 0.9
+	lowLatency  = 0.7
+	minSpeed    = 10
+	speedStep   = 10
+)
+
+// throttle sets the speed of the best-effort runs on one worker.
+type throttle struct {
+	roles map[assignment.RunID]assignment.Role
+	// speed is that of all best-effort runs, in percent, while the worker is shared.
+	speed int
+	// applied is the speed that the worker was told for each run; none is fullSpeed.
+	applied map[assignment.RunID]int
+}
+
+func newThrottle() throttle {
+	return throttle{speed: firstSpeed, applied: map[assignment.RunID]int{}}
+}
+
+// assign takes over the roles of the worker's runs.
+func (t *throttle) assign(roles []assignment.Role) {
+	t.roles = make(map[assignment.RunID]assignment.Role, len(roles))
+	for _, role := range roles {
+		t.roles[role.RunID] = role
+	}
+}
+
+// shared reports whether runs with a latency target and best-effort runs are beside one another.
+func (t *throttle) shared(runs map[assignment.RunID]*run) bool {
+	targeted, bestEffort := false, false
+	for id := range runs {
+		role := t.roles[id]
+		targeted = targeted || role.LatencyTargetMillis > 0
+		bestEffort = bestEffort || role.BestEffort
+	}
+	return targeted && bestEffort
+}
+
+// adjust sets the speed by the latency of the run that is closest to its target, or furthest
+// above it.
+func (t *throttle) adjust(runs map[assignment.RunID]*run) {
+	if !t.shared(runs) {
+		t.speed = firstSpeed
+		return
+	}
+	worst := 0.0
+	for id, k := range runs {
+		if target := t.roles[id].LatencyTargetMillis; target > 0 {
+			worst = max(worst, float64(k.latencyMillis)/float64(target))
+		}
+	}
+	switch {
+	case worst > highLatency:
+		if t.speed /= 2; t.speed < minSpeed {
+			t.speed = 0
+		}
+	case worst < lowLatency:
+		t.speed = min(t.speed+speedStep, fullSpeed)
+	}
+}
+
+// changes returns the runs whose speed on the worker is to change, with the new speed in percent.
+func (t *throttle) changes(runs map[assignment.RunID]*run) map[assignment.RunID]int {
+	want := fullSpeed
+	if t.shared(runs) {
+		want = t.speed
+	}
+	changes := map[assignment.RunID]int{}
+	for id, k := range runs {
+		applied, ok := t.applied[id]
+		if !ok {
+			applied = fullSpeed
+		}
+		if k.running && t.roles[id].BestEffort && applied != want {
+			changes[id] = want
+		}
+	}
+	for id := range t.applied {
+		if runs[id] == nil {
+			delete(t.applied, id)
+		}
+	}
+	return changes
+}
+
+// throttleLoop throttles best-effort runs while the worker is shared. It sleeps until an answer
+// of the leader names roles.
+func (r *Runner) throttleLoop(ctx context.Context) {
+	for {
+		select {
+		case <-r.shared:
+		case <-ctx.Done():
+			return
+		}
+		for r.throttleOnce(ctx) && ctx.Err() == nil {
+			pause.For(ctx, throttleInterval)
+		}
+	}
+}
+
+// throttleOnce sets the speed by the worker's newest figures. It reports whether there is
+// anything to watch.
+func (r *Runner) throttleOnce(ctx context.Context) bool {
+	r.mu.Lock()
+	shared := r.present.throttle.shared(r.present.runs.known)
+	r.mu.Unlock()
+	if shared && !r.syncOnce(ctx, 0) {
+		return true
+	}
+	r.mu.Lock()
+	r.present.throttle.adjust(r.present.runs.known)
+	changes := r.present.throttle.changes(r.present.runs.known)
+	order, ok := r.order()
+	generation := r.generation
+	r.mu.Unlock()
+	if !ok {
+		return false
+	}
+	for id, percent := range changes {
+		r.setSpeed(ctx, order, id, percent, generation)
+	}
+	return shared || len(changes) > 0
+}
+
+// setSpeed tells the worker the speed of a run, in percent. If no answer comes, the next look
+// tells it again.
+func (r *Runner) setSpeed(ctx context.Context, order Order, id assignment.RunID, percent, generation int) {
+	attempt, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	clock, err := r.dependencies.Worker.Throttle(attempt, order, id, percent)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if generation != r.generation {
+		return
+	}
+	r.noteAnswer(clock, err)
+	r.dependencies.Logger.Info().Str("step", "runner.pace").Stringer("task", id.Task).Int("run", id.Run).
+		Int("percent", percent).Err(err).Msg("speed ordered")
+	if err == nil {
+		r.present.throttle.applied[id] = percent
+	}
+}
