--- a/cmd/yarrowgraded/jobagent.go
+++ b/cmd/yarrowgraded/jobagent.go
@@ -63,11 +63,11 @@
 	directory, r, heartbeats := newJobAgent(s, t)
 	inner := httprouter.New()
 	inner.Handler(http.MethodGet, "/metrics", t.MetricsHandler)
-	handlers := map[string]http.Handler{s.Listen.Control: heartbeats, s.InnerAddress(innerPlace): inner}
+	handlers := map[string]http.Handler{s.HeartbeatAddress: heartbeats, s.InnerAddress(innerPlace): inner}
 	if _, err := serveAll(handlers); err != nil {
 		return err
 	}
-	t.Log.Info().Str("step", "start").Str("zone", s.Zone).Str("worker", s.App).Msg("agent starts")
+	t.Log.Info().Str("step", "start").Str("zone", s.Zone).Str("worker", s.WorkerAddress).Msg("agent starts")
 	go onHangup(ctx, t.Log, make(chan struct{}))
 	var wg conc.WaitGroup
 	wg.Go(func() { directory.Run(ctx) })
--- a/cmd/yarrowgraded/jobentry.go
+++ b/cmd/yarrowgraded/jobentry.go
@@ -126,7 +126,7 @@
 		},
 		leader.Dependencies{
 			Log: jobs, Replica: e.replica, Catalog: e.catalog, DirectoryLog: e.announced, Directory: e.directory,
-			Permits: platform.NewAdvice(s, client), Latency: latency, Client: client, Logger: t.Log, Metrics: t.Metrics,
+			Permits: platform.NewPermitService(s, client), Latency: latency, Client: client, Logger: t.Log, Metrics: t.Metrics,
 			Suspension: suspension,
 		},
 	)
@@ -187,8 +187,8 @@
 	inner.Handler(http.MethodGet, catalog.NewsPath, e.catalog.RelayServer())
 	inner.Handler(http.MethodGet, "/metrics", e.telemetry.MetricsHandler)
 	handlers := map[string]http.Handler{
-		e.settings.Listen.Front:             closeWhenLeaving(platform.NewCallers(e.admission), e.leaving),
-		e.settings.Listen.Ready:             platform.Ready(e.ready),
+		e.settings.CallerAddress:            closeWhenLeaving(platform.NewCallers(e.admission), e.leaving),
+		e.settings.ReadyAddress:             platform.Ready(e.ready),
 		e.settings.InnerAddress(innerPlace): inner,
 	}
 	return serveAll(handlers)
