--- a/jobs/assignment/since_test.go
+++ b/jobs/assignment/delta_test.go
@@ -7,7 +7,8 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// TestOn: a poll that says what has changed since another one is taken only on that one, and says then what it would have said in full.
+// TestOn: a poll that says what has changed since another one is taken only on that one, and
+// says then what it would have said in full.
 func TestOn(t *testing.T) {
 	run := func(i int) RunID { return RunID{Task: job.TaskName{Job: "0000000000000001", Index: i}, Run: 2} }
 	base := Poll{
--- a/jobs/assignment/golden_test.go
+++ b/jobs/assignment/golden_test.go
@@ -94,7 +94,8 @@
 	goldentest.JSON(t, "run", inside)
 }
 
-// TestGoldenEndings: the words for how a run ended, as polls carry them and as progress is stored with them.
+// TestGoldenEndings: the words for how a run ended, as polls carry them and as progress is
+// stored with them.
 func TestGoldenEndings(t *testing.T) {
 	var ends []End
 	for _, how := range []job.EndReason{
--- /dev/null
+++ b/jobs/assignment/poll.go
@@ -0,0 +1,75 @@
+package assignment
+
+import (
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
+)
+
+// Poll is what an agent says of its worker.
+type Poll struct {
+	// Worker is the name of the agent's box, Agent that of this start of the agent's process.
+	Worker string `json:"worker"`
+	Agent  string `json:"agent"`
+	// Sequence rises with the agent's polls.
+	Sequence int64 `json:"seq"`
+	// Term is the highest that the agent knows.
+	Term int64 `json:"term"`
+	// State is the worker's; nil while no incarnation is known.
+	State *WorkerState `json:"life,omitempty"`
+	// Complete says that Runs and Ends are what the worker listed after it had heard the fence
+	// of this agent.
+	Complete bool      `json:"listed,omitempty"`
+	Runs     []Run     `json:"runs,omitempty"`
+	Ends     []End     `json:"ends,omitempty"`
+	Refused  []Refusal `json:"refused,omitempty"`
+	// EndedIncarnations are those of which nothing runs any more.
+	EndedIncarnations []IncarnationEnd `json:"lives_over,omitempty"`
+	// ClosingIncarnations are over too, but orders for them may still have an effect, so their
+	// ends are reported later. Nothing is to be placed there.
+	ClosingIncarnations []incarnation.ID `json:"lives_closing,omitempty"`
+	// Unresponsive says that the worker gives no answer: nothing is to be placed on it, and
+	// nothing can be extended.
+	Unresponsive bool `json:"silent,omitempty"`
+	// FailingMillis is for how long the worker has given no answer; zero while it does.
+	FailingMillis int64 `json:"failing_ms,omitempty"`
+	// AckedEnd is up to which end the agent has heard that the leader has stored them.
+	AckedEnd int64 `json:"seen,omitempty"`
+	// Wait says that the answer may be held until there is something to say.
+	Wait bool `json:"wait,omitempty"`
+	// Delta, if set, takes the place of all that describes the worker.
+	Delta *Delta `json:"since,omitempty"`
+}
+
+// Delta says how far the runs have come since an earlier poll of the same agent that described
+// the worker, and that all else is as it was.
+type Delta struct {
+	// Sequence is that poll's number, Millis how long ago it was made.
+	Sequence int64 `json:"seq"`
+	Millis   int64 `json:"ms"`
+	// ListedMillis is how much later the worker has listed the percentages.
+	ListedMillis int64 `json:"listed_ms"`
+	// Percents are in the order of that poll's runs.
+	Percents []int `json:"p"`
+}
+
+// Expand returns the poll as it would be if it described the worker itself. It returns false
+// unless base is the poll that the delta builds on.
+func (p Poll) Expand(base Poll) (Poll, bool) {
+	d := p.Delta
+	if d == nil || d.Sequence != base.Sequence || p.Agent != base.Agent || len(d.Percents) != len(base.Runs) {
+		return p, false
+	}
+	p.Delta = nil
+	p.State, p.Complete, p.AckedEnd = base.State, base.Complete, base.AckedEnd
+	p.Runs = make([]Run, len(base.Runs))
+	for i, r := range base.Runs {
+		r.Percent = d.Percents[i]
+		if r.AgeMillis > 0 {
+			r.AgeMillis += d.Millis
+		}
+		if r.ListedMillis > 0 {
+			r.ListedMillis += d.ListedMillis
+		}
+		p.Runs[i] = r
+	}
+	return p, true
+}
