--- a/jobs/runner/runner_test.go
+++ b/jobs/runner/runner_test.go
@@ -232,9 +232,13 @@
 	}
 }
 
-// lossy is a worker whose answers are lost: that to the first start of a run, and those to listings for two seconds from then on.
+// lossy is a worker whose answers are lost: that to the first start of a run, and those to syncs for two seconds from
+// then on.
 type lossy struct {
 	*jobtest.Worker
+	// anonymous says that it does not say when it started.
+	anonymous bool
+
 	mu      sync.Mutex
 	started map[assignment.RunID]bool
 	deaf    time.Time
@@ -264,41 +268,67 @@
 		<-ctx.Done()
 		return runner.Listing{}, 0, ctx.Err()
 	}
+	if l.anonymous {
+		listing.StartMillis = 0
+	}
 	return listing, clock, err
 }
 
-// TestEndedBeforeItsAnswer: a run that ended before its start was answered is told as ended, never as one that did not start:
-// the leader would start its task once more.
+// TestEndedBeforeItsAnswer: a run that ended before its start was answered was reported as one that did not start, and
+// the leader started its task once more. It must be reported as ended, whether the worker says when it started, so that
+// its list is asked for first, or does not, so that the start is sent again and refused.
 func TestEndedBeforeItsAnswer(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		workers := jobtest.NewWorkers(1)
-		workers.Work, workers.FailureShare = 200*time.Millisecond, 0
-		workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{{Tasks: 1, Resources: job.Resources{Accelerators: 1}}}})
-		worker := workers.Add("w", "s", "z", "r", job.Resources{Accelerators: 2})
-		o := &leader{answer: assignment.Answer{Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds(), ZoneOpen: true, Start: []assignment.Start{{RunID: id(1)}}}}
-		r := runner.New(runner.Settings{Name: "w", Agent: "1", Lease: lease, Drift: 0.03, CordonWithin: jobtest.CordonBound}, runner.Dependencies{
-			Worker: &lossy{Worker: worker, started: map[assignment.RunID]bool{}}, Leader: o, Logger: zerolog.Nop(), Metrics: tally.NoopScope,
+	for name, anonymous := range map[string]bool{"incarnation is known": false, "instance only": true} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { testEndedBeforeItsAnswer(t, anonymous) })
 		})
-		go workers.Run(ctx)
-		go r.Run(ctx)
-		life, _ := worker.Beat()
-		r.Heartbeat(t.Context(), life)
-		time.Sleep(5 * time.Second)
-		ended := false
-		for _, p := range o.polls {
-			ended = ended || len(p.Ends) == 1 && p.Ends[0].Reason == job.EndDone
-			if !ended && len(p.Refused) > 0 {
-				t.Errorf("poll %d says that it did not start: %+v", p.Sequence, p.Refused)
-				break
-			}
-		}
-		if !ended {
-			t.Error("its end was never told")
+	}
+}
+
+func testEndedBeforeItsAnswer(t *testing.T, anonymous bool) {
+	ctx, cancel := context.WithCancel(t.Context())
+	workers := jobtest.NewWorkers(1)
+	workers.Work, workers.FailureShare = 200*time.Millisecond, 0
+	step := job.Step{Tasks: 1, Resources: job.Resources{Accelerators: 1}}
+	workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{step}})
+	worker := workers.Add("w", "s", "z", "r", job.Resources{Accelerators: 2})
+	o := &leader{answer: assignment.Answer{
+		Term:        1,
+		Fence:       1,
+		LeaseMillis: lease.Milliseconds(),
+		ZoneOpen:    true,
+		Start:       []assignment.Start{{RunID: id(1)}},
+	}}
+	r := runner.New(
+		runner.Settings{Name: "w", Agent: "1", Lease: lease, Drift: 0.03, CordonWithin: jobtest.CordonBound},
+		runner.Dependencies{
+			Worker:  &lossy{Worker: worker, anonymous: anonymous, started: map[assignment.RunID]bool{}},
+			Leader:  o,
+			Logger:  zerolog.Nop(),
+			Metrics: tally.NoopScope,
+		},
+	)
+	go workers.Run(ctx)
+	go r.Run(ctx)
+	reported, _ := worker.Beat()
+	if anonymous {
+		reported.ID.StartMillis = 0
+	}
+	r.Heartbeat(t.Context(), reported)
+	time.Sleep(5 * time.Second)
+	ended := false
+	for _, p := range o.polls {
+		ended = ended || len(p.Ends) == 1 && p.Ends[0].Reason == job.EndDone
+		if !ended && len(p.Refused) > 0 {
+			t.Errorf("poll %d says that it did not start: %+v", p.Sequence, p.Refused)
+			break
 		}
-		cancel()
-		time.Sleep(20 * time.Second)
-	})
+	}
+	if !ended {
+		t.Error("its end was never told")
+	}
+	cancel()
+	time.Sleep(20 * time.Second)
 }
 
 // TestOtherTerm: an agent does not go back to a leader of a lower term.
