--- a/jobs/admission/metrics.go
+++ b/jobs/admission/metrics.go
@@ -10,7 +10,7 @@
 	"yarrowgrade.example/yarrowgrade/internal/telemetry"
 )
 
-// outcome is what a caller is told, as it is counted.
+// outcome is what a caller was told, as it is counted.
 type outcome string
 
 const (
@@ -45,20 +45,31 @@
 // metrics are an admission service's.
 type metrics struct {
 	admissions, submissions, cancels telemetry.Counters[outcome]
-	keepTime                         tally.Histogram
+	storeTime                        tally.Histogram
 	configAge                        tally.Gauge
 }
 
 func newMetrics(scope tally.Scope) metrics {
 	counters := func(name string) telemetry.Counters[outcome] {
-		return telemetry.NewCounters(scope, name, "outcome", outcomeDone, outcomeNotReady, outcomeUnknownQueue, outcomeUnknownKey,
-			outcomeUnknownJob, outcomeBadInput, outcomeUncertain)
+		return telemetry.NewCounters(scope, name, "outcome",
+			outcomeDone,
+			outcomeNotReady,
+			outcomeUnknownQueue,
+			outcomeUnknownKey,
+			outcomeUnknownJob,
+			outcomeBadInput,
+			outcomeUncertain,
+		)
 	}
 	return metrics{
-		admissions: counters("calls_admitted"), submissions: counters("jobs_submitted"), cancels: counters("jobs_cancelled"),
-		keepTime: telemetry.Times(scope, "record_keep_time"), configAge: scope.Gauge("configuration_proof_age_seconds"),
+		admissions:  counters("calls_admitted"),
+		submissions: counters("jobs_submitted"),
+		cancels:     counters("jobs_cancelled"),
+		storeTime:   telemetry.Times(scope, "record_keep_time"),
+		configAge:   scope.Gauge("configuration_proof_age_seconds"),
 	}
 }
 
-// proof notes how old the proof of the configuration is that a call is judged by.
-func (m metrics) proof(at time.Time) { m.configAge.Update(time.Since(at).Seconds()) }
+// noteConfigAge notes how old the proof is that the configuration by which a call is judged is
+// the newest.
+func (m metrics) noteConfigAge(at time.Time) { m.configAge.Update(time.Since(at).Seconds()) }
--- a/jobs/admission/operators.go
+++ b/jobs/admission/operators.go
@@ -14,7 +14,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
 )
 
-// JobSummary is a job as operators list it.
+// JobSummary is a job in the list for operators.
 type JobSummary struct {
 	ID       job.ID    `json:"id"`
 	Queue    string    `json:"queue"`
@@ -24,12 +24,12 @@
 	Accepted time.Time `json:"accepted"`
 }
 
-// JobDetail is a job with its tasks that have been placed at least once.
+// JobDetail is a job with those of its tasks that have been placed at least once.
 type JobDetail struct {
 	JobSummary
 	Steps []job.Step   `json:"steps"`
 	Tasks []TaskDetail `json:"tasks"`
-	// Cordons are the cordoned availability zones, in which nothing of the job starts; none once it has ended.
+	// Cordons are the cordoned zones, in which nothing of the job starts; none once it has ended.
 	Cordons []catalog.Cordon `json:"cordons,omitempty"`
 }
 
@@ -39,7 +39,8 @@
 	job.Task
 }
 
-// Operators serves operators' questions about jobs, and about what they have put in force. It changes nothing.
+// Operators serves operators' questions about jobs and about the configuration in force. It
+// changes nothing.
 type Operators struct {
 	replica *jobstore.Replica
 	catalog *catalog.Follower
@@ -57,13 +58,16 @@
 	r.GET("/v1/status", o.serveStatus)
 }
 
+// serveList lists the jobs. One whose submission can't be read is left out; serveOne says why.
 func (o *Operators) serveList(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	list := []JobSummary{}
 	for _, id := range o.replica.IDs() {
-		if v, ok := o.replica.Job(id); ok {
-			if j, err := job.Decode(id, v.Submission); err == nil {
-				list = append(list, o.summary(j))
-			}
+		stored, ok := o.replica.Job(id)
+		if !ok {
+			continue
+		}
+		if j, err := job.Decode(id, stored.Submission); err == nil {
+			list = append(list, o.summary(j))
 		}
 	}
 	jsonhttp.Write(w, http.StatusOK, list)
@@ -71,39 +75,62 @@
 
 func (o *Operators) summary(j *job.Job) JobSummary {
 	phase, _ := o.replica.Phase(j.ID)
-	return JobSummary{ID: j.ID, Queue: j.Queue, Team: j.Team, Priority: j.Priority, Phase: phase.String(), Accepted: j.Accepted}
+	return JobSummary{
+		ID:       j.ID,
+		Queue:    j.Queue,
+		Team:     j.Team,
+		Priority: j.Priority,
+		Phase:    phase.String(),
+		Accepted: j.Accepted,
+	}
 }
 
 func (o *Operators) serveOne(w http.ResponseWriter, _ *http.Request, ps httprouter.Params) {
-	id := job.ID(ps.ByName("id"))
-	if err := id.Validate(); err != nil {
+	detail, err := o.detail(job.ID(ps.ByName("id")))
+	if err != nil {
 		jsonhttp.WriteError(w, err)
 		return
 	}
-	v, ok := o.replica.Job(id)
+	jsonhttp.Write(w, http.StatusOK, detail)
+}
+
+// detail returns all that is known of a job.
+func (o *Operators) detail(id job.ID) (JobDetail, error) {
+	if err := id.Validate(); err != nil {
+		return JobDetail{}, err
+	}
+	stored, ok := o.replica.Job(id)
 	if !ok {
-		jsonhttp.WriteError(w, &jsonhttp.StatusError{Status: http.StatusNotFound, Message: "no such job"})
-		return
+		return JobDetail{}, &jsonhttp.StatusError{Status: http.StatusNotFound, Message: "no such job"}
 	}
-	j, err := job.Decode(id, v.Submission)
+	j, err := job.Decode(id, stored.Submission)
 	if err != nil {
-		jsonhttp.WriteError(w, err)
-		return
+		return JobDetail{}, err
 	}
-	detail := JobDetail{JobSummary: o.summary(j), Steps: j.Steps, Tasks: []TaskDetail{}}
-	if v.Progress != nil {
-		p, err := job.DecodeProgress(v.Progress)
-		if err != nil {
-			jsonhttp.WriteError(w, err)
-			return
-		}
-		p.Each(id, func(name job.TaskName, t *job.Task) {
-			detail.Tasks = append(detail.Tasks, TaskDetail{Name: name.String(), Task: *t})
-		})
+	tasks, err := tasksOf(id, stored.Progress)
+	if err != nil {
+		return JobDetail{}, err
 	}
+	detail := JobDetail{JobSummary: o.summary(j), Steps: j.Steps, Tasks: tasks}
 	if phase, _ := o.replica.Phase(id); !phase.Final() {
 		detail.Cordons = o.cordons()
 	}
-	slices.SortFunc(detail.Tasks, func(a, b TaskDetail) int { return cmp.Compare(a.Name, b.Name) })
-	jsonhttp.Write(w, http.StatusOK, detail)
+	return detail, nil
+}
+
+// tasksOf decodes a job's stored progress, if there is any, into its tasks, sorted by name.
+func tasksOf(id job.ID, progress []byte) ([]TaskDetail, error) {
+	tasks := []TaskDetail{}
+	if progress == nil {
+		return tasks, nil
+	}
+	p, err := job.DecodeProgress(progress)
+	if err != nil {
+		return nil, err
+	}
+	p.Each(id, func(name job.TaskName, t *job.Task) {
+		tasks = append(tasks, TaskDetail{Name: name.String(), Task: *t})
+	})
+	slices.SortFunc(tasks, func(a, b TaskDetail) int { return cmp.Compare(a.Name, b.Name) })
+	return tasks, nil
 }
--- a/jobs/admission/cordons.go
+++ b/jobs/admission/status.go
@@ -13,15 +13,15 @@
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
 )
 
-// JobsStatus is what an entry knows of what operators have put in force.
+// JobsStatus is what an entry knows of the configuration, the cordons and the leader.
 type JobsStatus struct {
-	// Version is that of the configuration; zero if none has come.
+	// Version is that of the newest configuration; zero if none has come.
 	Version int64 `json:"version"`
-	// ProofMillis is how old the proof is that nothing newer is in force; -1 if there is none.
+	// ProofMillis is how old the proof is that there are no newer cordons; -1 if there is none.
 	ProofMillis int64 `json:"proof_ms"`
-	// Cordons are the cordoned availability zones, by their names.
+	// Cordons are the cordoned availability zones, sorted by name.
 	Cordons []catalog.Cordon `json:"cordons"`
-	// Leader is the address of the entry that decides, as far as it is known.
+	// Leader is the address of the entry that leads, as far as it is known.
 	Leader string `json:"leader"`
 }
 
@@ -39,7 +39,7 @@
 	jsonhttp.Write(w, http.StatusOK, status)
 }
 
-// cordons lists the cordoned zones by their names.
+// cordons lists the cordoned zones, sorted by name.
 func (o *Operators) cordons() []catalog.Cordon {
 	cordons, _ := o.catalog.Cordons()
 	list := slices.Collect(maps.Values(cordons))
