--- /dev/null
+++ b/jobs/runner/fixture_test.go
@@ -0,0 +1,129 @@
+package runner_test
+
+import (
+	"context"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/rs/zerolog"
+	"github.com/uber-go/tally/v4"
+
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/runner"
+)
+
+const lease = 6 * time.Second
+
+// leader is a leader that wants what a test tells it to want.
+type leader struct {
+	mu     sync.Mutex
+	answer assignment.Answer
+	heard  bool
+	polls  []assignment.Poll
+	down   bool
+	// keeps says that it keeps polls that describe the worker, so that later ones may build on them.
+	keeps bool
+	base  int64
+	// during happens while each poll is under way, if it is set.
+	during func()
+}
+
+// Poll implements runner.Leader. What a poll does not name and is wanted is started.
+func (o *leader) Poll(ctx context.Context, p assignment.Poll) (assignment.Answer, error) {
+	o.mu.Lock()
+	o.polls = append(o.polls, p)
+	o.mu.Unlock()
+	if p.Wait {
+		time.Sleep(300 * time.Millisecond)
+	}
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.during != nil {
+		o.during()
+	}
+	if o.down {
+		return assignment.Answer{}, context.DeadlineExceeded
+	}
+	a := o.answer
+	if o.keeps && p.Delta == nil {
+		o.base = max(o.base, p.Sequence)
+	}
+	a.BasePoll = o.base
+	if p.Wait {
+		a.HeldMillis = 300
+	}
+	if p.State != nil {
+		a.Incarnation = p.State.ID
+	}
+	if o.heard {
+		a.AckedPoll = p.Sequence
+	}
+	return a, nil
+}
+
+func (o *leader) set(f func(a *assignment.Answer)) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	f(&o.answer)
+}
+
+// last is the newest poll.
+func (o *leader) last() assignment.Poll {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	newest := o.polls[0]
+	for _, p := range o.polls {
+		if p.Sequence > newest.Sequence {
+			newest = p
+		}
+	}
+	return newest
+}
+
+// agent is a runner beside a stand-in worker.
+type agent struct {
+	leader  *leader
+	workers *jobtest.Workers
+	worker  *jobtest.Worker
+	runner  *runner.Runner
+}
+
+var task = job.TaskName{Job: "0000000000000001"}
+
+func id(run int) assignment.RunID { return assignment.RunID{Task: task, Run: run} }
+
+// suspended is for how long the agent's machine was suspended, in nanoseconds.
+var suspended atomic.Int64
+
+// startAgent starts a runner beside a worker of two accelerators.
+func startAgent(ctx context.Context, t *testing.T, o *leader) *agent {
+	a := &agent{workers: jobtest.NewWorkers(1), leader: o}
+	a.workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{{Tasks: 1, Resources: job.Resources{Accelerators: 1}}}})
+	a.worker = a.workers.Add("w", "s", "z", "r", job.Resources{Accelerators: 2})
+	a.runner = runner.New(runner.Settings{Name: "w", Agent: "1", Lease: lease, Drift: 0.03, CordonWithin: jobtest.CordonBound},
+		runner.Dependencies{Worker: a.worker, Leader: a.leader, Logger: zerolog.Nop(), Metrics: tally.NoopScope, Suspension: func() time.Duration { return time.Duration(suspended.Load()) }})
+	go a.workers.Run(ctx)
+	go a.runner.Run(ctx)
+	first, _ := a.worker.Beat()
+	a.runner.Heartbeat(t.Context(), first)
+	return a
+}
+
+func within(t *testing.T, f func(t *testing.T, a *agent)) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		a := startAgent(ctx, t, &leader{answer: assignment.Answer{Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds(), ZoneOpen: true}})
+		time.Sleep(time.Second)
+		f(t, a)
+		for _, b := range a.workers.Report() {
+			t.Error(b)
+		}
+		cancel()
+		time.Sleep(20 * time.Second)
+	})
+}
--- a/jobs/runner/starts_test.go
+++ b/jobs/runner/starts_test.go
@@ -16,282 +16,244 @@
 	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
 
-// heldCall is one call of a recorder's Hold: what it said, and what came of it.
-type heldCall struct {
-	at    time.Time
-	order runner.Order
-	seen  int64
-	err   error
+// TestRefusals: a run that does not fit, or that is to stop before it came, is told as one that never starts.
+func TestRefusals(t *testing.T) {
+	tests := []struct {
+		name   string
+		room   job.Resources
+		answer func(a *assignment.Answer)
+	}{
+		{"no room", job.Resources{Accelerators: 9}, func(a *assignment.Answer) { a.Start = []assignment.Start{{RunID: id(1)}} }},
+		{"stopped before it came", job.Resources{Accelerators: 1}, func(a *assignment.Answer) { a.StopUnlisted = []assignment.RunID{id(1)} }},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			within(t, func(t *testing.T, a *agent) {
+				a.workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{{Tasks: 1, Resources: test.room}}})
+				a.leader.set(test.answer)
+				time.Sleep(2 * time.Second)
+				if p := a.leader.last(); len(p.Refused) != 1 || p.Refused[0].RunID != id(1) {
+					t.Errorf("refused: %+v", p.Refused)
+				}
+				a.leader.set(func(answer *assignment.Answer) {
+					*answer = assignment.Answer{Term: 1, Fence: 1, LeaseMillis: 6000, Start: []assignment.Start{{RunID: id(1)}}}
+				})
+				time.Sleep(2 * time.Second)
+				if a.workers.AnyRun(task.Job) {
+					t.Error("it started after it was refused")
+				}
+			})
+		})
+	}
 }
 
-// recorder is a worker that keeps what it was told.
-type recorder struct {
+// lossy is a worker whose answers are lost: that to the first start of a run, and those to syncs for two seconds from
+// then on.
+type lossy struct {
 	*jobtest.Worker
-	// garbles stands between the worker and the agent, if it is set.
-	garbles *garbling
-	// busy says that it answers each call that it does nothing.
-	busy   bool
-	mu     sync.Mutex
-	holds  []heldCall
-	starts []time.Time
+	// anonymous says that it does not say when it started.
+	anonymous bool
+
+	mu      sync.Mutex
+	started map[assignment.RunID]bool
+	deaf    time.Time
+}
+
+func (l *lossy) Start(ctx context.Context, o runner.Order, s assignment.Start, until int64) (int64, error) {
+	l.mu.Lock()
+	again := l.started[s.RunID]
+	if !again {
+		l.started[s.RunID], l.deaf = true, time.Now().Add(2*time.Second)
+	}
+	l.mu.Unlock()
+	clock, err := l.Worker.Start(ctx, o, s, until)
+	if !again {
+		<-ctx.Done()
+		return 0, ctx.Err()
+	}
+	return clock, err
 }
 
-func (w *recorder) Sync(ctx context.Context, o runner.Order, until, seen int64, wait time.Duration) (runner.Listing, int64, error) {
-	at := time.Now()
-	w.mu.Lock()
-	hold := w.Worker.Sync
-	if w.garbles != nil {
-		hold = w.garbles.Sync
+func (l *lossy) Sync(ctx context.Context, o runner.Order, until, seen int64, wait time.Duration) (runner.Listing, int64, error) {
+	listing, clock, err := l.Worker.Sync(ctx, o, until, seen, wait)
+	l.mu.Lock()
+	deaf := time.Now().Before(l.deaf)
+	l.mu.Unlock()
+	if deaf {
+		<-ctx.Done()
+		return runner.Listing{}, 0, ctx.Err()
 	}
-	busy := w.busy
-	w.mu.Unlock()
-	if busy {
-		return runner.Listing{}, 0, runner.ErrUnavailable
+	if l.anonymous {
+		listing.StartMillis = 0
 	}
-	listing, clock, err := hold(ctx, o, until, seen, wait)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.holds = append(w.holds, heldCall{at: at, order: o, seen: seen, err: err})
 	return listing, clock, err
 }
 
-func (w *recorder) Start(ctx context.Context, o runner.Order, s assignment.Start, until int64) (int64, error) {
-	w.mu.Lock()
-	w.starts = append(w.starts, time.Now())
-	w.mu.Unlock()
-	return w.Worker.Start(ctx, o, s, until)
+// TestEndedBeforeItsAnswer: a run that ended before its start was answered was reported as one that did not start, and
+// the leader started its task once more. It must be reported as ended, whether the worker says when it started, so that
+// its list is asked for first, or does not, so that the start is sent again and refused.
+func TestEndedBeforeItsAnswer(t *testing.T) {
+	for name, anonymous := range map[string]bool{"incarnation is known": false, "instance only": true} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { testEndedBeforeItsAnswer(t, anonymous) })
+		})
+	}
 }
 
-// calls returns the calls of Hold since a moment, in the order in which they were sent.
-func (w *recorder) calls(since time.Time) []heldCall {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	var calls []heldCall
-	for _, c := range w.holds {
-		if !c.at.Before(since) {
-			calls = append(calls, c)
+func testEndedBeforeItsAnswer(t *testing.T, anonymous bool) {
+	ctx, cancel := context.WithCancel(t.Context())
+	workers := jobtest.NewWorkers(1)
+	workers.Work, workers.FailureShare = 200*time.Millisecond, 0
+	step := job.Step{Tasks: 1, Resources: job.Resources{Accelerators: 1}}
+	workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{step}})
+	worker := workers.Add("w", "s", "z", "r", job.Resources{Accelerators: 2})
+	o := &leader{answer: assignment.Answer{
+		Term:        1,
+		Fence:       1,
+		LeaseMillis: lease.Milliseconds(),
+		ZoneOpen:    true,
+		Start:       []assignment.Start{{RunID: id(1)}},
+	}}
+	r := runner.New(
+		runner.Settings{Name: "w", Agent: "1", Lease: lease, Drift: 0.03, CordonWithin: jobtest.CordonBound},
+		runner.Dependencies{
+			Worker:  &lossy{Worker: worker, anonymous: anonymous, started: map[assignment.RunID]bool{}},
+			Leader:  o,
+			Logger:  zerolog.Nop(),
+			Metrics: tally.NoopScope,
+		},
+	)
+	go workers.Run(ctx)
+	go r.Run(ctx)
+	reported, _ := worker.Beat()
+	if anonymous {
+		reported.ID.StartMillis = 0
+	}
+	r.Heartbeat(t.Context(), reported)
+	time.Sleep(5 * time.Second)
+	ended := false
+	for _, p := range o.polls {
+		ended = ended || len(p.Ends) == 1 && p.Ends[0].Reason == job.EndDone
+		if !ended && len(p.Refused) > 0 {
+			t.Errorf("poll %d says that it did not start: %+v", p.Sequence, p.Refused)
+			break
 		}
 	}
-	return calls
+	if !ended {
+		t.Error("its end was never told")
+	}
+	cancel()
+	time.Sleep(20 * time.Second)
 }
 
-// restarting is an agent beside a recorder whose starts share one id.
-type restarting struct {
-	*agent
-	recorder *recorder
+// TestStartWaitsForOpenZone: a start is sent only while the proof that the worker's zone is open is new enough, however old the proof
+// was when the leader sent it, and goes on by itself once there is a new one.
+func TestStartWaitsForOpenZone(t *testing.T) {
+	tests := []struct {
+		name    string
+		open    bool
+		age     time.Duration
+		started bool
+	}{
+		{"open", true, 0, true},
+		{"open, proof at its limit", true, 3 * time.Second, true},
+		{"open, proof too old", true, 4500 * time.Millisecond, false},
+		{"cordoned", false, 0, false},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				ctx, cancel := context.WithCancel(t.Context())
+				a := startAgent(ctx, t, &leader{answer: assignment.Answer{
+					Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds(), ZoneOpen: test.open, ZoneProofMillis: test.age.Milliseconds(),
+					Start: []assignment.Start{{RunID: id(1)}},
+				}})
+				time.Sleep(time.Second)
+				if started := a.workers.Starts > 0; started != test.started {
+					t.Errorf("started is %v, want %v", started, test.started)
+				}
+				a.leader.set(func(answer *assignment.Answer) { answer.ZoneOpen, answer.ZoneProofMillis = true, 0 })
+				time.Sleep(time.Second)
+				if a.workers.Starts != 1 {
+					t.Errorf("%d starts a second after the zone is known to be open, want 1", a.workers.Starts)
+				}
+				cancel()
+				time.Sleep(20 * time.Second)
+			})
+		})
+	}
 }
 
-// withRestarts runs a test with an agent that has been there for a second.
-func withRestarts(t *testing.T, f func(t *testing.T, a *restarting)) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		workers := jobtest.NewWorkers(1)
-		workers.SameID = 1
-		workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{{Tasks: 9, Resources: job.Resources{Accelerators: 1}}}})
-		a := &restarting{agent: &agent{workers: workers, leader: &leader{
-			answer: assignment.Answer{Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds(), ZoneOpen: true}, heard: true,
-		}}}
-		a.worker = workers.Add("w", "s", "z", "r", job.Resources{Accelerators: 2})
-		a.recorder = &recorder{Worker: a.worker}
-		a.runner = runner.New(runner.Settings{Name: "w", Agent: "1", Lease: lease, Drift: 0.03, CordonWithin: jobtest.CordonBound},
-			runner.Dependencies{Worker: a.recorder, Leader: a.leader, Logger: zerolog.Nop(), Metrics: tally.NoopScope})
-		go workers.Run(ctx)
-		go a.runner.Run(ctx)
-		a.beat(t)
-		time.Sleep(time.Second)
-		f(t, a)
-		cancel()
-		time.Sleep(20 * time.Second)
-	})
+// takeOrderInHand leaves the agent with an order that it can't carry out, since its worker can't be reached, and without a leader.
+func (a *agent) takeOrderInHand() {
+	a.worker.SetUnreachable(true)
+	a.leader.set(func(answer *assignment.Answer) { answer.Start = []assignment.Start{{RunID: id(1)}} })
+	time.Sleep(500 * time.Millisecond)
+	a.leader.mu.Lock()
+	defer a.leader.mu.Unlock()
+	a.leader.down = true
 }
 
-// beat lets the worker report, and returns what it says.
-func (a *restarting) beat(t *testing.T) assignment.WorkerState {
+// reachAgain lets the worker be reached, and report: with its room known anew, only the order's own bounds hold it back.
+func (a *agent) reachAgain(t *testing.T) {
 	t.Helper()
+	a.worker.SetUnreachable(false)
 	said, _ := a.worker.Beat()
 	a.runner.Heartbeat(t.Context(), said)
-	return said
-}
-
-// want sets what the leader wants to start.
-func (a *restarting) want(runs ...assignment.Start) {
-	a.leader.set(func(answer *assignment.Answer) { answer.Start = runs })
-}
-
-// TestNumbersOfAFormerStart: what was read of a former start is never told to the next one, and the first call that the next one hears brings a
-// higher fence than all before.
-func TestNumbersOfAFormerStart(t *testing.T) {
-	withRestarts(t, func(t *testing.T, a *restarting) {
-		a.workers.SetWork(200 * time.Millisecond)
-		a.want(assignment.Start{RunID: id(1)})
-		time.Sleep(time.Second)
-		a.want()
-		// The leader has kept the end, but the worker is gone before it can be told to forget it.
-		a.worker.CrashProcess(500 * time.Millisecond)
-		a.leader.set(func(answer *assignment.Answer) { answer.AckedEnd = 1 })
-		crashed := time.Now()
-		time.Sleep(1200 * time.Millisecond)
-		highest := int64(0)
-		for _, c := range a.recorder.calls(time.Time{}) {
-			if c.at.Before(crashed) {
-				highest = max(highest, c.order.Fence)
-			}
-		}
-		answered := false
-		for _, c := range a.recorder.calls(crashed.Add(500 * time.Millisecond)) {
-			if c.seen != 0 {
-				t.Errorf("the new start was told to forget the ends up to %d", c.seen)
-			}
-			answered = answered || c.err == nil && c.order.Fence > highest
-		}
-		if !answered {
-			t.Errorf("0.7 s after its start, without a report, the worker has not heard a fence above %d", highest)
-		}
-	})
-}
-
-// TestEndIsToldBesideTheList: the end of a former start is told only in polls that say what the present one runs.
-func TestEndIsToldBesideTheList(t *testing.T) {
-	withRestarts(t, func(t *testing.T, a *restarting) {
-		a.workers.SetWork(time.Minute)
-		a.want(assignment.Start{RunID: id(1)})
-		time.Sleep(500 * time.Millisecond)
-		a.want()
-		a.leader.set(func(answer *assignment.Answer) { answer.AckedPoll = 0 })
-		a.leader.mu.Lock()
-		a.leader.heard = false
-		a.leader.mu.Unlock()
-		former := a.beat(t)
-		a.worker.CrashProcess(200 * time.Millisecond)
-		time.Sleep(500 * time.Millisecond)
-		if p := a.leader.last(); len(p.EndedIncarnations) != 0 || len(p.ClosingIncarnations) != 1 || p.ClosingIncarnations[0] != former.ID {
-			t.Errorf("before the next start reports, the ends %+v are told, and closing %v", p.EndedIncarnations, p.ClosingIncarnations)
-		}
-		a.beat(t)
-		time.Sleep(500 * time.Millisecond)
-		if p := a.leader.last(); len(p.EndedIncarnations) != 1 || p.EndedIncarnations[0].ID != former.ID || !p.Complete {
-			t.Errorf("after it has listed, the ends %+v are told, listed %v", p.EndedIncarnations, p.Complete)
-		}
-		// A new leader's fence has to reach the worker first; the worker gives no answer meanwhile.
-		a.worker.SetUnreachable(true)
-		a.leader.set(func(answer *assignment.Answer) { answer.Term, answer.Fence = 2, 2 })
-		time.Sleep(time.Second)
-		if p := a.leader.last(); p.Complete || len(p.EndedIncarnations) != 0 {
-			t.Errorf("without a list, the ends %+v are told, listed %v", p.EndedIncarnations, p.Complete)
-		}
-		a.worker.SetUnreachable(false)
-		time.Sleep(2 * time.Second)
-		if p := a.leader.last(); len(p.EndedIncarnations) != 1 {
-			t.Errorf("beside the next list, the ends %+v are told, want one", p.EndedIncarnations)
-		}
-	})
 }
 
-// TestStartInDoubtIsNotSentOn: a run whose start crashes the worker is not started again on the next start under the same id: nobody would count that.
-func TestStartInDoubtIsNotSentOn(t *testing.T) {
-	withRestarts(t, func(t *testing.T, a *restarting) {
-		a.workers.CrashOn(task, 0, 300*time.Millisecond)
-		a.want(assignment.Start{RunID: id(1)})
-		time.Sleep(3 * time.Second)
-		a.want()
-		if n := len(a.recorder.starts); n != 1 {
-			t.Errorf("the run was started %d times, want once", n)
-		}
-		a.beat(t)
-		time.Sleep(500 * time.Millisecond)
-		if n := a.workers.CrashesBy(task); n != 1 {
-			t.Errorf("%d workers crashed by it, want one", n)
-		}
-	})
-}
-
-// TestReportsOfNoStart: reports of a former start, without the time of a start or with one that no list confirms, change nothing.
-func TestReportsOfNoStart(t *testing.T) {
-	withRestarts(t, func(t *testing.T, a *restarting) {
-		former := a.beat(t)
-		a.worker.CrashProcess(100 * time.Millisecond)
-		time.Sleep(300 * time.Millisecond)
-		present := a.beat(t)
-		if present.ID == former.ID || !present.ID.SharesInstance(former.ID) {
-			t.Fatalf("the worker is %v after %v", present.ID, former.ID)
-		}
-		time.Sleep(500 * time.Millisecond)
-		unborn, madeUp, back := present, present, present
-		unborn.ID.StartMillis, madeUp.ID.StartMillis, back.ID.StartMillis = 0, present.ID.StartMillis+7, former.ID.StartMillis-7
-		for _, said := range []assignment.WorkerState{former, unborn, madeUp, back} {
-			said.Capacity = job.Resources{Accelerators: 1}
-			if a.runner.Heartbeat(t.Context(), said) {
-				t.Errorf("a report of %v was taken", said.ID)
-			}
-		}
-		time.Sleep(500 * time.Millisecond)
-		if p := a.leader.last(); p.State == nil || p.State.ID != present.ID || p.State.Capacity != present.Capacity || !p.Complete {
-			t.Errorf("after them the agent says %+v", p)
+// TestOrderInHand: an order that an agent could not carry out for a while is not carried out after the bound of a cordon that it cannot
+// have heard of, although its lease would still allow it.
+func TestOrderInHand(t *testing.T) {
+	within(t, func(t *testing.T, a *agent) {
+		a.takeOrderInHand()
+		time.Sleep(3900 * time.Millisecond)
+		a.reachAgain(t)
+		time.Sleep(20 * time.Second)
+		if a.workers.Starts > 0 {
+			t.Errorf("%d runs started", a.workers.Starts)
 		}
 	})
 }
 
-// TestBusyStart: a refusal does not say which start has given it, so the report of a new start that does nothing yet is not taken for a late one for good.
-func TestBusyStart(t *testing.T) {
-	withRestarts(t, func(t *testing.T, a *restarting) {
-		setBusy := func(busy bool) {
-			a.recorder.mu.Lock()
-			defer a.recorder.mu.Unlock()
-			a.recorder.busy = busy
-		}
-		setBusy(true)
-		a.worker.CrashProcess(100 * time.Millisecond)
-		time.Sleep(300 * time.Millisecond)
-		present := a.beat(t)
-		setBusy(false)
-		time.Sleep(time.Second)
-		if !a.runner.Heartbeat(t.Context(), present) {
-			t.Error("the report of the new start is not taken once it answers")
+// TestSuspendedOrder: an order that an agent has in hand while its machine is suspended is not carried out once the lease that came with it is over, though
+// by the agent's steady clock it is not: the leader may have given the run up, and started it elsewhere.
+func TestSuspendedOrder(t *testing.T) {
+	within(t, func(t *testing.T, a *agent) {
+		a.takeOrderInHand()
+		suspended.Add(int64(lease))
+		a.reachAgain(t)
+		time.Sleep(20 * time.Second)
+		if a.workers.Starts > 0 {
+			t.Errorf("%d runs started", a.workers.Starts)
 		}
 	})
 }
 
-// TestFirstReportOfAnother: an agent that has heard nothing before takes a report of a former start for the worker's, until the list says better.
-func TestFirstReportOfAnother(t *testing.T) {
-	withRestarts(t, func(t *testing.T, a *restarting) {
-		former := a.beat(t)
-		a.worker.CrashProcess(100 * time.Millisecond)
-		time.Sleep(300 * time.Millisecond)
-		fresh := runner.New(runner.Settings{Name: "w", Agent: "2", Lease: lease, Drift: 0.03, CordonWithin: jobtest.CordonBound},
-			runner.Dependencies{Worker: a.recorder, Leader: &leader{answer: assignment.Answer{Term: 1, Fence: 9, LeaseMillis: lease.Milliseconds(), ZoneOpen: true}}, Logger: zerolog.Nop(), Metrics: tally.NoopScope})
-		ctx, cancel := context.WithCancel(t.Context())
-		defer cancel()
-		go fresh.Run(ctx)
-		fresh.Heartbeat(ctx, former)
+// TestShrunkOrder: an order that an agent has in hand when its worker's room shrinks is carried out only once the leader has decided for the new room: it
+// may have been for the old one.
+func TestShrunkOrder(t *testing.T) {
+	within(t, func(t *testing.T, a *agent) {
+		a.worker.SetUnreachable(true)
+		a.leader.set(func(answer *assignment.Answer) { answer.Start = []assignment.Start{{RunID: id(1)}} })
 		time.Sleep(500 * time.Millisecond)
-		if fresh.Heartbeat(ctx, former) {
-			t.Error("a second report of the former start was taken")
-		}
-		present, _ := a.worker.Beat()
-		if !fresh.Heartbeat(ctx, present) {
-			t.Error("the report of the present start was not taken")
+		a.worker.SetUnreachable(false)
+		life, _ := a.worker.Beat()
+		life.Capacity.Accelerators--
+		for range 3 {
+			a.runner.Heartbeat(t.Context(), life)
+			time.Sleep(time.Second)
 		}
-	})
-}
-
-// TestGoneOfAFormerStart: a word that a worker ends is taken only of one that had said that it leaves: a former start's may come late.
-func TestGoneOfAFormerStart(t *testing.T) {
-	withRestarts(t, func(t *testing.T, a *restarting) {
-		present := a.beat(t)
-		a.runner.Deregister(present.ID.Instance)
-		time.Sleep(500 * time.Millisecond)
-		if p := a.leader.last(); p.State == nil || p.State.ID != present.ID || len(p.EndedIncarnations) != 0 {
-			t.Errorf("after a word of a former start the agent says life %+v, over %+v", p.State, p.EndedIncarnations)
+		if a.workers.Starts > 0 {
+			t.Errorf("%d runs started before the leader has heard of the new room", a.workers.Starts)
 		}
-		a.worker.Leave(time.Minute)
-		a.beat(t)
 		a.leader.mu.Lock()
-		a.leader.heard = false
+		a.leader.heard = true
 		a.leader.mu.Unlock()
-		a.runner.Deregister(present.ID.Instance)
-		time.Sleep(500 * time.Millisecond)
-		if p := a.leader.last(); p.State != nil || len(p.EndedIncarnations) != 1 || !p.EndedIncarnations[0].Drained || p.EndedIncarnations[0].ID != present.ID {
-			t.Errorf("after it has left the agent says life %+v, over %+v", p.State, p.EndedIncarnations)
+		a.runner.Heartbeat(t.Context(), life)
+		time.Sleep(time.Second)
+		if a.workers.Starts != 1 {
+			t.Errorf("%d runs started once it has, want 1", a.workers.Starts)
 		}
 	})
 }
