--- a/cmd/yarrowgraded/jobagent.go
+++ b/cmd/yarrowgraded/jobagent.go
@@ -105,11 +105,11 @@
 	s, log := a.settings, a.telemetry.Log
 	internal := httprouter.New()
 	internal.Handler(http.MethodGet, "/metrics", a.telemetry.MetricsHandler)
-	handlers := map[string]http.Handler{s.Listen.Control: a.heartbeats, s.InnerAddress(internalPort): internal}
+	handlers := map[string]http.Handler{s.HeartbeatAddress: a.heartbeats, s.InnerAddress(internalPort): internal}
 	if _, err := serveAll(log, handlers); err != nil {
 		return err
 	}
-	log.Info().Str("step", "start").Str("zone", s.Zone).Str("worker", s.App).Msg("agent starts")
+	log.Info().Str("step", "start").Str("zone", s.Zone).Str("worker", s.WorkerAddress).Msg("agent starts")
 	go reloadOnHangup(ctx, log, make(chan struct{}))
 	var wg conc.WaitGroup
 	wg.Go(func() { a.directory.Run(ctx) })
--- a/cmd/yarrowgraded/jobentry.go
+++ b/cmd/yarrowgraded/jobentry.go
@@ -141,7 +141,7 @@
 		Catalog:      e.catalog,
 		DirectoryLog: e.directoryLog,
 		Directory:    e.directory,
-		Permits:      platform.NewAdvice(s, client),
+		Permits:      platform.NewPermitService(s, client),
 		Latency:      e.replica.Latency(),
 		Client:       client,
 		Logger:       t.Log,
@@ -230,8 +230,8 @@
 	internal.Handler(http.MethodGet, catalog.NewsPath, e.catalog.RelayServer())
 	internal.Handler(http.MethodGet, "/metrics", e.telemetry.MetricsHandler)
 	return serveAll(e.telemetry.Log, map[string]http.Handler{
-		e.settings.Listen.Front:               closeWhenDraining(platform.NewCallers(e.admission), e.draining),
-		e.settings.Listen.Ready:               platform.Ready(e.ready),
+		e.settings.CallerAddress:               closeWhenDraining(platform.NewCallers(e.admission), e.draining),
+		e.settings.ReadyAddress:               platform.Ready(e.ready),
 		e.settings.InnerAddress(internalPort): internal,
 	})
 }
