--- a/internal/fault/decode.go
+++ b/internal/fault/decode.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// Decode reads exactly one JSON value from data into out.
-// Unknown fields, wrong types and trailing bytes are errors of type *Field that name the field.
+// Decode reads exactly one JSON value from data into out. Unknown fields, wrong types and trailing bytes are errors of
+// type *Field.
 func Decode(data []byte, out any) error {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
@@ -22,6 +22,7 @@
 	return nil
 }
 
+// fieldOf turns an error of encoding/json into a *Field.
 func fieldOf(err error) error {
 	var field *Field
 	if errors.As(err, &field) {
@@ -39,14 +40,14 @@
 	if errors.As(err, &syntax) {
 		return BadField("body", "not JSON at byte %d: %v", syntax.Offset, syntax)
 	}
-	// encoding/json has no type for an unknown field, only this text.
+	// encoding/json has no type for this error, only its text.
 	if name, found := strings.CutPrefix(err.Error(), "json: unknown field "); found {
 		return unknownField(strings.Trim(name, `"`))
 	}
 	return BadField("body", "%v", err)
 }
 
-// unknownField names the field, or the body where the field's own name is empty.
+// unknownField names the field, or the body if the field's name is empty.
 func unknownField(name string) error {
 	if name == "" {
 		return BadField("body", "has a field without a name")
