--- a/cmd/yarrowgrade/config.go
+++ b/cmd/yarrowgrade/config.go
@@ -13,8 +13,8 @@
 
 const configUsage = `
 The configuration is a set of entries by key: "limits", "placement", "team/NAME" and "policy/NAME". Each has a revision.
-"put" states the revision that it changes, and is refused if someone else changed the entry first. Leave --revision out
-to create an entry. An accepted change is in force on every entry and agent within seconds and never reverts.
+"put" names the revision that it replaces, and is refused if somebody else changed the entry first. Without --revision it
+creates an entry. An accepted change is in force on every entry and agent within seconds, and never reverts.
 
 Examples:
 
@@ -39,7 +39,7 @@
 }
 
 // Run implements the command.
-func (c *configGet) Run(s *session) error {
+func (c *configGet) Run(s *env) error {
 	if c.Key != "" {
 		e, err := s.client.Config(s.ctx, c.Key)
 		if err != nil {
@@ -54,7 +54,7 @@
 	return s.printConfig(list, list)
 }
 
-func (s *session) printConfig(list []ledger.ConfigEntry, value any) error {
+func (s *env) printConfig(list []ledger.ConfigEntry, value any) error {
 	return s.print(value, func(w io.Writer) {
 		fmt.Fprintln(w, "KEY\tREVISION\tAUTHOR\tAGE\tVALUE")
 		for _, e := range list {
@@ -75,7 +75,7 @@
 }
 
 // Run implements the command.
-func (c *configPut) Run(s *session) error {
+func (c *configPut) Run(s *env) error {
 	data, err := readFile(c.File)
 	if err != nil {
 		return err
@@ -113,7 +113,7 @@
 }
 
 // Run implements the command.
-func (c *configHistory) Run(s *session) error {
+func (c *configHistory) Run(s *env) error {
 	e, err := s.client.Config(s.ctx, c.Key)
 	if err != nil {
 		return err
--- a/cmd/yarrowgrade/explain.go
+++ b/cmd/yarrowgrade/explain.go
@@ -21,7 +21,7 @@
 func (*explainCommand) Help() string { return explainUsage }
 
 // Run implements the command.
-func (c *explainCommand) Run(s *session) error {
+func (c *explainCommand) Run(s *env) error {
 	v, err := s.client.Explain(s.ctx, c.Session)
 	if err != nil {
 		return err
--- a/cmd/yarrowgrade/job.go
+++ b/cmd/yarrowgrade/job.go
@@ -14,8 +14,8 @@
 )
 
 const jobUsage = `
-job shows jobs on the users' platform. Any job entry answers, at the first port of its range; give its address with --entry. The list of
-workers comes from the entry that leads; the others say where it is.
+job shows jobs on the users' platform. Any job-entry answers at the first port of its range; name it with --entry. Only
+the leader has the list of workers; the others answer with its address.
 
 Examples:
 
@@ -27,10 +27,10 @@
 
 type jobCommands struct {
 	List jobList `cmd:"" help:"List the jobs that are stored."`
-	Show jobShow `cmd:"" help:"Show a job with its tasks: run, worker, failures, done or not; and the zones in which nothing starts."`
+	Show jobShow `cmd:"" help:"Show a job with its tasks, and the cordoned availability zones."`
 
-	Status  jobStatus  `cmd:"" help:"Show the configuration in force, the leader, and the cordoned zones."`
-	Workers jobWorkers `cmd:"" help:"List the workers, one line each, with the cordons of their zones."`
+	Status  jobStatus  `cmd:"" help:"Show the configuration in force, the leader, and the cordoned availability zones."`
+	Workers jobWorkers `cmd:"" help:"List the workers, one line each, with the cordons of their availability zones."`
 }
 
 // Help implements kong.HelpProvider.
@@ -39,7 +39,7 @@
 type jobList struct{}
 
 // Run implements the command.
-func (*jobList) Run(s *session) error {
+func (*jobList) Run(s *env) error {
 	jobs, err := s.client.Jobs(s.ctx)
 	if err != nil {
 		return err
@@ -53,7 +53,7 @@
 }
 
 func printSummary(w io.Writer, j admission.JobSummary) {
-	fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\n", j.ID, j.Queue, j.Team, j.Priority, j.Phase, j.Accepted.Format(time.RFC3339))
+	row(w, j.ID, j.Queue, j.Team, j.Priority, j.Phase, j.Accepted.Format(time.RFC3339))
 }
 
 type jobShow struct {
@@ -61,7 +61,7 @@
 }
 
 // Run implements the command.
-func (c *jobShow) Run(s *session) error {
+func (c *jobShow) Run(s *env) error {
 	j, err := s.client.Job(s.ctx, c.ID)
 	if err != nil {
 		return err
@@ -70,13 +70,14 @@
 		printSummary(w, j.JobSummary)
 		fmt.Fprintln(w, "TASK\tRUN\tWORKER\tFAILURES\tCRASHES\tDONE")
 		for _, t := range j.Tasks {
-			fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%s\t%v\n", t.Name, t.Run, strings.TrimSpace(t.Worker+" "+t.Incarnation.String()), t.Failures, crashText(&t.Task), t.Done)
+			worker := strings.TrimSpace(t.Worker + " " + t.Incarnation.String())
+			row(w, t.Name, t.Run, worker, t.Failures, crashText(&t.Task), t.Done)
 		}
 		printCordons(w, j.Cordons)
 	})
 }
 
-// crashText says how many workers crashed under a task, and for how many of them nothing else could be blamed.
+// crashText returns how many workers crashed under a task: surely, perhaps, and with no other task on them.
 func crashText(t *job.Task) string {
 	if t.Crashes+t.UncertainCrashes == 0 {
 		return "-"
@@ -91,7 +92,7 @@
 	}
 }
 
-// cordonText says since when a zone is cordoned, and by which record; "-" for an open one.
+// cordonText returns when and by which record an availability zone was cordoned; "-" if it is not.
 func cordonText(c *catalog.Cordon) string {
 	if c == nil {
 		return "-"
@@ -102,7 +103,7 @@
 type jobStatus struct{}
 
 // Run implements the command.
-func (*jobStatus) Run(s *session) error {
+func (*jobStatus) Run(s *env) error {
 	v, err := s.client.JobsStatus(s.ctx)
 	if err != nil {
 		return err
@@ -114,7 +115,7 @@
 	})
 }
 
-// proofText says how old the proof is that nothing newer is in force.
+// proofText returns the age of the read that showed that no newer configuration is in force.
 func proofText(millis int64) string {
 	if millis < 0 {
 		return "none"
@@ -125,16 +126,18 @@
 type jobWorkers struct{}
 
 // Run implements the command.
-func (*jobWorkers) Run(s *session) error {
+func (*jobWorkers) Run(s *env) error {
 	list, err := s.client.JobWorkers(s.ctx)
 	if err != nil {
 		return err
 	}
 	return s.print(list, func(w io.Writer) {
-		fmt.Fprintln(w, "WORKER\tINSTANCE\tSTARTED\tZONE\tRACK\tSERVICE\tSTATE\tCORES\tMEMORY_MB\tACCELERATORS\tRUNS\tCORDONED")
+		row(w, "WORKER", "INSTANCE", "STARTED", "ZONE", "RACK", "SERVICE", "STATE",
+			"CORES", "MEMORY_MB", "ACCELERATORS", "RUNS", "CORDONED")
 		for _, v := range list {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%.1f\t%d\t%d\t%d\t%s\n", v.Worker, v.Life.Instance, startedText(v.Life), v.Zone, v.Rack, v.Service,
-				workerStateText(v), float64(v.Capacity.CPU)/1000, v.Capacity.Memory, v.Capacity.Accelerators, v.Runs, cordonText(v.Cordon))
+			cores := fmt.Sprintf("%.1f", float64(v.Capacity.CPU)/1000)
+			row(w, v.Worker, v.Life.Instance, startedText(v.Life), v.Zone, v.Rack, v.Service, workerStateText(v),
+				cores, v.Capacity.Memory, v.Capacity.Accelerators, v.Runs, cordonText(v.Cordon))
 			for _, former := range v.Former {
 				fmt.Fprintf(w, "%s\t%s\t%s\t\t\t\tover\t\t\t\t\t\n", v.Worker, former.Instance, startedText(former))
 			}
@@ -142,7 +145,7 @@
 	})
 }
 
-// startedText says when a life of a worker began, "-" if the worker does not say it.
+// startedText returns when an incarnation of a worker started; "-" if the worker doesn't report it.
 func startedText(id incarnation.ID) string {
 	if id.StartedAt().IsZero() {
 		return "-"
--- a/cmd/yarrowgrade/losses.go
+++ b/cmd/yarrowgrade/losses.go
@@ -33,7 +33,7 @@
 func (*lossesCommand) Help() string { return lossesUsage }
 
 // Run implements the command.
-func (c *lossesCommand) Run(s *session) error {
+func (c *lossesCommand) Run(s *env) error {
 	a := newLossAccount()
 	for _, name := range c.Files {
 		if err := a.readFile(name); err != nil {
--- a/cmd/yarrowgrade/main.go
+++ b/cmd/yarrowgrade/main.go
@@ -9,8 +9,8 @@
 // # Exit codes
 //
 //	0  done
-//	1  the entry refused, or could not be asked
-//	2  the command line is wrong, or a field of the input is
+//	1  the entry refused, or could not be reached
+//	2  the command line or a field of the input is wrong
 //	3  a request's outcome is not_run
 //	4  a request's outcome is unknown
 package main
@@ -50,25 +50,25 @@
 	Session sessionCommands `cmd:"" help:"Create, list, show and cancel sessions."`
 	Team    teamCommands    `cmd:"" help:"Show teams and what they use of their guarantees."`
 	Config  configCommands  `cmd:"" help:"Read and change the configuration: teams, policies, limits, placement."`
-	Policy  policyCommands  `cmd:"" help:"Check policies before they are put."`
+	Policy  policyCommands  `cmd:"" help:"Check policies before they are put into force."`
 	Worker  workerCommands  `cmd:"" help:"List workers and what is on them."`
 	Request requestCommands `cmd:"" help:"Send requests to targets."`
-	Status  statusCommand   `cmd:"" help:"Show each entry and agent: what is in force, lag, leaving or live, log reachable or not."`
+	Status  statusCommand   `cmd:"" help:"Show the configuration and the state of each entry and agent."`
 	Explain explainCommand  `cmd:"" help:"Say why a session waits."`
 	Job     jobCommands     `cmd:"" help:"List and show jobs on the users' platform."`
-	Trace   traceCommand    `cmd:"" help:"Put the log lines of one id from several processes into one order."`
-	Losses  lossesCommand   `cmd:"" help:"Add up from logs the work that was thrown away, why, and for whom."`
+	Trace   traceCommand    `cmd:"" help:"Merge the log lines about one id from several processes."`
+	Losses  lossesCommand   `cmd:"" help:"Sum up from logs the work that was lost, why, and for whom."`
 }
 
-// session is what a command works with.
-type session struct {
+// env is what a command runs with.
+type env struct {
 	ctx    context.Context
 	client *client.Client
 	out    io.Writer
 	json   bool
 }
 
-// exitError ends the program with a code and no further word.
+// exitError ends the program with a code and prints nothing.
 type exitError struct{ code int }
 
 // Error implements error.
@@ -94,7 +94,7 @@
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	s := &session{ctx: ctx, client: client.New(c.Entry, http.DefaultClient), out: out, json: c.JSON}
+	s := &env{ctx: ctx, client: client.New(c.Entry, http.DefaultClient), out: out, json: c.JSON}
 	return exitCode(parsed.Run(s), errOut)
 }
 
@@ -115,8 +115,8 @@
 	return exitFailed
 }
 
-// print shows a value as JSON, or as the table that rows fills.
-func (s *session) print(value any, rows func(w io.Writer)) error {
+// print prints a value as JSON, or the table that rows writes.
+func (s *env) print(value any, rows func(w io.Writer)) error {
 	if s.json {
 		encoder := json.NewEncoder(s.out)
 		encoder.SetIndent("", "  ")
@@ -127,7 +127,18 @@
 	return w.Flush()
 }
 
-// ago is the time since a clock reading in milliseconds, for people.
+// row writes the cells of one line of a table.
+func row(w io.Writer, cells ...any) {
+	for i, c := range cells {
+		if i > 0 {
+			fmt.Fprint(w, "\t")
+		}
+		fmt.Fprint(w, c)
+	}
+	fmt.Fprintln(w)
+}
+
+// ago returns how long ago a time in milliseconds since 1970 was.
 func ago(millis int64) string {
 	return time.Since(time.UnixMilli(millis)).Round(time.Second).String()
 }
--- a/cmd/yarrowgrade/policy.go
+++ b/cmd/yarrowgrade/policy.go
@@ -32,7 +32,7 @@
 }
 
 // Run implements the command.
-func (c *policyCheck) Run(s *session) error {
+func (c *policyCheck) Run(s *env) error {
 	data, err := readFile(c.File)
 	if err != nil {
 		return err
@@ -44,5 +44,7 @@
 	if err := p.Validate(); err != nil {
 		return err
 	}
-	return s.print(p, func(w io.Writer) { fmt.Fprintf(w, "policy %s is good; it decides %s\n", p.Name, p.Decides) })
+	return s.print(p, func(w io.Writer) {
+		fmt.Fprintf(w, "policy %s is good; it decides %s\n", p.Name, p.Decides)
+	})
 }
--- a/cmd/yarrowgrade/request.go
+++ b/cmd/yarrowgrade/request.go
@@ -37,7 +37,7 @@
 }
 
 // Run implements the command.
-func (c *requestSend) Run(s *session) error {
+func (c *requestSend) Run(s *env) error {
 	if c.NotRepeatable && c.Key == "" {
 		key, err := s.client.Key(s.ctx, c.Service)
 		if err != nil {
@@ -46,8 +46,12 @@
 		c.Key = key
 	}
 	answer, err := s.client.Send(s.ctx, request.Call{
-		Service: c.Service, Team: c.Team, Key: c.Key, NotRepeatable: c.NotRepeatable,
-		DeadlineMillis: c.Deadline.Milliseconds(), Body: c.Body,
+		Service:        c.Service,
+		Team:           c.Team,
+		Key:            c.Key,
+		NotRepeatable:  c.NotRepeatable,
+		DeadlineMillis: c.Deadline.Milliseconds(),
+		Body:           c.Body,
 	})
 	if err != nil {
 		return err
--- a/cmd/yarrowgrade/session.go
+++ b/cmd/yarrowgrade/session.go
@@ -13,8 +13,8 @@
 )
 
 const sessionUsage = `
-A session is a long gang job. Once "create" has answered, the session is kept until it finishes or is cancelled:
-whatever fails in between, it waits again and goes on from its last checkpoint.
+A session is a long-running gang job. After "create" has answered, the session is kept until it finishes or is
+cancelled: after any failure it waits again and goes on from its last checkpoint.
 
 A gang gets all its accelerators or none. --adjacency says how close they must be: "worker" for one machine, "rack",
 "zone", or "any".
@@ -42,18 +42,21 @@
 	Team         string        `help:"Team that the session belongs to." required:""`
 	Accelerators int           `help:"Number of accelerators, 1 to 64." required:""`
 	Adjacency    string        `help:"How close the accelerators must be: any, zone, rack or worker." default:"any"`
-	Urgent       bool          `help:"Go first, and take borrowed room back."`
+	Urgent       bool          `help:"Go first, and take back accelerators that others have borrowed."`
 	Work         time.Duration `help:"How long it runs, such as 6h. Zero runs until it is cancelled." default:"0s"`
 }
 
 // Run implements the command.
-func (c *sessionCreate) Run(s *session) error {
+func (c *sessionCreate) Run(s *env) error {
 	if c.Work < 0 || (c.Work > 0 && c.Work < time.Second) {
 		return fault.BadField("work", "want 0 or at least 1s, got %v", c.Work)
 	}
 	v, err := s.client.CreateSession(s.ctx, ledger.SessionSpec{
-		Name: c.Name, Team: c.Team, Urgent: c.Urgent, Work: int64(c.Work / time.Second),
-		Shape: placement.Shape{Accelerators: c.Accelerators, Adjacency: placement.Adjacency(c.Adjacency)},
+		Name:   c.Name,
+		Team:   c.Team,
+		Shape:  placement.Shape{Accelerators: c.Accelerators, Adjacency: placement.Adjacency(c.Adjacency)},
+		Urgent: c.Urgent,
+		Work:   int64(c.Work / time.Second),
 	})
 	if err != nil {
 		return err
@@ -66,7 +69,7 @@
 }
 
 // Run implements the command.
-func (c *sessionList) Run(s *session) error {
+func (c *sessionList) Run(s *env) error {
 	all, err := s.client.Sessions(s.ctx)
 	if err != nil {
 		return err
@@ -85,7 +88,7 @@
 }
 
 // Run implements the command.
-func (c *sessionShow) Run(s *session) error {
+func (c *sessionShow) Run(s *env) error {
 	v, err := s.client.Session(s.ctx, c.Name)
 	if err != nil {
 		return err
@@ -108,7 +111,7 @@
 }
 
 // Run implements the command.
-func (c *sessionCancel) Run(s *session) error {
+func (c *sessionCancel) Run(s *env) error {
 	v, err := s.client.CancelSession(s.ctx, c.Name)
 	if err != nil {
 		return err
@@ -116,7 +119,7 @@
 	return s.printSessions([]entry.SessionView{v}, v)
 }
 
-func (s *session) printSessions(list []entry.SessionView, value any) error {
+func (s *env) printSessions(list []entry.SessionView, value any) error {
 	return s.print(value, func(w io.Writer) {
 		fmt.Fprintln(w, "SESSION\tTEAM\tSHAPE\tPHASE\tFOR\tKIND\tWORKERS")
 		for _, v := range list {
@@ -125,7 +128,7 @@
 				phase = string(v.Placement.Phase)
 				where = workerNames(v.Placement.Members)
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", v.Name, v.Team, shapeText(v.Shape), phase, ago(v.Since), kind(v.Placement), where)
+			row(w, v.Name, v.Team, shapeText(v.Shape), phase, ago(v.Since), kind(v.Placement), where)
 		}
 	})
 }
@@ -134,7 +137,7 @@
 	return fmt.Sprintf("%d in one %s", s.Accelerators, s.Adjacency)
 }
 
-// kind says whether a placement can be taken back.
+// kind returns whether a placement uses a guarantee or is borrowed, and can be taken back.
 func kind(p *ledger.Placement) string {
 	switch {
 	case p == nil:
--- a/cmd/yarrowgrade/status.go
+++ b/cmd/yarrowgrade/status.go
@@ -12,8 +12,8 @@
 
 const statusUsage = `
 One line for each entry and each agent: the revision of the configuration in force, when it was last heard, whether it
-is live or leaving, and for entries whether the log can be reached. Below them stand the guarantees that could not be
-had back now; there should be none.
+is live or leaving, and for entries whether the log can be reached. Guarantees that could not be reclaimed now follow;
+there should be none.
 
 Example:
 
@@ -26,7 +26,7 @@
 func (*statusCommand) Help() string { return statusUsage }
 
 // Run implements the command.
-func (c *statusCommand) Run(s *session) error {
+func (c *statusCommand) Run(s *env) error {
 	v, err := s.client.Status(s.ctx)
 	if err != nil {
 		return err
@@ -38,21 +38,21 @@
 	fmt.Fprintln(w, "ROLE\tNAME\tSTATE\tCONFIG\tHEARD\tLOG")
 	for _, e := range v.Entries {
 		if e.Error != "" {
-			fmt.Fprintf(w, "entry\t%s\tno answer\t-\t-\t%s\n", e.Address, e.Error)
+			row(w, "entry", e.Address, "no answer", "-", "-", e.Error)
 			continue
 		}
-		fmt.Fprintf(w, "entry\t%s\t%s\t%d\t-\t%s\n", e.Name, liveness(e.Leaving), e.ConfigRevision, logText(e))
+		row(w, "entry", e.Name, liveness(e.Leaving), e.ConfigRevision, "-", logText(e))
 	}
 	for _, a := range agents(v.Entries) {
-		heard := time.Duration(a.SinceViewMillis) * time.Millisecond
-		fmt.Fprintf(w, "agent\t%s\t%s\t%d\t%s ago\t-\n", a.Worker, liveness(a.Leaving), a.ConfigRevision, heard.Round(100*time.Millisecond))
+		heard := (time.Duration(a.SinceViewMillis) * time.Millisecond).Round(100 * time.Millisecond)
+		row(w, "agent", a.Worker, liveness(a.Leaving), a.ConfigRevision, heard.String()+" ago", "-")
 	}
 	for _, g := range v.Shortfall {
 		fmt.Fprintf(w, "SHORT\tteam %s could not have %s back\n", g.Team, shapeText(g.Shape))
 	}
 }
 
-// agents returns the newest word on each agent, by name. An agent that moved to another entry is known to both.
+// agents returns the newest status of each agent, by name. After an agent moved to another entry, both report it.
 func agents(entries []membership.EntryStatus) []membership.AgentStatus {
 	newest := make(map[string]membership.AgentStatus)
 	for _, e := range entries {
--- a/cmd/yarrowgrade/team.go
+++ b/cmd/yarrowgrade/team.go
@@ -8,8 +8,8 @@
 )
 
 const teamUsage = `
-A team holds guarantees: shapes that it can have back at any time, even while others have borrowed them. A team is
-declared with "config put team/NAME".
+A team has guarantees: shapes that it can reclaim at any time, even while others have borrowed them. A team is declared
+with "config put team/NAME".
 
 Examples:
 
@@ -28,7 +28,7 @@
 type teamList struct{}
 
 // Run implements the command.
-func (c *teamList) Run(s *session) error {
+func (c *teamList) Run(s *env) error {
 	list, err := s.client.Teams(s.ctx)
 	if err != nil {
 		return err
@@ -41,7 +41,7 @@
 }
 
 // Run implements the command.
-func (c *teamShow) Run(s *session) error {
+func (c *teamShow) Run(s *env) error {
 	v, err := s.client.Team(s.ctx, c.Name)
 	if err != nil {
 		return err
@@ -49,15 +49,16 @@
 	return s.printTeams([]entry.TeamView{v}, v)
 }
 
-func (s *session) printTeams(list []entry.TeamView, value any) error {
+func (s *env) printTeams(list []entry.TeamView, value any) error {
 	return s.print(value, func(w io.Writer) {
 		fmt.Fprintln(w, "TEAM\tSHARE\tSESSIONS\tGUARANTEE\tUSED")
 		for _, v := range list {
 			if len(v.Entitlements) == 0 {
-				fmt.Fprintf(w, "%s\t%d\t%d\t-\t-\n", v.Name, v.Share, v.Sessions)
+				row(w, v.Name, v.Share, v.Sessions, "-", "-")
 			}
 			for _, e := range v.Entitlements {
-				fmt.Fprintf(w, "%s\t%d\t%d\t%d × %s\t%d\n", v.Name, v.Share, v.Sessions, e.Count, shapeText(e.Shape), e.Used)
+				guarantee := fmt.Sprintf("%d × %s", e.Count, shapeText(e.Shape))
+				row(w, v.Name, v.Share, v.Sessions, guarantee, e.Used)
 			}
 		}
 	})
--- a/cmd/yarrowgrade/trace.go
+++ b/cmd/yarrowgrade/trace.go
@@ -11,15 +11,16 @@
 )
 
 const traceUsage = `
-trace puts the log lines of one id, a job's, a task's or a worker's life, from several processes' logs into one order: by their
-time. The times of machines differ a little, so lines of two machines that lie close together may stand the wrong way round.
+trace prints the log lines that contain an id (of a job, a task, or an incarnation of a worker) from the logs of several
+processes, in the order of their times. Clocks of machines differ a little, so lines of two machines that were written
+at almost the same time may be in the wrong order.
 
 Example:
 
   yarrowgrade trace 7b1f7d2030478d63 entry-1.log entry-2.log worker-1.log
 `
 
-// maxLogLine bounds a line of a log.
+// maxLogLine bounds a line of a log, in bytes.
 const maxLogLine = 1 << 20
 
 type traceCommand struct {
@@ -30,14 +31,14 @@
 // Help implements kong.HelpProvider.
 func (*traceCommand) Help() string { return traceUsage }
 
-// logLine is a line with its time; lines without one keep that of the line before.
+// logLine is a line with its time. A line without a time has that of the line before.
 type logLine struct {
 	at   time.Time
 	text string
 }
 
 // Run implements the command.
-func (c *traceCommand) Run(s *session) error {
+func (c *traceCommand) Run(s *env) error {
 	var lines []logLine
 	for _, name := range c.Files {
 		found, err := linesOf(name, c.ID)
@@ -79,7 +80,7 @@
 	return lines, nil
 }
 
-// timeOf returns the time of a line.
+// timeOf returns the time of a line, if it has one.
 func timeOf(text string) (time.Time, bool) {
 	_, rest, ok := strings.Cut(text, "time=")
 	if !ok {
--- a/cmd/yarrowgrade/worker.go
+++ b/cmd/yarrowgrade/worker.go
@@ -26,7 +26,7 @@
 type workerList struct{}
 
 // Run implements the command.
-func (c *workerList) Run(s *session) error {
+func (c *workerList) Run(s *env) error {
 	list, err := s.client.Workers(s.ctx)
 	if err != nil {
 		return err
@@ -34,7 +34,7 @@
 	return s.print(list, func(w io.Writer) {
 		fmt.Fprintln(w, "WORKER\tZONE\tRACK\tSERVICE\tSLOTS\tSTATE\tACCELERATORS")
 		for _, v := range list {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\t%s\n", v.Name, v.Zone, v.Rack, v.Service, v.Slots, workerState(v), holderText(v))
+			row(w, v.Name, v.Zone, v.Rack, v.Service, v.Slots, workerState(v), holderText(v))
 		}
 	})
 }
