--- a/cmd/yarrowgrade/losses.go
+++ b/cmd/yarrowgrade/losses.go
@@ -8,17 +8,12 @@
 	"maps"
 	"os"
 	"slices"
-	"strconv"
 	"strings"
-	"time"
-
-	"github.com/go-logfmt/logfmt"
 )
 
 const lossesUsage = `
-losses adds up, from entries' logs, the work that was thrown away, why, and for whom: what ended without being saved, by cause; for
-each stop whether the urgent job that it was for was completed in time; and how often the same task was stopped again. Work is
-in core-seconds, an accelerator counting as eight cores.
+losses sums up, from entries' logs, the work that was lost: by cause, for which urgent jobs and whether these were
+completed in time, and how often the same task was stopped. Work is in core-seconds; an accelerator counts as eight cores.
 
 Example:
 
@@ -44,36 +39,28 @@
 	return s.print(report, report.rows)
 }
 
-// lossLine is what the account takes from a line of a log.
-type lossLine struct {
-	at                                time.Time
-	event, task, job, how, cause, why string
-	phase                             string
-	run                               int
-	lost                              float64
-	priority                          int
-	due                               time.Time
-}
-
-// lossAccount gathers the lines of one or more logs.
+// lossAccount sums up the lines of one or more logs.
 type lossAccount struct {
+	starts int
+	// causes holds the losses by cause.
 	causes map[string]*causeTotal
-	// stops counts the stops of a task; stoppedFor is the urgent job for which a run was told to stop.
-	stops      map[string]int
-	stoppedFor map[string]string
-	// urgent holds the jobs of priority 0.
+	// stops counts the stops of a task, by its name.
+	stops map[string]int
+	// preemptedFor holds, by task and run, the ID of the urgent job for which a run was stopped.
+	preemptedFor map[string]string
+	// urgent holds the jobs of priority 0, by ID.
 	urgent map[string]*urgentJob
-	starts int
 }
 
-// causeTotal is what was thrown away for one cause.
+// causeTotal sums up the losses of one cause.
 type causeTotal struct {
 	Runs int     `json:"runs"`
 	Lost float64 `json:"lost_core_s"`
 }
 
-// urgentJob is what became of a job of priority 0.
+// urgentJob is the outcome of a job of priority 0, and what it cost others.
 type urgentJob struct {
+	// victims is the number of runs stopped for it; lost is their lost work in core-seconds.
 	victims   int
 	lost      float64
 	completed bool
@@ -81,7 +68,12 @@
 }
 
 func newLossAccount() *lossAccount {
-	return &lossAccount{causes: map[string]*causeTotal{}, stops: map[string]int{}, stoppedFor: map[string]string{}, urgent: map[string]*urgentJob{}}
+	return &lossAccount{
+		causes:       map[string]*causeTotal{},
+		stops:        map[string]int{},
+		preemptedFor: map[string]string{},
+		urgent:       map[string]*urgentJob{},
+	}
 }
 
 func (a *lossAccount) readFile(name string) error {
@@ -96,7 +88,7 @@
 	return nil
 }
 
-// read adds the lines of a log. Whatever stands before the time, and lines without one, are passed over.
+// read adds the lines of a log. Text before the time of a line is skipped, and so are lines without a time.
 func (a *lossAccount) read(in io.Reader) error {
 	scanner := bufio.NewScanner(in)
 	scanner.Buffer(nil, maxLogLine)
@@ -114,68 +106,6 @@
 	return scanner.Err()
 }
 
-// timeField begins a line of a log.
-const timeField = "time="
-
-func parseLossLine(text string) (l lossLine, err error) {
-	d := logfmt.NewDecoder(strings.NewReader(text))
-	for d.ScanRecord() {
-		for d.ScanKeyval() {
-			if err := l.set(string(d.Key()), string(d.Value())); err != nil {
-				return l, fmt.Errorf("%q: %w", text, err)
-			}
-		}
-	}
-	if d.Err() != nil {
-		return l, fmt.Errorf("%q: %w", text, d.Err())
-	}
-	return l, nil
-}
-
-// set takes one field over; fields of other lines are passed over.
-func (l *lossLine) set(key, value string) (err error) {
-	switch key {
-	case "time":
-		l.at, err = time.Parse(time.RFC3339Nano, value)
-	case "event":
-		l.event = value
-	case "task":
-		l.task = value
-	case "job":
-		l.job = value
-	case "how":
-		l.how = value
-	case "cause":
-		l.cause = value
-	case "why":
-		l.why = value
-	case "phase":
-		l.phase = value
-	case "due":
-		l.due, err = time.Parse(time.RFC3339Nano, value)
-	case "run":
-		l.run, err = strconv.Atoi(value)
-	case "priority":
-		l.priority, err = strconv.Atoi(value)
-	case "lost_core_s":
-		l.lost, err = strconv.ParseFloat(value, 64)
-	}
-	if err != nil {
-		return fmt.Errorf("%s: %w", key, err)
-	}
-	return nil
-}
-
-// Events and words of the leader's log.
-const (
-	eventPlaced = "run is placed"
-	eventStop   = "run is to stop"
-	eventEnded  = "run ended"
-	eventJob    = "job ended"
-	yieldsTo    = "it yields to "
-	phaseDone   = "completed"
-)
-
 func (a *lossAccount) add(l lossLine) {
 	run := fmt.Sprintf("%s/%d", l.task, l.run)
 	switch l.event {
@@ -187,7 +117,7 @@
 	case eventStop:
 		a.stops[l.task]++
 		if task, ok := strings.CutPrefix(l.why, yieldsTo); ok {
-			a.stoppedFor[run] = jobOf(task)
+			a.preemptedFor[run] = jobOf(task)
 			a.urgentOf(jobOf(task)).victims++
 		}
 	case eventEnded:
@@ -199,9 +129,9 @@
 	}
 }
 
-// addEnd counts the end of a run, as the leader notes it. Agents' lines of it name no cause.
+// addEnd adds the end of a run as the leader logs it. Agents log it too, without a cause.
 func (a *lossAccount) addEnd(l lossLine, run string) {
-	if l.cause == "" || l.cause == "none" {
+	if l.cause == "" || l.cause == causeNone {
 		return
 	}
 	total := a.causes[l.cause]
@@ -211,7 +141,7 @@
 	}
 	total.Runs++
 	total.Lost += l.lost
-	if forJob, ok := a.stoppedFor[run]; ok {
+	if forJob, ok := a.preemptedFor[run]; ok {
 		a.urgent[forJob].lost += l.lost
 	}
 }
@@ -223,23 +153,23 @@
 	return a.urgent[id]
 }
 
-// jobOf is the job of a task's name.
+// jobOf returns the job's ID from a task's name.
 func jobOf(task string) string {
 	id, _, _ := strings.Cut(task, ".")
 	return id
 }
 
-// lossReport is the account of all lines.
+// lossReport is the result of an account.
 type lossReport struct {
 	Starts int                    `json:"starts"`
 	Causes map[string]*causeTotal `json:"causes"`
-	// Urgent counts jobs of priority 0, by whether work stopped for them and by what became of them.
+	// Urgent has two totals of the jobs of priority 0: those for which no run was stopped, and the others.
 	Urgent []urgentTotal `json:"urgent"`
-	// Stopped counts tasks by how often they were told to stop.
+	// Stopped counts tasks by how often they were stopped.
 	Stopped map[int]int `json:"stopped_times"`
 }
 
-// urgentTotal is what became of the urgent jobs for which work stopped, or of the others.
+// urgentTotal sums up urgent jobs.
 type urgentTotal struct {
 	Stopping bool    `json:"work_stopped_for_them"`
 	Jobs     int     `json:"jobs"`
@@ -248,12 +178,17 @@
 	Open     int     `json:"not_completed"`
 	Victims  int     `json:"runs_stopped"`
 	Lost     float64 `json:"lost_core_s"`
-	// LostInVain is what was lost for jobs that were late all the same, or not completed.
+	// LostInVain is the work lost for jobs that were late or not completed all the same, in core-seconds.
 	LostInVain float64 `json:"lost_core_s_for_late_jobs"`
 }
 
 func (a *lossAccount) report() lossReport {
-	r := lossReport{Starts: a.starts, Causes: a.causes, Stopped: map[int]int{}, Urgent: []urgentTotal{{}, {Stopping: true}}}
+	r := lossReport{
+		Starts:  a.starts,
+		Causes:  a.causes,
+		Urgent:  []urgentTotal{{}, {Stopping: true}},
+		Stopped: map[int]int{},
+	}
 	for _, n := range a.stops {
 		r.Stopped[n]++
 	}
@@ -286,19 +221,22 @@
 // rows prints the report as tables.
 func (r lossReport) rows(w io.Writer) {
 	fmt.Fprintf(w, "STARTS\t%d\n\nCAUSE\tRUNS\tCORE-S LOST\n", r.Starts)
-	names := slices.SortedFunc(maps.Keys(r.Causes), func(a, b string) int { return cmp.Compare(r.Causes[b].Lost, r.Causes[a].Lost) })
-	for _, name := range names {
+	mostLostFirst := func(a, b string) int { return cmp.Compare(r.Causes[b].Lost, r.Causes[a].Lost) }
+	for _, name := range slices.SortedFunc(maps.Keys(r.Causes), mostLostFirst) {
 		fmt.Fprintf(w, "%s\t%d\t%.0f\n", name, r.Causes[name].Runs, r.Causes[name].Lost)
 	}
-	fmt.Fprintf(w, "\nURGENT JOBS\tJOBS\tIN TIME\tLATE\tOPEN\tRUNS STOPPED\tCORE-S LOST\tFOR LATE ONES\n")
+	fmt.Fprintln(w)
+	row(w, "URGENT JOBS", "JOBS", "IN TIME", "LATE", "OPEN", "RUNS STOPPED", "CORE-S LOST", "FOR LATE ONES")
 	for _, t := range r.Urgent {
 		name := "found room"
 		if t.Stopping {
 			name = "work stopped"
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\n", name, t.Jobs, t.InTime, t.Late, t.Open, t.Victims, t.Lost, t.LostInVain)
+		lost, inVain := fmt.Sprintf("%.0f", t.Lost), fmt.Sprintf("%.0f", t.LostInVain)
+		row(w, name, t.Jobs, t.InTime, t.Late, t.Open, t.Victims, lost, inVain)
 	}
-	fmt.Fprintf(w, "\nTOLD TO STOP\tTASKS\n")
+	fmt.Fprintln(w)
+	row(w, "TOLD TO STOP", "TASKS")
 	for _, n := range slices.Sorted(maps.Keys(r.Stopped)) {
 		fmt.Fprintf(w, "%d times\t%d\n", n, r.Stopped[n])
 	}
--- a/cmd/yarrowgrade/losses_test.go
+++ b/cmd/yarrowgrade/losses_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestLosses: what was thrown away counts under its cause and for the job that it was for, and lines of other programs are passed
-// over.
+// TestLosses: lost work counts under its cause and for the urgent job that caused it, and lines of other programs are
+// skipped.
 func TestLosses(t *testing.T) {
 	const log = `built in 0.1 s
   1.0 entry-1 time=2026-05-04T10:00:00Z level=info event="run is placed" task=aa.0.0.0 run=1 priority=1 worker=w1
@@ -26,20 +26,24 @@
 		t.Fatal(err)
 	}
 	r := a.report()
-	if r.Starts != 4 || *r.Causes["yielded"] != (causeTotal{Runs: 1, Lost: 120.5}) || *r.Causes["worker_lost"] != (causeTotal{Runs: 1, Lost: 30}) {
-		t.Errorf("%d starts, lost: %+v, %+v", r.Starts, r.Causes["yielded"], r.Causes["worker_lost"])
+	yielded, workerLost := *r.Causes["yielded"], *r.Causes["worker_lost"]
+	if r.Starts != 4 || yielded != (causeTotal{Runs: 1, Lost: 120.5}) || workerLost != (causeTotal{Runs: 1, Lost: 30}) {
+		t.Errorf("%d starts, lost: %+v, %+v", r.Starts, yielded, workerLost)
 	}
 	found, stopping := r.Urgent[0], r.Urgent[1]
 	if found != (urgentTotal{Jobs: 1, InTime: 1}) {
-		t.Errorf("of those that found room: %+v", found)
+		t.Errorf("jobs for which nothing was stopped: %+v", found)
 	}
-	if stopping != (urgentTotal{Stopping: true, Jobs: 1, Late: 1, Victims: 1, Lost: 120.5, LostInVain: 120.5}) {
-		t.Errorf("of those for which work stopped: %+v", stopping)
+	want := urgentTotal{Stopping: true, Jobs: 1, Late: 1, Victims: 1, Lost: 120.5, LostInVain: 120.5}
+	if stopping != want {
+		t.Errorf("jobs for which runs were stopped: %+v", stopping)
 	}
 	if r.Stopped[1] != 1 {
-		t.Errorf("told to stop: %v", r.Stopped)
+		t.Errorf("stopped: %v", r.Stopped)
 	}
-	if err := newLossAccount().read(strings.NewReader("time=2026-05-04T10:00:00Z event=\"run ended\" run=one\n")); err == nil || !strings.Contains(err.Error(), "run") {
-		t.Errorf("a run that is no number: %v, want an error that names the field", err)
+	const bad = "time=2026-05-04T10:00:00Z event=\"run ended\" run=one\n"
+	err := newLossAccount().read(strings.NewReader(bad))
+	if err == nil || !strings.Contains(err.Error(), "run: ") {
+		t.Errorf("a run that is not a number: %v, want an error that names the field", err)
 	}
 }
--- a/cmd/yarrowgrade/trace_test.go
+++ b/cmd/yarrowgrade/trace_test.go
@@ -8,7 +8,9 @@
 
 func TestTraceLines(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "log")
-	text := "time=2026-01-02T03:04:05.5Z level=info event=\"job is accepted\" job=ab\n  a line of it: ab\ntime=2026-01-02T03:04:04Z job=cd\n"
+	text := "time=2026-01-02T03:04:05.5Z level=info event=\"job is accepted\" job=ab\n" +
+		"  a line of it: ab\n" +
+		"time=2026-01-02T03:04:04Z job=cd\n"
 	if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
