--- a/cmd/soak/cluster.go
+++ b/cmd/soak/cluster.go
@@ -92,7 +92,7 @@
 	c.store = address
 	c.platform.Workers.FailureShare = 0.03
 	if s.SameIDs {
-		c.platform.Workers.SameID = sameIDShare
+		c.platform.Workers.SameIDShare = sameIDShare
 	}
 	go c.platform.Workers.Run(ctx)
 	if err := c.platform.PutConfig(ctx, config(1, keptKey, takenKey)); err != nil {
--- a/cmd/soak/faults.go
+++ b/cmd/soak/faults.go
@@ -134,7 +134,7 @@
 	kind := kinds[s.random.IntN(len(kinds))]
 	s.note("link of %s %s for %v", b.name, kind.name, length)
 	if l == b.worker {
-		b.beside.HoldUp(length + settled)
+		b.beside.ExpectDelays(length + settled)
 	}
 	kind.strike(l)
 	s.later(length, l.Heal)
@@ -154,7 +154,7 @@
 func (s *striker) pauseProcess(b *box, length time.Duration) {
 	s.note("%s paused for %v", b.name, length)
 	if b.beside != nil {
-		b.beside.HoldUp(length + settled)
+		b.beside.ExpectDelays(length + settled)
 	}
 	_ = b.process.Signal(syscall.SIGSTOP)
 	s.later(length, func() { _ = b.process.Signal(syscall.SIGCONT) })
--- a/cmd/soak/troubles.go
+++ b/cmd/soak/troubles.go
@@ -53,18 +53,18 @@
 func (ts *troubles) resize(ctx context.Context) {
 	for i, w := range ts.cluster.workers {
 		if i%2 == 0 {
-			w.Unguard()
+			w.AllowOvercommit()
 		}
 	}
 	small := job.Resources{CPU: room.CPU / shrunkPart, Memory: room.Memory / shrunkPart, Accelerators: room.Accelerators / shrunkPart}
 	for ctx.Err() == nil {
 		w := ts.cluster.workers[ts.random.IntN(len(ts.cluster.workers))]
-		if w.SetRoom(small); ts.random.IntN(2) == 0 {
-			w.SetRoom(room)
+		if w.SetCapacity(small); ts.random.IntN(2) == 0 {
+			w.SetCapacity(room)
 		}
 		pause.For(ctx, time.Duration(ts.random.Int64N(int64(shrinkPause))))
 	}
 	for _, w := range ts.cluster.workers {
-		w.SetRoom(room)
+		w.SetCapacity(room)
 	}
 }
--- a/jobs/jobtest/room_test.go
+++ b/jobs/jobtest/capacity_test.go
@@ -43,7 +43,7 @@
 			within(t, func(t *testing.T, s *system) {
 				s.workers.Work = time.Second
 				for _, w := range s.worker {
-					w.Unguard()
+					w.AllowOvercommit()
 				}
 				s.submit(s.simpleJob(900, time.Second), 1)
 				s.keepBusy(3 * time.Second)
@@ -51,7 +51,7 @@
 				room := s.roomOf(0)
 				test.strike(s, s.leader())
 				for _, w := range s.worker {
-					w.SetRoom(job.Resources{CPU: room.CPU / 4, Memory: room.Memory / 4, Accelerators: room.Accelerators / 4})
+					w.SetCapacity(job.Resources{CPU: room.CPU / 4, Memory: room.Memory / 4, Accelerators: room.Accelerators / 4})
 				}
 				time.AfterFunc(test.heal, func() {
 					s.network.Heal()
@@ -64,7 +64,7 @@
 					t.Error("nothing started in the room that is left: the test proves nothing")
 				}
 				for _, w := range s.worker {
-					w.SetRoom(room)
+					w.SetCapacity(room)
 				}
 				before = s.workers.StartsIn("zone-1")
 				s.keepBusy(8 * time.Second)
--- a/jobs/jobtest/crash.go
+++ b/jobs/jobtest/crash.go
@@ -23,15 +23,15 @@
 // crasher is how a task crashes the workers that start it.
 type crasher struct {
 	after time.Duration
-	back  time.Duration
+	away  time.Duration
 }
 
 // crashes is what is known of the crashes under a task.
 type crashes struct {
 	// under counts the lives that crashed while it was there, for whatever cause; by those of them that it crashed itself.
-	under, by int
-	// since counts its starts after it had crashed blamedAfter of them.
-	since int
+	under, caused int
+	// startsSince counts its starts after it had crashed blamedAfter of them.
+	startsSince int
 }
 
 // CrashOn makes a task crash each worker that starts it: so long after the start, and before the start is answered if that is zero. The
@@ -39,7 +39,7 @@
 func (ws *Workers) CrashOn(name job.TaskName, after, back time.Duration) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
-	ws.crashers[name] = crasher{after: after, back: back}
+	ws.crashers[name] = crasher{after: after, away: back}
 }
 
 // crashesOf returns what is known of the crashes under a task. The lock must be held.
@@ -54,7 +54,7 @@
 func (ws *Workers) CrashesBy(name job.TaskName) int {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
-	return ws.crashesOf(name).by
+	return ws.crashesOf(name).caused
 }
 
 // MayFail reports whether a job may be given up: a task of it has failed too often, or workers have crashed under it.
@@ -82,14 +82,14 @@
 		return nil
 	}
 	if c.after == 0 {
-		w.crashUnder(r, c.back)
+		w.crashUnder(r, c.away)
 		return errReset
 	}
 	time.AfterFunc(c.after, func() {
 		w.all.mu.Lock()
 		defer w.all.mu.Unlock()
 		if w.up && w.runs[r.id.Task] == r {
-			w.crashUnder(r, c.back)
+			w.crashUnder(r, c.away)
 		}
 	})
 	return nil
@@ -97,7 +97,7 @@
 
 // crashUnder crashes the worker by a run. Its machine is well, so calls fail at once. The lock must be held.
 func (w *Worker) crashUnder(r *run, back time.Duration) {
-	w.all.crashesOf(r.id.Task).by++
+	w.all.crashesOf(r.id.Task).caused++
 	w.refusing = true
 	w.crash(back)
 }
@@ -123,14 +123,14 @@
 		w.all.mu.Lock()
 		defer w.all.mu.Unlock()
 		if !w.up {
-			w.reborn()
+			w.startIncarnation()
 		}
 	})
 }
 
-// away is how a call ends to a worker that is not up: at once where its machine is, and else with the call's time. The lock must be held; it
+// unavailable is how a call ends to a worker that is not up: at once where its machine is, and else with the call's time. The lock must be held; it
 // is given up while that takes.
-func (w *Worker) away(ctx context.Context) error {
+func (w *Worker) unavailable(ctx context.Context) error {
 	if w.refusing {
 		return fmt.Errorf("dial: %w", fault.ErrNotSent)
 	}
@@ -143,10 +143,10 @@
 // checkCrashes looks at a start of a task that has crashed workers: orders that come late are nobody's fault. The lock must be held.
 func (ws *Workers) checkCrashes(w *Worker, s assignment.Start) {
 	c := ws.crashes[s.Task]
-	if c == nil || c.by < blamedAfter || w.late || !time.Now().After(w.heldUp) {
+	if c == nil || c.caused < blamedAfter || w.late || !time.Now().After(w.delaysUntil) {
 		return
 	}
-	if c.since++; c.since >= mostStarts {
-		ws.breaks("BUDGET: %v run %d starts on %s, %d times more after %d workers had crashed under it", s.Task, s.Run, w.name, c.since, blamedAfter)
+	if c.startsSince++; c.startsSince >= mostStarts {
+		ws.violate("BUDGET: %v run %d starts on %s, %d times more after %d workers had crashed under it", s.Task, s.Run, w.name, c.startsSince, blamedAfter)
 	}
 }
--- a/jobs/jobtest/log.go
+++ b/jobs/jobtest/log.go
@@ -95,8 +95,8 @@
 
 var errReset = errors.New("connection reset")
 
-// meet lets the client's fault strike before a call. It returns the fault for what strikes after it.
-func (c *LogClient) meet(ctx context.Context) (Fault, error) {
+// applyFault lets the client's fault strike before a call. It returns the fault for what strikes after it.
+func (c *LogClient) applyFault(ctx context.Context) (Fault, error) {
 	c.log.mu.Lock()
 	fault, ok := c.log.faults[c.name]
 	if !ok {
@@ -115,7 +115,7 @@
 
 // Append implements topic.Log.
 func (c *LogClient) Append(ctx context.Context, records []topic.Record, condition topic.Condition) (int64, error) {
-	fault, err := c.meet(ctx)
+	fault, err := c.applyFault(ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -186,7 +186,7 @@
 
 // Read implements topic.Log.
 func (c *LogClient) Read(ctx context.Context, q topic.Query) (topic.Batch, error) {
-	fault, err := c.meet(ctx)
+	fault, err := c.applyFault(ctx)
 	if err != nil {
 		return topic.Batch{}, err
 	}
@@ -233,7 +233,7 @@
 
 // Newest implements topic.Log.
 func (c *LogClient) Newest(ctx context.Context) (topic.Batch, error) {
-	fault, err := c.meet(ctx)
+	fault, err := c.applyFault(ctx)
 	if err != nil {
 		return topic.Batch{}, err
 	}
--- a/jobs/jobtest/orders.go
+++ b/jobs/jobtest/orders.go
@@ -20,7 +20,7 @@
 	w.all.mu.Lock()
 	defer w.all.mu.Unlock()
 	if !w.up || w.unreachable {
-		return 0, w.away(ctx)
+		return 0, w.unavailable(ctx)
 	}
 	if w.all.random.Float64() < w.lateShare {
 		time.AfterFunc(time.Duration(2+w.all.random.IntN(10))*time.Second, func() {
@@ -42,13 +42,13 @@
 
 // carryOut checks the life and the fence. The lock must be held.
 func (w *Worker) carryOut(o runner.Order, carry func() error) error {
-	if !o.Incarnation.SharesInstance(w.life.ID) {
+	if !o.Incarnation.SharesInstance(w.state.ID) {
 		return runner.ErrOtherIncarnation
 	}
 	if o.Fence < w.fence {
 		return runner.ErrFenced
 	}
-	w.stray = w.late && o.Incarnation != w.life.ID && w.fence <= o.Fence
+	w.stray = w.late && o.Incarnation != w.state.ID && w.fence <= o.Fence
 	w.fence = o.Fence
 	w.advance(time.Now())
 	return carry()
@@ -56,7 +56,7 @@
 
 // extend reads the end of a lease.
 func (w *Worker) extend(until int64) {
-	w.until = max(w.until, min(until, w.clock(time.Now())+maxLease.Milliseconds()))
+	w.leaseEnd = max(w.leaseEnd, min(until, w.clock(time.Now())+maxLease.Milliseconds()))
 }
 
 // Start implements runner.Worker.
@@ -73,25 +73,25 @@
 		w.extend(until)
 		return nil
 	}
-	if s.Run <= w.highest[s.Task] || w.runs[s.Task] != nil {
+	if s.Run <= w.highestRun[s.Task] || w.runs[s.Task] != nil {
 		w.extend(until)
 		return runner.ErrAlreadyRan
 	}
 	step := w.all.stepOf(s.Task)
 	w.extend(until)
-	if !w.unguarded && !step.Reserved().FitsIn(w.free()) {
+	if !w.overcommits && !step.Reserved().FitsIn(w.free()) {
 		return runner.ErrNoCapacity
 	}
-	w.all.check(w, s)
-	w.all.checkRoom(w, s, step.Reserved())
-	r := &run{id: s.RunID, need: step.Reserved(), arrived: now, pace: 100, lostUntil: now, work: w.all.workOf(s.Task), fails: w.all.random.Float64() < w.all.FailureShare}
-	if r.resumed, _ = time.ParseDuration(s.Checkpoint); !step.Gang {
-		r.begun = now
+	w.all.checkStart(w, s)
+	w.all.checkCapacity(w, s, step.Reserved())
+	r := &run{id: s.RunID, resources: step.Reserved(), arrivedAt: now, speed: 100, lostUntil: now, work: w.all.workOf(s.Task), fails: w.all.random.Float64() < w.all.FailureShare}
+	if r.resumedFrom, _ = time.ParseDuration(s.Checkpoint); !step.Gang {
+		r.startedAt = now
 	}
 	w.runs[s.Task] = r
 	w.all.Starts++
-	w.all.startsIn[w.life.Zone]++
-	w.all.begun[s.Task.Job] = true
+	w.all.startsIn[w.state.Zone]++
+	w.all.everStarted[s.Task.Job] = true
 	return w.crashBy(r)
 }
 
@@ -103,13 +103,13 @@
 	return time.Second + time.Duration((name.Index*37+len(ws.jobs))%20)*100*time.Millisecond
 }
 
-func (w *Worker) free() job.Resources { return w.freeOf(w.life.Capacity) }
+func (w *Worker) free() job.Resources { return w.freeOf(w.state.Capacity) }
 
 // freeOf is what of a room is not taken.
 func (w *Worker) freeOf(room job.Resources) job.Resources {
 	free := room
 	for _, r := range w.runs {
-		free = free.Plus(r.need, -1)
+		free = free.Plus(r.resources, -1)
 	}
 	return free
 }
@@ -119,11 +119,11 @@
 	return w.order(ctx, o, func() error {
 		r := w.runs[id.Task]
 		if r == nil || r.id.Run != id.Run {
-			w.highest[id.Task] = max(w.highest[id.Task], id.Run)
+			w.highestRun[id.Task] = max(w.highestRun[id.Task], id.Run)
 			return nil
 		}
-		if r.stopping.IsZero() {
-			r.stopping = time.Now().Add(stopTime)
+		if r.stopsAt.IsZero() {
+			r.stopsAt = time.Now().Add(stopTime)
 		}
 		return nil
 	})
@@ -134,7 +134,7 @@
 	return w.order(ctx, o, func() error {
 		if r := w.runs[id.Task]; r != nil && r.id.Run == id.Run {
 			r.advance(time.Now())
-			r.pace = percent
+			r.speed = percent
 		}
 		return nil
 	})
@@ -155,8 +155,8 @@
 	}
 	for waited := time.Duration(0); ; waited += tick {
 		w.all.mu.Lock()
-		if !o.Incarnation.SharesInstance(w.life.ID) || !w.up || w.unreachable {
-			err := w.away(ctx)
+		if !o.Incarnation.SharesInstance(w.state.ID) || !w.up || w.unreachable {
+			err := w.unavailable(ctx)
 			w.all.mu.Unlock()
 			return l, 0, err
 		}
@@ -180,7 +180,7 @@
 			continue
 		}
 		// An end counts as taken note of only if the lease did not lapse in between.
-		if !w.lapsed.After(w.endedAt[e.Number]) {
+		if !w.leaseOverAt.After(w.endedAt[e.Number]) {
 			w.all.acknowledge(e)
 		}
 	}
@@ -189,13 +189,13 @@
 
 func (w *Worker) listing() runner.Listing {
 	w.advance(time.Now())
-	l := runner.Listing{StartMillis: w.life.ID.StartMillis}
+	l := runner.Listing{StartMillis: w.state.ID.StartMillis}
 	for _, r := range w.runs {
 		percent := 0
-		if !r.begun.IsZero() {
+		if !r.startedAt.IsZero() {
 			percent = min(99, int(100*r.worked(time.Now())/r.work))
 		}
-		l.Runs = append(l.Runs, assignment.Run{RunID: r.id, Percent: percent, Checkpoint: w.saved(r), LatencyMillis: w.gauge(r)})
+		l.Runs = append(l.Runs, assignment.Run{RunID: r.id, Percent: percent, Checkpoint: w.saved(r), LatencyMillis: w.latencyMillis(r)})
 	}
 	l.Ends = append(l.Ends, w.ends...)
 	return l
--- a/jobs/jobtest/rules.go
+++ b/jobs/jobtest/rules.go
@@ -9,18 +9,18 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// breaks notes a broken rule. The lock must be held.
-func (ws *Workers) breaks(format string, args ...any) {
+// violate notes a broken rule. The lock must be held.
+func (ws *Workers) violate(format string, args ...any) {
 	at := time.Since(ws.started).Round(time.Millisecond)
-	ws.Broken = append(ws.Broken, fmt.Sprintf("%v: ", at)+fmt.Sprintf(format, args...))
+	ws.Violations = append(ws.Violations, fmt.Sprintf("%v: ", at)+fmt.Sprintf(format, args...))
 }
 
-// check looks at a start that a worker is about to carry out. The lock must be held.
-func (ws *Workers) check(w *Worker, s assignment.Start) {
-	broken := len(ws.Broken)
+// checkStart looks at a start that a worker is about to carry out. The lock must be held.
+func (ws *Workers) checkStart(w *Worker, s assignment.Start) {
+	broken := len(ws.Violations)
 	ws.checkRules(w, s)
-	if w.stray && len(ws.Broken) > broken {
-		ws.Broken = ws.Broken[:broken]
+	if w.stray && len(ws.Violations) > broken {
+		ws.Violations = ws.Violations[:broken]
 		ws.Strays++
 	}
 }
@@ -30,33 +30,33 @@
 	step := j.Steps[s.Task.Step]
 	for _, other := range ws.workers {
 		if r := other.runs[s.Task]; r != nil && other.up && other != w {
-			ws.breaks("TWICE: %v run %d starts on %s while run %d is on %s", s.Task, s.Run, w.name, r.id.Run, other.name)
+			ws.violate("TWICE: %v run %d starts on %s while run %d is on %s", s.Task, s.Run, w.name, r.id.Run, other.name)
 		}
 	}
 	if ws.acked[s.Task] && !step.LongRunning {
-		ws.breaks("TWICE: %v run %d starts on %s after its end was taken note of", s.Task, s.Run, w.name)
+		ws.violate("TWICE: %v run %d starts on %s after its end was taken note of", s.Task, s.Run, w.name)
 	}
 	for _, after := range step.DependsOn {
 		for i := range j.Steps[after].Tasks {
 			if !ws.done[job.TaskName{Job: j.ID, Round: s.Task.Round, Step: after, Index: i}] {
-				ws.breaks("ORDER: %v starts before step %d is done", s.Task, after)
+				ws.violate("ORDER: %v starts before step %d is done", s.Task, after)
 			}
 		}
 	}
-	if step.RequiredLabel != "" && !slices.Contains(w.life.Labels, step.RequiredLabel) {
-		ws.breaks("ROUTE: %v starts on %s, which has not the label %q", s.Task, w.name, step.RequiredLabel)
+	if step.RequiredLabel != "" && !slices.Contains(w.state.Labels, step.RequiredLabel) {
+		ws.violate("ROUTE: %v starts on %s, which has not the label %q", s.Task, w.name, step.RequiredLabel)
 	}
-	if j.Service != w.life.Service {
-		ws.breaks("ROUTE: %v starts on %s, which serves %q", s.Task, w.name, w.life.Service)
+	if j.Service != w.state.Service {
+		ws.violate("ROUTE: %v starts on %s, which serves %q", s.Task, w.name, w.state.Service)
 	}
 	ws.checkBound(w, s, step)
 	ws.checkCordon(w, s)
 	ws.checkCrashes(w, s)
 	if j.MaxAttempts > 0 && len(ws.failures[s.Task]) >= j.MaxAttempts && !step.LongRunning {
-		ws.breaks("BUDGET: %v run %d starts after %d failures", s.Task, s.Run, len(ws.failures[s.Task]))
+		ws.violate("BUDGET: %v run %d starts after %d failures", s.Task, s.Run, len(ws.failures[s.Task]))
 	}
 	if s.Spec != j.Spec {
-		ws.breaks("UNASKED: %v starts with the spec %q", s.Task, s.Spec)
+		ws.violate("UNASKED: %v starts with the spec %q", s.Task, s.Spec)
 	}
 }
 
@@ -71,7 +71,7 @@
 		}
 	}
 	if there > step.MaxPerWorker {
-		ws.breaks("ROUTE: %v is the %d. of its step on %s", s.Task, there, w.name)
+		ws.violate("ROUTE: %v is the %d. of its step on %s", s.Task, there, w.name)
 	}
 }
 
@@ -94,21 +94,21 @@
 	delete(ws.cordoned, zone)
 }
 
-// HoldUp notes that orders may arrive late for a while, because their sender or the way here stands still.
-func (w *Worker) HoldUp(length time.Duration) {
+// ExpectDelays notes that orders may arrive late for a while, because their sender or the way here stands still.
+func (w *Worker) ExpectDelays(length time.Duration) {
 	w.all.mu.Lock()
 	defer w.all.mu.Unlock()
-	if until := time.Now().Add(length); until.After(w.heldUp) {
-		w.heldUp = until
+	if until := time.Now().Add(length); until.After(w.delaysUntil) {
+		w.delaysUntil = until
 	}
 }
 
 // checkCordon looks at a start in a zone that may be cordoned. An order that arrives late, or that the worker carries out late, is nobody's
 // fault.
 func (ws *Workers) checkCordon(w *Worker, s assignment.Start) {
-	at, ok := ws.cordoned[w.life.Zone]
-	if since := time.Since(at); ok && since > CordonBound && !w.late && time.Now().After(w.heldUp) {
-		ws.breaks("EVAC: %v run %d starts on %s %v after its zone was cordoned", s.Task, s.Run, w.name, since)
+	at, ok := ws.cordoned[w.state.Zone]
+	if since := time.Since(at); ok && since > CordonBound && !w.late && time.Now().After(w.delaysUntil) {
+		ws.violate("EVAC: %v run %d starts on %s %v after its zone was cordoned", s.Task, s.Run, w.name, since)
 	}
 }
 
@@ -129,7 +129,7 @@
 func (ws *Workers) Report() []string {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
-	return slices.Clone(ws.Broken)
+	return slices.Clone(ws.Violations)
 }
 
 // AllDone reports whether each task of a job has ended done at a worker.
@@ -180,7 +180,7 @@
 	defer ws.mu.Unlock()
 	n := 0
 	for _, w := range ws.workers {
-		if w.up && w.life.Zone == zone {
+		if w.up && w.state.Zone == zone {
 			n += len(w.runs)
 		}
 	}
@@ -203,5 +203,5 @@
 func (ws *Workers) EverRan(id job.ID) bool {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
-	return ws.begun[id]
+	return ws.everStarted[id]
 }
--- a/jobs/jobtest/system_test.go
+++ b/jobs/jobtest/system_test.go
@@ -115,7 +115,7 @@
 		s.logger = *sh.logger
 	}
 	s.workers.FailureShare = 0.03
-	s.workers.SameID, s.workers.Unborn = sh.sameID, sh.unborn
+	s.workers.SameIDShare, s.workers.NoStartTimes = sh.sameID, sh.unborn
 	s.readers = cmp.Or(sh.readers, entryCount)
 	record := []topic.Record{{Key: "config", Value: []byte("1")}}
 	if _, err := s.config.Client("operator").Append(ctx, record, topic.Condition{}); err != nil {
--- a/jobs/runner/runner_test.go
+++ b/jobs/runner/runner_test.go
@@ -428,13 +428,13 @@
 		}
 		a.leader.set(func(answer *assignment.Answer) { answer.Start, answer.Roles = starts, roles })
 		time.Sleep(10 * time.Second)
-		if got := a.worker.Paces(); len(got) != 3 || got[0] >= 100 || got[0] != got[2] {
+		if got := a.worker.BestEffortSpeeds(); len(got) != 3 || got[0] >= 100 || got[0] != got[2] {
 			t.Errorf("what fills works at %v, want three equal paces below 100", got)
 		}
 		time.Sleep(time.Minute)
 		a.leader.set(func(answer *assignment.Answer) { answer.Start, answer.Stop = nil, []assignment.RunID{serving} })
 		time.Sleep(5 * time.Second)
-		for _, pace := range a.worker.Paces() {
+		for _, pace := range a.worker.BestEffortSpeeds() {
 			if pace != 100 {
 				t.Errorf("alone, what fills works at %d %%", pace)
 			}
--- a/jobs/runner/starts_test.go
+++ b/jobs/runner/starts_test.go
@@ -86,7 +86,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		workers := jobtest.NewWorkers(1)
-		workers.SameID = 1
+		workers.SameIDShare = 1
 		workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{{Tasks: 9, Resources: job.Resources{Accelerators: 1}}}})
 		a := &restarting{agent: &agent{workers: workers, leader: &leader{
 			answer: assignment.Answer{Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds(), ZoneOpen: true}, heard: true,
