--- a/cmd/yarrowgraded/jobentry.go
+++ b/cmd/yarrowgraded/jobentry.go
@@ -230,7 +230,7 @@
 	internal.Handler(http.MethodGet, catalog.NewsPath, e.catalog.RelayServer())
 	internal.Handler(http.MethodGet, "/metrics", e.telemetry.MetricsHandler)
 	return serveAll(e.telemetry.Log, map[string]http.Handler{
-		e.settings.CallerAddress:               closeWhenDraining(platform.NewCallers(e.admission), e.draining),
+		e.settings.CallerAddress:              closeWhenDraining(platform.NewCallers(e.admission), e.draining),
 		e.settings.ReadyAddress:               platform.Ready(e.ready),
 		e.settings.InnerAddress(internalPort): internal,
 	})
