--- a/jobs/incarnation/incarnation.go
+++ b/jobs/incarnation/incarnation.go
@@ -1,14 +1,16 @@
-// Package incarnation names the incarnations of workers: single starts of a process.
+// Package incarnation names single starts of workers.
 //
-// A worker may crash and start again under the id that it had. It then runs nothing, knows nothing of before, and counts its ends, its
-// reports and its clock anew. So an id alone tells nothing of what a worker knows: a number up to which its ends were read, a lease by its clock
-// or a run that was placed there holds for one start of it only. Whatever is kept about a worker is kept by ID, which names one start.
+// A worker may crash and start again under the same id. It then runs nothing, knows nothing of before,
+// and counts its ends, its reports and its clock from the beginning. So what is known of a worker holds
+// for one start only: the number of the newest end that was read, a lease by its clock, or a run that was
+// placed there. Whatever is kept about a worker is kept by ID, which names one start.
 //
-// Two IDs are compared for equality, never for order: the time of day may have been set back between two starts.
+// IDs are compared for equality, never for order: the time of day may have been set back between starts.
+// The package owns the text form of an ID, which is stored, and relies on nothing.
 //
 // # Usage
 //
-//	id := incarnation.ID{Instance: "i-7f3a91c2", Born: 1764722812345}
+//	id := incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722812345}
 //	id.String() // "i-7f3a91c2@1764722812345", also its form in JSON
 package incarnation
 
@@ -18,19 +20,19 @@
 	"time"
 )
 
-// ID names one life of a worker. The zero value names none.
+// ID names one start of a worker. The zero value names none.
 type ID struct {
 	// Instance is the id that the worker has on the platform. Several starts may share it.
 	Instance string
-	// StartMillis is when the worker started, in milliseconds since 1970 by its own time of day; zero for a worker that does not say it,
-	// which then has a new instance at each start.
+	// StartMillis is when the worker started, in milliseconds since 1970 by its own time of day. It is
+	// zero for a worker that doesn't report it; such a worker has a new instance at each start.
 	StartMillis int64
 }
 
-// separator stands between the instance and the time of its start.
+// separator stands between the instance and the time of the start.
 const separator = "@"
 
-// String is the text form: the instance, and the time of its start if that is known.
+// String is the text form: the instance, and the time of the start if it is known.
 func (id ID) String() string {
 	if id.StartMillis == 0 {
 		return id.Instance
@@ -38,17 +40,17 @@
 	return id.Instance + separator + strconv.FormatInt(id.StartMillis, 10)
 }
 
-// Parse is the reverse of String. A text without a time, as older versions stored it, is the instance as a whole.
+// Parse is the inverse of String. A text without a time, as older versions stored it, is all instance.
 func Parse(text string) ID {
 	if at := strings.LastIndex(text, separator); at >= 0 {
-		if born, err := strconv.ParseInt(text[at+len(separator):], 10, 64); err == nil && born > 0 {
-			return ID{Instance: text[:at], StartMillis: born}
+		if millis, err := strconv.ParseInt(text[at+len(separator):], 10, 64); err == nil && millis > 0 {
+			return ID{Instance: text[:at], StartMillis: millis}
 		}
 	}
 	return ID{Instance: text}
 }
 
-// IsZero reports whether the ID names no life.
+// IsZero reports whether the ID names no start.
 func (id ID) IsZero() bool { return id == ID{} }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -60,7 +62,7 @@
 	return nil
 }
 
-// StartedAt is when the worker started, by its own time of day; zero if it does not say it.
+// StartedAt is when the worker started, by its own time of day; zero if it is not known.
 func (id ID) StartedAt() time.Time {
 	if id.StartMillis == 0 {
 		return time.Time{}
@@ -68,6 +70,6 @@
 	return time.UnixMilli(id.StartMillis)
 }
 
-// SharesInstance reports whether two lives, which may be one, have the id on the platform in common. A call that names the instance reaches
-// either.
+// SharesInstance reports whether two IDs have the same instance: a call that names the instance reaches
+// either start.
 func (id ID) SharesInstance(other ID) bool { return id.Instance == other.Instance }
