--- a/jobs/dispatch/effects.go
+++ b/jobs/dispatch/effects.go
@@ -40,8 +40,8 @@
 func (p *plan) logStart(w waitingUnit, r *running) {
 	p.c.logger.Info().Str("step", "dispatch.start").Stringer("task", r.name).Int("run", r.run).
 		Str("worker", r.node.name).Stringer("life", r.node.state.ID).Int("priority", w.tracked.job.Priority).
-		Bool("guaranteed", w.guaranteed).Dur("estimate_ms", w.step.Estimate).Dur("forecast_ms", w.duration).
-		Time("due", w.due).Msg("run is placed")
+		Bool("guaranteed", w.guaranteed).Dur("estimate_ms", w.step.Estimate).
+		Dur("forecast_ms", w.duration).Time("due", w.due).Msg("run is placed")
 }
 
 // stop tells a run to stop.
@@ -55,7 +55,8 @@
 	p.c.desired.markJob(r.tracked)
 	p.c.metrics.stops.Inc(why.label)
 	p.c.logger.Info().Str("step", "dispatch.stop").Stringer("task", r.name).Int("run", r.run).
-		Str("worker", r.node.name).Float64("lost_work_core_s", r.lostWork).Str("why", why.text).
+		Str("worker", r.node.name).
+		Float64("lost_work_core_s", r.lostWork).Str("why", why.text).
 		Msg("run is to stop")
 }
 
--- a/jobs/dispatch/ends.go
+++ b/jobs/dispatch/ends.go
@@ -157,8 +157,9 @@
 	if t.progress.Phase == before || !t.progress.Phase.Final() {
 		return
 	}
-	c.logger.Info().Str("step", "dispatch.end").Str("job", string(t.job.ID)).
-		Stringer("phase", t.progress.Phase).Time("due", c.objective(t)).Msg("job ended")
+	c.logger.Info().Str("step", "dispatch.end").
+		Str("job", string(t.job.ID)).Stringer("phase", t.progress.Phase).Time("due", c.objective(t)).
+		Msg("job ended")
 	if t.progress.Phase == job.Failed {
 		c.reportGivenUp(t)
 	}
