--- a/cmd/yarrowgraded/jobentry.go
+++ b/cmd/yarrowgraded/jobentry.go
@@ -109,7 +109,7 @@
 	suspension := suspend.SystemClock()
 	inLine := func() bool { return e.directory.IsStandby(s.Node) }
 	e.replica = jobstore.NewReplica(jobs, e.directory.Count, t.Log).WithSuspension(suspension).WithStandby(inLine)
-	e.catalog = catalog.NewFollower(topic.NewRelayClient(metered(platform.OperatorTopic), catalog.NewsPath, client, e.sources, t.Log), platform.OperatorFormat(s.ZoneNames()), t.Log).WithSuspension(suspension).
+	e.catalog = catalog.NewFollower(topic.NewRelayClient(metered(platform.OperatorTopic), catalog.RelayPath, client, e.sources, t.Log), platform.OperatorFormat(s.ZoneNames()), t.Log).WithSuspension(suspension).
 		WithReaders(e.directory.Count, e.replica.Leading)
 	// Reads are frequent: they know that the log is slow before the first append does.
 	latency := e.replica.Latency()
@@ -184,7 +184,7 @@
 	inner.HandlerFunc(http.MethodPost, assignment.HandoverPath, e.candidate.ServeHandover)
 	admission.NewOperators(e.replica, e.catalog).Register(inner)
 	inner.HandlerFunc(http.MethodGet, leader.WorkersPath, e.candidate.ServeWorkers)
-	inner.Handler(http.MethodGet, catalog.NewsPath, e.catalog.RelayServer())
+	inner.Handler(http.MethodGet, catalog.RelayPath, e.catalog.RelayServer())
 	inner.Handler(http.MethodGet, "/metrics", e.telemetry.MetricsHandler)
 	handlers := map[string]http.Handler{
 		e.settings.Listen.Front:             closeWhenLeaving(platform.NewCallers(e.admission), e.leaving),
--- /dev/null
+++ b/jobs/catalog/apply.go
@@ -0,0 +1,114 @@
+package catalog
+
+import (
+	"slices"
+	"time"
+
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
+)
+
+// apply puts records in force, together with the proof that they are the newest.
+func (f *Follower) apply(u topic.Update) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	cordons := f.cordons
+	if u.Snapshot {
+		cordons = f.cordonsIn(u.Records)
+	}
+	for _, r := range u.Records {
+		if r.Key == f.format.ConfigKey && r.Value != nil {
+			f.applyConfig(r)
+		}
+		if zone, ok := f.format.zoneOf(r.Key); ok {
+			cordons = f.applyCordon(cordons, zone, r, u.Snapshot)
+		}
+	}
+	f.replaceCordons(cordons)
+	if !u.SyncedAt.IsZero() {
+		f.syncedAt = u.SyncedAt
+	}
+}
+
+// cordonsIn returns the cordons that have a record in a snapshot, which holds the newest record
+// of each key. The others were removed while this process read nothing. f.mu must be held.
+func (f *Follower) cordonsIn(snapshot []topic.Stored) Cordons {
+	kept := Cordons{}
+	for _, r := range snapshot {
+		if zone, ok := f.format.zoneOf(r.Key); ok && f.cordons.Has(zone) {
+			kept = kept.With(f.cordons[zone])
+		}
+	}
+	return kept
+}
+
+// applyConfig puts a configuration in force if it is newer than the current one. f.mu must be
+// held.
+func (f *Follower) applyConfig(r topic.Stored) {
+	c, err := f.format.Config(r.Value)
+	if err != nil {
+		f.logger.Error().Str("step", "catalog.decode").Err(err).Int64("offset", r.Offset).
+			Msg("configuration is unreadable")
+		return
+	}
+	if f.current != nil && c.Version <= f.current.Version {
+		return
+	}
+	f.current = c
+	f.notify()
+	f.logger.Info().Str("step", "catalog.put").Int64("version", c.Version).Int("queues", len(c.Queues)).
+		Msg("configuration in force")
+}
+
+// applyCordon returns the cordons after a record. A malformed record changes nothing, except in a
+// snapshot: there the records before it are missing, so the zone counts as cordoned to be safe.
+func (f *Follower) applyCordon(cordons Cordons, zone string, r topic.Stored, snapshot bool) Cordons {
+	if r.Value == nil {
+		return cordons.Without(zone)
+	}
+	if err := f.format.CheckCordon(r.Value); err != nil {
+		f.logger.Error().Str("step", "catalog.cordon").Str("zone", zone).Err(err).Int64("offset", r.Offset).
+			Msg("cordon is unreadable")
+		if !snapshot {
+			return cordons
+		}
+	}
+	return cordons.With(Cordon{Zone: zone, Revision: r.Offset, Since: time.Now()})
+}
+
+// replaceCordons puts cordons in force, and logs what has changed. f.mu must be held.
+func (f *Follower) replaceCordons(cordons Cordons) {
+	before := f.cordons
+	f.cordons = cordons
+	changed := false
+	for zone, c := range cordons {
+		if !before.Has(zone) {
+			changed = true
+			f.logCordoned(c)
+		}
+	}
+	for zone, c := range before {
+		if !cordons.Has(zone) {
+			changed = true
+			f.logger.Info().Str("step", "catalog.cordon").Str("zone", zone).Dur("cordoned_ms", time.Since(c.Since)).
+				Msg("zone is open again")
+		}
+	}
+	if changed {
+		f.notify()
+	}
+}
+
+func (f *Follower) logCordoned(c Cordon) {
+	f.logger.Info().Str("step", "catalog.cordon").Str("zone", c.Zone).Int64("revision", c.Revision).
+		Msg("zone is cordoned")
+	if len(f.format.Zones) > 0 && !slices.Contains(f.format.Zones, c.Zone) {
+		f.logger.Warn().Str("step", "catalog.cordon").Str("zone", c.Zone).Strs("zones", f.format.Zones).
+			Msg("cordoned zone does not exist")
+	}
+}
+
+// notify closes the channel of Changed. f.mu must be held.
+func (f *Follower) notify() {
+	close(f.changed)
+	f.changed = make(chan struct{})
+}
--- a/jobs/catalog/catalog.go
+++ b/jobs/catalog/catalog.go
@@ -1,14 +1,17 @@
-// Package catalog holds what operators have put in force for jobs: queues, services and teams, the availability zones that
-// are cordoned, and how old the proof is that nothing newer is in force.
+// Package catalog holds what operators have configured for jobs: queues, services, teams and
+// cordoned availability zones.
 //
-// A Catalog is an immutable value. A Follower keeps the newest one and never goes back to an older version.
+// It owns the rules by which operators' records take effect. A Catalog is an immutable value, and
+// so are Cordons. A Follower reads the records, keeps the newest Catalog and never goes back to
+// an older version; it also says when it last knew that there is nothing newer. It relies on
+// package topic for reading, and on a Format of package platform for what the records say.
 //
 // # Usage
 //
-//	f := catalog.NewFollower(topic, catalog.Format{ConfigKey: "config", Config: decode}, logger)
+//	f := catalog.NewFollower(log, platform.OperatorFormat(zones), logger)
 //	go f.Run(ctx)
-//	c, proof := f.Current()
-//	cordons, proof := f.Cordons()
+//	c, syncedAt := f.Current()
+//	cordons, syncedAt := f.Cordons()
 //	queue, ok := c.Route("nony24.example", "/lohu930/5c0e7a21d94b36f8")
 package catalog
 
@@ -17,28 +20,30 @@
 	"time"
 )
 
-// Queue is a route by which callers hand in jobs.
+// Queue is a route by which callers submit jobs.
 type Queue struct {
-	Name     string
-	Host     string
-	Prefix   string
-	Service  string
+	Name string
+	// Host and Prefix are those of the URLs that lead to the queue.
+	Host    string
+	Prefix  string
+	Service string
+	// Priority is 0 for the most urgent jobs.
 	Priority int
 	// MaxAttempts bounds the failed runs of a task.
 	MaxAttempts int
-	// ObjectiveFactor and Aim say when a job of the queue should be completed; see job.Job.
+	// ObjectiveFactor and ObjectiveSlack say when a job should be completed; see job.Job.
 	ObjectiveFactor float64
 	ObjectiveSlack  time.Duration
 	// Public queues need no key.
 	Public bool
-	// NeedsPermit queues need a ticket of the advice service for each start.
+	// NeedsPermit says that each start needs a permit.
 	NeedsPermit bool
 }
 
 // Service is a pool of workers that run the tasks of queues.
 type Service struct {
 	Name string
-	// ChecksAdmission workers refuse what does not fit.
+	// ChecksAdmission says that the workers reject runs that exceed their capacity.
 	ChecksAdmission bool
 	// PoweredOff says that the pool's machines are off until they are moved.
 	PoweredOff bool
@@ -47,24 +52,26 @@
 // Team is a tenant of the system.
 type Team struct {
 	Name string
+	// Keys are the keys with which the team's callers submit jobs.
 	Keys []string
-	// GuaranteedAccelerators is how many accelerators are the team's own for jobs of priority 0.
+	// GuaranteedAccelerators is how many accelerators are reserved for the team's jobs of
+	// priority 0.
 	GuaranteedAccelerators int
 }
 
-// Catalog is one version of all that.
+// Catalog is one version of the configuration.
 type Catalog struct {
 	Version  int64
 	Queues   []Queue
 	Services []Service
 	Teams    []Team
-	// BodyBytes bounds the body of a call.
+	// BodyBytes is the largest size of a request's body.
 	BodyBytes int64
 
 	teamOfKey map[string]string
 }
 
-// WithIndex returns the catalog ready for look-ups by key.
+// WithIndex returns the catalog with its keys indexed, as TeamOf needs them.
 func (c Catalog) WithIndex() *Catalog {
 	c.teamOfKey = make(map[string]string)
 	for _, t := range c.Teams {
@@ -75,7 +82,7 @@
 	return &c
 }
 
-// Route returns the queue of a host with the longest prefix that the path starts with.
+// Route returns the queue of a host with the longest prefix of the path.
 func (c *Catalog) Route(host, path string) (Queue, bool) {
 	var best Queue
 	found := false
@@ -93,7 +100,8 @@
 	return team, ok
 }
 
-// GuaranteedAccelerators returns the accelerators that are a team's own.
+// GuaranteedAccelerators returns how many accelerators are reserved for a team; zero for an
+// unknown one.
 func (c *Catalog) GuaranteedAccelerators(team string) int {
 	for _, t := range c.Teams {
 		if t.Name == team {
--- a/jobs/catalog/cordon.go
+++ b/jobs/catalog/cordon.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Cordon is an availability zone that operators have emptied: nothing more starts on its workers until they take the cordon away.
+// Cordon closes an availability zone: nothing starts on its workers until operators remove it.
 type Cordon struct {
 	Zone string `json:"zone"`
-	// Revision is the place of its record among operators' records; Since is when this process read the first of them.
-	Revision int64     `json:"revision"`
-	Since    time.Time `json:"since"`
+	// Revision is the offset of the newest record that sets the cordon.
+	Revision int64 `json:"revision"`
+	// Since is when this process first read of the cordon.
+	Since time.Time `json:"since"`
 }
 
-// Cordons are the cordoned availability zones by their names. A value never changes.
+// Cordons are the cordoned zones by their names. A value never changes.
 type Cordons map[string]Cordon
 
 // Has reports whether a zone is cordoned.
@@ -22,7 +23,7 @@
 	return ok
 }
 
-// With returns the cordons with one more, or with a newer record of one: its beginning stays.
+// With returns the cordons with one added, or with its newer record, which leaves Since as it is.
 func (c Cordons) With(added Cordon) Cordons {
 	if old, ok := c[added.Zone]; ok {
 		added.Since = old.Since
--- a/jobs/catalog/format.go
+++ b/jobs/catalog/format.go
@@ -1,19 +1,20 @@
 package catalog
 
-// Format reads operators' records.
+// Format says how operators' records are read.
 type Format struct {
 	// ConfigKey is the key of the configuration, and Config decodes its value.
 	ConfigKey string
 	Config    func(value []byte) (*Catalog, error)
-	// CordonedZone returns the availability zone that records with a key cordon; false if they are about something else.
+	// CordonedZone returns the zone that records of a key cordon; false if they don't cordon any.
 	CordonedZone func(key string) (zone string, ok bool)
-	// CheckCordon says what is wrong with the value of such a record.
+	// CheckCordon returns an error if the value of such a record is malformed.
 	CheckCordon func(value []byte) error
-	// Zones are the availability zones that there are. A cordon of another one is kept, and logged as a likely slip.
+	// Zones are the existing zones. A cordon of another one takes effect and is logged: it may be
+	// a typing error.
 	Zones []string
 }
 
-// zoneOf returns the zone that a record is about; false if it is about something else.
+// zoneOf returns the zone that records of a key cordon; false if they don't cordon any.
 func (f Format) zoneOf(key string) (string, bool) {
 	if f.CordonedZone == nil {
 		return "", false
--- a/jobs/catalog/golden_test.go
+++ b/jobs/catalog/golden_test.go
@@ -116,7 +116,7 @@
 		}
 		goldentest.Bytes(t, "log.txt", logFields(&out))
 		w := httptest.NewRecorder()
-		f.RelayServer().ServeHTTP(w, httptest.NewRequest("GET", catalog.NewsPath+"?from=1", nil))
+		f.RelayServer().ServeHTTP(w, httptest.NewRequest("GET", catalog.RelayPath+"?from=1", nil))
 		goldentest.Bytes(t, "news.json", regexp.MustCompile(`"(age|held)_ms":\d+`).ReplaceAll(w.Body.Bytes(), []byte(`"${1}_ms":1`)))
 	})
 }
@@ -137,5 +137,5 @@
 
 // TestGoldenPaths holds the path on which records are handed on.
 func TestGoldenPaths(t *testing.T) {
-	goldentest.Bytes(t, "paths.txt", []byte(strings.Join([]string{catalog.NewsPath}, "\n")+"\n"))
+	goldentest.Bytes(t, "paths.txt", []byte(strings.Join([]string{catalog.RelayPath}, "\n")+"\n"))
 }
--- a/jobs/catalog/relay_test.go
+++ b/jobs/catalog/relay_test.go
@@ -45,12 +45,12 @@
 			mux := http.NewServeMux()
 			reader := follow(r.log.Client(name))
 			r.readers = append(r.readers, reader)
-			mux.Handle(catalog.NewsPath, reader.RelayServer())
+			mux.Handle(catalog.RelayPath, reader.RelayServer())
 			r.network.Attach("http://"+name, mux)
 		}
 		for i := range n {
 			client := r.network.Client(fmt.Sprintf("http://told-%d", i))
-			r.told = append(r.told, follow(topic.NewRelayClient(r.reads, catalog.NewsPath, client, func() []string { return r.sources }, zerolog.Nop())))
+			r.told = append(r.told, follow(topic.NewRelayClient(r.reads, catalog.RelayPath, client, func() []string { return r.sources }, zerolog.Nop())))
 		}
 		time.Sleep(3 * time.Second)
 		f(t, r)
