--- a/jobs/catalog/catalog_test.go
+++ b/jobs/catalog/catalog_test.go
@@ -27,15 +27,16 @@
 	return c.WithIndex(), nil
 }
 
-// TestSuspendedFollower: what was proved before the machine was suspended is as old as it really is, also what a read proves that was under way
-// meanwhile: keys may have been taken away.
+// TestSuspendedFollower: a proof from before a suspension of the machine is as old as it really
+// is, and so is that of a read that was under way meanwhile: keys may have been removed.
 func TestSuspendedFollower(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		log := jobtest.NewLog(1)
 		var gap atomic.Int64
 		format := catalog.Format{ConfigKey: "config", Config: decode}
-		f := catalog.NewFollower(log.Client("e"), format, zerolog.Nop()).WithSuspension(func() time.Duration { return time.Duration(gap.Load()) })
+		suspended := func() time.Duration { return time.Duration(gap.Load()) }
+		f := catalog.NewFollower(log.Client("e"), format, zerolog.Nop()).WithSuspension(suspended)
 		go f.Run(ctx)
 		age := func() time.Duration {
 			_, proof := f.Current()
@@ -63,7 +64,8 @@
 	})
 }
 
-// TestFollower: a version is in force soon, none reverts, and the proof ages while the log is away.
+// TestFollower: a version is in force soon, none reverts, and the proof ages while the log is
+// away.
 func TestFollower(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -77,7 +79,8 @@
 			value string
 			want  int64
 		}{{"3", 3}, {"8", 8}, {"5", 8}, {"broken", 8}, {"9", 9}} {
-			if _, err := log.Client("o").Append(ctx, []topic.Record{{Key: "config", Value: []byte(step.value)}, {Key: "other", Value: []byte("99")}}, topic.Condition{}); err != nil {
+			records := []topic.Record{{Key: "config", Value: []byte(step.value)}, {Key: "other", Value: []byte("99")}}
+			if _, err := log.Client("o").Append(ctx, records, topic.Condition{}); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -112,23 +115,26 @@
 	},
 }
 
-// TestCordons: which zones are cordoned follows from operators' records in their order; one that is unreadable changes nothing.
+// TestCordons: which zones are cordoned follows from operators' records in their order; an
+// unreadable one changes nothing.
 func TestCordons(t *testing.T) {
 	type record struct{ zone, value string }
+	a := []string{"a"}
 	tests := []struct {
 		name    string
 		records []record
-		// want is what is cordoned for a reader that sees each record, newest for one that sees only the newest of each key.
+		// want is what is cordoned for a reader that sees each record, newest for one that sees
+		// only the newest of each key.
 		want, newest []string
 		logged       string
 	}{
 		{"none", nil, nil, nil, ""},
 		{"one", []record{{"a", "yes"}}, []string{"a"}, []string{"a"}, "zone is cordoned"},
 		{"two", []record{{"b", "yes"}, {"a", "yes"}}, []string{"a", "b"}, []string{"a", "b"}, "zone is cordoned"},
-		{"taken away", []record{{"a", "yes"}, {"a", ""}}, nil, nil, "zone is open again"},
-		{"taken away and put back", []record{{"a", "yes"}, {"a", ""}, {"a", "yes"}}, []string{"a"}, []string{"a"}, "zone is open again"},
+		{"removed", []record{{"a", "yes"}, {"a", ""}}, nil, nil, "zone is open again"},
+		{"removed and set again", []record{{"a", "yes"}, {"a", ""}, {"a", "yes"}}, a, a, "zone is open again"},
 		{"unreadable", []record{{"a", "no"}}, nil, []string{"a"}, "cordon is unreadable"},
-		{"unreadable after a readable one", []record{{"a", "yes"}, {"a", "no"}}, []string{"a"}, []string{"a"}, "cordon is unreadable"},
+		{"unreadable after a readable one", []record{{"a", "yes"}, {"a", "no"}}, a, a, "cordon is unreadable"},
 		{"a zone that does not exist", []record{{"c", "yes"}}, []string{"c"}, []string{"c"}, "cordoned zone does not exist"},
 	}
 	for _, test := range tests {
@@ -162,7 +168,8 @@
 					if time.Since(proof) > time.Second {
 						t.Errorf("the proof is %v old", time.Since(proof))
 					}
-					// Of records that were replaced before the first read only the newest is there.
+					// Of records that were replaced before the first read only the newest is
+					// there.
 					if !atOnce && !strings.Contains(out.String(), test.logged) {
 						t.Errorf("the log does not say %q:\n%s", test.logged, out.String())
 					}
@@ -174,8 +181,8 @@
 	}
 }
 
-// TestCordonsAfterLostHistory: a reader that was away while history was dropped notices the cordon that went, and keeps the one that stays
-// with its beginning.
+// TestCordonsAfterLostHistory: a reader that was cut off while history was dropped notices the
+// cordon that went, and keeps Since of the one that stays.
 func TestCordonsAfterLostHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -217,17 +224,23 @@
 	}
 }
 
-// TestManyQueues: with 1,400 routes more, each still leads to its own queue, the longest prefix first.
+// TestManyQueues: with 1,400 routes more, each still leads to its own queue, the longest prefix
+// first.
 func TestManyQueues(t *testing.T) {
 	const routes = 1400
 	c := catalog.Catalog{Version: 1}
 	for i := range routes {
-		c.Queues = append(c.Queues, catalog.Queue{Name: fmt.Sprint(i), Host: fmt.Sprintf("h%d.example", i%7), Prefix: fmt.Sprintf("/p%d/", i)})
+		c.Queues = append(c.Queues, catalog.Queue{
+			Name:   fmt.Sprint(i),
+			Host:   fmt.Sprintf("h%d.example", i%7),
+			Prefix: fmt.Sprintf("/p%d/", i),
+		})
 	}
 	c.Queues = append(c.Queues, catalog.Queue{Name: "longer", Host: "h3.example", Prefix: "/p3/x/"})
 	indexed := c.WithIndex()
 	for i := range routes {
-		if q, ok := indexed.Route(fmt.Sprintf("h%d.example", i%7), fmt.Sprintf("/p%d/0123456789abcdef", i)); !ok || q.Name != fmt.Sprint(i) {
+		host, path := fmt.Sprintf("h%d.example", i%7), fmt.Sprintf("/p%d/0123456789abcdef", i)
+		if q, ok := indexed.Route(host, path); !ok || q.Name != fmt.Sprint(i) {
 			t.Fatalf("route %d leads to %q, %v", i, q.Name, ok)
 		}
 	}
--- a/jobs/catalog/golden_test.go
+++ b/jobs/catalog/golden_test.go
@@ -22,13 +22,15 @@
 
 // TestGoldenCordon holds what operators read of a cordon.
 func TestGoldenCordon(t *testing.T) {
-	goldentest.JSON(t, "cordon", catalog.Cordon{Zone: "zone-1", Revision: 7, Since: time.Date(2026, 3, 4, 5, 6, 7, 8, time.UTC)})
+	since := time.Date(2026, 3, 4, 5, 6, 7, 8, time.UTC)
+	goldentest.JSON(t, "cordon", catalog.Cordon{Zone: "zone-1", Revision: 7, Since: since})
 }
 
-// goldenConfig is the configuration with each field set, and with fields and words that nothing reads.
+// goldenConfig is the configuration with each field set, and with fields and words that nothing
+// reads.
 const goldenConfig = `{"version":41,"comment":"kept","routes":[` +
-	`{"name":"urgent","host":"nony24.example","pathPrefix":"/lohu930/","service":"roster","priority":2,"maxAttempts":4,"stretch":1.5,` +
-	`"targetLatencyMs":1250.5,"public":true,"advice":{"kind":"tickets"}},` +
+	`{"name":"urgent","host":"nony24.example","pathPrefix":"/lohu930/","service":"roster","priority":2,` +
+	`"maxAttempts":4,"stretch":1.5,"targetLatencyMs":1250.5,"public":true,"advice":{"kind":"tickets"}},` +
 	`{"name":"plain","host":"nony24.example","pathPrefix":"/","service":"roster","advice":null}],` +
 	`"services":[{"name":"roster","admissionCheck":true,"headroom":true},{"name":"other"}],` +
 	`"tenants":[{"name":"sure","apiKeys":["key-1","key-2"],"guaranteed":{"gpu":16}},{"name":"rest","apiKeys":["key-3"]}],` +
@@ -91,7 +93,8 @@
 	}
 }
 
-// TestGoldenRecords holds operators' records, what follows from them, the log lines about it, and the message with which they are handed on.
+// TestGoldenRecords holds operators' records, what follows from them, the log lines about it, and
+// the message with which they are handed on.
 func TestGoldenRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -117,11 +120,13 @@
 		goldentest.Bytes(t, "log.txt", logFields(&out))
 		w := httptest.NewRecorder()
 		f.RelayServer().ServeHTTP(w, httptest.NewRequest("GET", catalog.RelayPath+"?from=1", nil))
-		goldentest.Bytes(t, "news.json", regexp.MustCompile(`"(age|held)_ms":\d+`).ReplaceAll(w.Body.Bytes(), []byte(`"${1}_ms":1`)))
+		news := regexp.MustCompile(`"(age|held)_ms":\d+`).ReplaceAll(w.Body.Bytes(), []byte(`"${1}_ms":1`))
+		goldentest.Bytes(t, "news.json", news)
 	})
 }
 
-// logFields are the fields of log lines. What a line and an error say in words is left out, and for how long a zone was cordoned.
+// logFields are the fields of log lines. What a line and an error say in words is left out, and
+// for how long a zone was cordoned.
 func logFields(log *bytes.Buffer) []byte {
 	words := regexp.MustCompile(`"(message|error)":"(?:[^"\\]|\\.)*"`).ReplaceAll(log.Bytes(), []byte(`"$1":""`))
 	return regexp.MustCompile(`"cordoned_ms":[0-9.]+`).ReplaceAll(words, []byte(`"cordoned_ms":1`))
--- a/jobs/catalog/readers_test.go
+++ b/jobs/catalog/readers_test.go
@@ -14,9 +14,10 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// TestReadersOfOperatorsRecords: each of 183 entries read the operators' records twice a second, a fourth of all calls to the store, though next to nothing comes
-// there. The more entries there are the longer each waits for news, which come as soon as before, and the proof stays young enough for
-// calls with keys to be served for 3 s of an outage.
+// TestReadersOfOperatorsRecords: each of 183 entries read the operators' records twice a second,
+// a fourth of all calls to the log, though they rarely change. The more entries there are the
+// longer each waits for new records, which come as soon as before, and the proof stays young
+// enough for requests with keys to be accepted in the first 3 s of an outage.
 func TestReadersOfOperatorsRecords(t *testing.T) {
 	const watched = 10 * time.Second
 	tests := []struct {
@@ -61,7 +62,7 @@
 				put(2)
 				time.Sleep(10 * time.Millisecond)
 				if c, _ := f.Current(); c.Version != 2 {
-					t.Error("a new configuration is not in force 10 ms after it was kept")
+					t.Error("a new configuration is not in force 10 ms after it was stored")
 				}
 			})
 		})
--- a/jobs/catalog/relay_test.go
+++ b/jobs/catalog/relay_test.go
@@ -16,28 +16,34 @@
 	"yarrowgrade.example/yarrowgrade/sessions/hosting/standin"
 )
 
-// relays are followers of which some read the log and the others are told by these.
+// relays are followers of which some read the log and the others ask these.
 type relays struct {
 	ctx     context.Context
 	log     *jobtest.Log
 	network *standin.Network
 	reads   *jobtest.CountedLog
-	told    []*catalog.Follower
+	relayed []*catalog.Follower
 	readers []*catalog.Follower
 	sources []string
 }
 
-// withRelays runs a test with two followers that read the log and n that are told.
+// withRelays runs a test with two followers that read the log and n that ask these.
 func withRelays(t *testing.T, n int, f func(t *testing.T, r *relays)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		r := &relays{ctx: ctx, log: jobtest.NewLog(1), network: standin.NewNetwork(), sources: []string{"source-0", "source-1"}}
+		r := &relays{
+			ctx:     ctx,
+			log:     jobtest.NewLog(1),
+			network: standin.NewNetwork(),
+			sources: []string{"source-0", "source-1"},
+		}
 		defer func() { r.network.Heal(); cancel(); time.Sleep(30 * time.Second) }()
 		r.put(t, 1)
-		r.reads = &jobtest.CountedLog{Log: r.log.Client("told")}
+		r.reads = &jobtest.CountedLog{Log: r.log.Client("relayed")}
 		format := catalog.Format{ConfigKey: "config", Config: decode}
 		follow := func(log topic.Log) *catalog.Follower {
-			fo := catalog.NewFollower(log, format, zerolog.Nop()).WithReaders(func() int { return n }, func() bool { return false })
+			fo := catalog.NewFollower(log, format, zerolog.Nop()).
+				WithReaders(func() int { return n }, func() bool { return false })
 			go fo.Run(ctx)
 			return fo
 		}
@@ -49,8 +55,9 @@
 			r.network.Attach("http://"+name, mux)
 		}
 		for i := range n {
-			client := r.network.Client(fmt.Sprintf("http://told-%d", i))
-			r.told = append(r.told, follow(topic.NewRelayClient(r.reads, catalog.RelayPath, client, func() []string { return r.sources }, zerolog.Nop())))
+			client := r.network.Client(fmt.Sprintf("http://relayed-%d", i))
+			sources := func() []string { return r.sources }
+			r.relayed = append(r.relayed, follow(topic.NewRelayClient(r.reads, catalog.RelayPath, client, sources, zerolog.Nop())))
 		}
 		time.Sleep(3 * time.Second)
 		f(t, r)
@@ -65,18 +72,19 @@
 	}
 }
 
-// oldest is the age of the oldest proof of those that are told.
+// oldest is the age of the oldest proof of those that ask.
 func (r *relays) oldest() time.Duration {
 	oldest := time.Duration(0)
-	for _, f := range r.told {
+	for _, f := range r.relayed {
 		_, proof := f.Current()
 		oldest = max(oldest, time.Since(proof))
 	}
 	return oldest
 }
 
-// TestNewsAreHandedOn: each of 183 entries read each configuration from the store, and twice a second whether there was one: 366 calls a second, and all of it for each
-// entry and change. A few read it, the others hear it from them as soon, and their proof stays as young as that of a reader.
+// TestNewsAreHandedOn: each of 183 entries read each configuration from the log, and asked twice
+// a second whether there was one, 366 calls a second. A few read it; the others get it from them
+// as soon, and their proof stays as young as that of a reader.
 func TestNewsAreHandedOn(t *testing.T) {
 	for _, n := range []int{20, 40} {
 		withRelays(t, n, func(t *testing.T, r *relays) {
@@ -84,9 +92,9 @@
 			for version := 2; version < 7; version++ {
 				r.put(t, version)
 				time.Sleep(10 * time.Millisecond)
-				for i, f := range r.told {
+				for i, f := range r.relayed {
 					if c, _ := f.Current(); c.Version != int64(version) {
-						t.Errorf("10 ms after version %d was kept, %d of %d has %d", version, i, n, c.Version)
+						t.Errorf("10 ms after version %d was stored, %d of %d has %d", version, i, n, c.Version)
 					}
 				}
 				for range 200 {
@@ -97,14 +105,15 @@
 				}
 			}
 			if got := r.reads.Reads() - before; got != 0 {
-				t.Errorf("%d reads of the log by %d that are told, want none", got, n)
+				t.Errorf("%d reads of the log by %d that ask others, want none", got, n)
 			}
 		})
 	}
 }
 
-// TestRelayedProofIsNotYounger: keys that were taken away must not be served on a proof that claims to be younger than it is. Those that are told never have one from
-// after the newest of those that tell them, nor from after the moment at which all ways to the log were cut.
+// TestRelayedProofIsNotYounger: keys that were removed must not be accepted on a proof that
+// claims to be younger than it is. A follower that asks others never has a proof from after the
+// newest of theirs, nor from after the moment at which all were cut off from the log.
 func TestRelayedProofIsNotYounger(t *testing.T) {
 	withRelays(t, 4, func(t *testing.T, r *relays) {
 		for began := time.Now(); time.Since(began) < 5*time.Second; time.Sleep(7 * time.Millisecond) {
@@ -114,17 +123,17 @@
 					newest = proof
 				}
 			}
-			for i, f := range r.told {
+			for i, f := range r.relayed {
 				if _, proof := f.Current(); proof.After(newest) {
 					t.Fatalf("%d has a proof %v younger than any that could be handed on", i, proof.Sub(newest))
 				}
 			}
 		}
-		for _, name := range append([]string{"told"}, r.sources...) {
+		for _, name := range append([]string{"relayed"}, r.sources...) {
 			r.log.SetFault(name, jobtest.Fault{Silent: true})
 		}
 		for cut := time.Now(); time.Since(cut) < 6*time.Second; time.Sleep(7 * time.Millisecond) {
-			for i, f := range r.told {
+			for i, f := range r.relayed {
 				if _, proof := f.Current(); proof.After(cut) {
 					t.Fatalf("%v after the cut, %d has a proof from %v after it", time.Since(cut), i, proof.Sub(cut))
 				}
@@ -133,15 +142,18 @@
 	})
 }
 
-// TestRelayFailures: what is told stays good while this process has lost its way to the log; and where nobody tells, it reads.
+// TestRelayFailures: what was relayed stays good while a process is cut off from the log; and
+// where no source answers, it reads the log.
 func TestRelayFailures(t *testing.T) {
 	tests := []struct {
 		name string
 		fail func(r *relays)
 		most time.Duration
 	}{
-		{"told ones are turned away by the log", func(r *relays) { r.log.SetFault("told", jobtest.Fault{Refuse: true}) }, 1500 * time.Millisecond},
-		{"sources are turned away by the log", func(r *relays) {
+		{"relayed ones are rejected by the log", func(r *relays) {
+			r.log.SetFault("relayed", jobtest.Fault{Refuse: true})
+		}, 1500 * time.Millisecond},
+		{"sources are rejected by the log", func(r *relays) {
 			for _, name := range r.sources {
 				r.log.SetFault(name, jobtest.Fault{Refuse: true})
 			}
@@ -164,9 +176,9 @@
 				}
 				r.put(t, 2)
 				time.Sleep(time.Second)
-				for i, f := range r.told {
+				for i, f := range r.relayed {
 					if c, _ := f.Current(); c.Version != 2 {
-						t.Errorf("a second after version 2 was kept, %d has %d", i, c.Version)
+						t.Errorf("a second after version 2 was stored, %d has %d", i, c.Version)
 					}
 				}
 			})
--- a/jobs/leader/counts_test.go
+++ b/jobs/leader/counts_test.go
@@ -27,15 +27,15 @@
 
 func (c *counter) Inc(delta int64) { c.n.Add(delta) }
 
-// sizes are the numbers of workers at which work is counted.
+// sizes are the numbers of workers for which work is counted.
 var sizes = []int{100, 200}
 
-// agentPoll is a poll of the i-th of many agents, whose worker runs what is wanted of it.
+// agentPoll is a poll of the i-th of many agents, whose worker runs what is desired.
 func agentPoll(i int, sequence int64, percent int) assignment.Poll {
-	l := incarnation.ID{Instance: fmt.Sprintf("life-%d", i), StartMillis: 1}
+	id := incarnation.ID{Instance: fmt.Sprintf("life-%d", i), StartMillis: 1}
 	return assignment.Poll{
 		Worker: fmt.Sprintf("w-%d", i), Agent: "a", Sequence: sequence, Term: 3, Complete: true, Wait: true,
-		State: &assignment.WorkerState{ID: l, Service: "roster", Labels: []string{"a"}},
+		State: &assignment.WorkerState{ID: id, Service: "roster", Labels: []string{"a"}},
 		Runs:  []assignment.Run{{RunID: runOf(i), Percent: percent}},
 	}
 }
@@ -44,18 +44,23 @@
 	return assignment.RunID{Task: job.TaskName{Job: job.ID(fmt.Sprintf("%016x", i))}, Run: 1}
 }
 
-// wantOf is that the i-th worker runs what it runs, and that ends up to that number are read.
-func wantOf(i int, seen int64) dispatch.DesiredState {
+// desiredOf says that the i-th worker runs what is desired, and that ends up to acked are stored.
+func desiredOf(i int, acked int64) dispatch.DesiredState {
 	p := agentPoll(i, 1, 0)
-	return dispatch.DesiredState{Incarnation: p.State.ID, AckedEnd: seen, Runs: map[job.TaskName]dispatch.DesiredRun{runOf(i).Task: {Start: assignment.Start{RunID: runOf(i)}}}}
+	run := dispatch.DesiredRun{Start: assignment.Start{RunID: runOf(i)}}
+	return dispatch.DesiredState{
+		Incarnation: p.State.ID,
+		AckedEnd:    acked,
+		Runs:        map[job.TaskName]dispatch.DesiredRun{runOf(i).Task: run},
+	}
 }
 
-// withFleet runs a test with n agents that have polled, and whose workers run what is wanted of them.
-func withFleet(t *testing.T, n int, f func(t *testing.T, fl *fleet, looks *counter)) {
+// withFleet runs a test with n agents that have polled, and whose workers run what is desired.
+func withFleet(t *testing.T, n int, f func(t *testing.T, fl *fleet, answers *counter)) {
 	synctest.Test(t, func(t *testing.T) {
-		looks := &counter{}
+		answers := &counter{}
 		open := func() (catalog.Cordons, time.Time) { return nil, time.Now() }
-		fl := newFleet(DefaultTiming(6*time.Second), suspend.Clock(nil), open, looks)
+		fl := newFleet(DefaultTiming(6*time.Second), suspend.Clock(nil), open, answers)
 		fl.open(3)
 		fl.prove(fl.clock.Now())
 		all := map[string]dispatch.DesiredState{}
@@ -63,31 +68,31 @@
 			p := agentPoll(i, 1, 0)
 			p.Wait = false
 			ask(t, fl, p)
-			all[p.Worker] = wantOf(i, 0)
+			all[p.Worker] = desiredOf(i, 0)
 		}
 		fl.take()
 		fl.publish(all)
 		<-fl.decisionDue
-		f(t, fl, looks)
+		f(t, fl, answers)
 	})
 }
 
-// TestPublicationWakesWhomItConcerns: with 800 workers the entry that led spent most of its time on looking at held polls. Each decision had all of them looked
-// at again, and there were more decisions the more workers there were. What is wanted anew of one worker is one look, however many
-// there are.
+// TestPublicationWakesWhomItConcerns: each decision had all held polls answered again, and with
+// 800 workers the leader spent most of its time on that. A change for one worker makes one
+// answer, however many workers there are.
 func TestPublicationWakesWhomItConcerns(t *testing.T) {
 	for _, n := range sizes {
-		withFleet(t, n, func(t *testing.T, fl *fleet, looks *counter) {
+		withFleet(t, n, func(t *testing.T, fl *fleet, answers *counter) {
 			for i := range n {
 				go fl.serve(t.Context(), agentPoll(i, 2, 1))
 			}
 			synctest.Wait()
-			before := looks.n.Load()
+			before := answers.n.Load()
 			fl.take()
-			fl.publish(map[string]dispatch.DesiredState{"w-7": wantOf(7, 1)})
+			fl.publish(map[string]dispatch.DesiredState{"w-7": desiredOf(7, 1)})
 			synctest.Wait()
-			if got := looks.n.Load() - before; got != 1 {
-				t.Errorf("%d polls of %d were looked at for one worker, want 1", got, n)
+			if got := answers.n.Load() - before; got != 1 {
+				t.Errorf("%d polls of %d were answered again for one worker, want 1", got, n)
 			}
 			time.Sleep(fl.timing.PollWait)
 			synctest.Wait()
@@ -95,7 +100,8 @@
 	}
 }
 
-// TestPollsWithNothingNew: each poll of each agent made the entry that led decide anew, 1,600 times a second with 800 workers, for runs that had only come on.
+// TestPollsWithNothingNew: each poll of each agent made a decision, 1,600 a second with 800
+// workers, though it only brought progress of runs.
 func TestPollsWithNothingNew(t *testing.T) {
 	for _, n := range sizes {
 		withFleet(t, n, func(t *testing.T, fl *fleet, _ *counter) {
@@ -127,7 +133,8 @@
 	}
 }
 
-// TestPollsThatDecide lists what a poll may say that has to be decided on at once, and what has not.
+// TestPollsThatDecide: lists what a poll may say that needs a decision at once, and what does
+// not.
 func TestPollsThatDecide(t *testing.T) {
 	other := runOf(99)
 	tests := []struct {
@@ -136,26 +143,30 @@
 		decides bool
 	}{
 		{"nothing new", func(*assignment.Poll) {}, false},
-		{"a run has come on", func(p *assignment.Poll) { p.Runs[0].Percent, p.Runs[0].Checkpoint = 70, "x" }, false},
+		{"progress of a run", func(p *assignment.Poll) { p.Runs[0].Percent, p.Runs[0].Checkpoint = 70, "x" }, false},
 		{"an end", func(p *assignment.Poll) {
 			p.Runs, p.Ends = nil, []assignment.End{{RunID: runOf(0), Number: 1, Reason: job.EndDone}}
 		}, true},
 		{"a refusal", func(p *assignment.Poll) { p.Runs, p.Refused = nil, []assignment.Refusal{{RunID: runOf(0)}} }, true},
-		{"a run that is not wanted", func(p *assignment.Poll) { p.Runs = append(p.Runs, assignment.Run{RunID: other}) }, true},
-		{"a wanted run in another start", func(p *assignment.Poll) { p.Runs[0].Run = 2 }, true},
+		{"a run that is not desired", func(p *assignment.Poll) {
+			p.Runs = append(p.Runs, assignment.Run{RunID: other})
+		}, true},
+		{"a desired task in another run", func(p *assignment.Poll) { p.Runs[0].Run = 2 }, true},
 		{"a run that is gone", func(p *assignment.Poll) { p.Runs = nil }, true},
-		{"another life", func(p *assignment.Poll) { p.State.ID.StartMillis = 2 }, true},
-		{"no life", func(p *assignment.Poll) { p.State = nil }, true},
-		{"less room", func(p *assignment.Poll) { p.State.Capacity.Memory-- }, true},
-		{"it leaves", func(p *assignment.Poll) { p.State.Draining, p.State.DrainMillis = true, 4000 }, true},
+		{"another incarnation", func(p *assignment.Poll) { p.State.ID.StartMillis = 2 }, true},
+		{"no state", func(p *assignment.Poll) { p.State = nil }, true},
+		{"less capacity", func(p *assignment.Poll) { p.State.Capacity.Memory-- }, true},
+		{"it drains", func(p *assignment.Poll) { p.State.Draining, p.State.DrainMillis = true, 4000 }, true},
 		{"other labels", func(p *assignment.Poll) { p.State.Labels = []string{"b"} }, true},
-		{"a life that is over", func(p *assignment.Poll) {
+		{"an incarnation that has ended", func(p *assignment.Poll) {
 			p.EndedIncarnations = []assignment.IncarnationEnd{{ID: incarnation.ID{Instance: "x"}}}
 		}, true},
-		{"a life that is closing", func(p *assignment.Poll) { p.ClosingIncarnations = []incarnation.ID{p.State.ID} }, true},
+		{"an incarnation that is closing", func(p *assignment.Poll) {
+			p.ClosingIncarnations = []incarnation.ID{p.State.ID}
+		}, true},
 		{"silence", func(p *assignment.Poll) { p.Unresponsive = true }, true},
 		{"failing", func(p *assignment.Poll) { p.FailingMillis = 300 }, true},
-		{"not listed", func(p *assignment.Poll) { p.Complete, p.Runs = false, nil }, true},
+		{"not complete", func(p *assignment.Poll) { p.Complete, p.Runs = false, nil }, true},
 		{"another agent", func(p *assignment.Poll) { p.Agent, p.Sequence = "b", 1 }, true},
 	}
 	for _, test := range tests {
@@ -173,8 +184,9 @@
 	}
 }
 
-// TestLapsedLeaseWakes: what waits for a start while the leader's proof is too old is told as soon as there is a new one, and not when its poll has
-// been held for long enough.
+// TestLapsedLeaseWakes: a start that was held back because the proof of leadership was too old
+// waited until the poll had been held for its full time. It is sent as soon as there is a newer
+// proof.
 func TestLapsedLeaseWakes(t *testing.T) {
 	withFleet(t, 1, func(t *testing.T, fl *fleet, _ *counter) {
 		time.Sleep(fl.timing.MaxProofAge + time.Millisecond)
@@ -191,8 +203,8 @@
 	})
 }
 
-// TestRoundsOfAQuietLeader: an entry that led decided three times for each of its appends: its own record woke it when it was written, and again when it was
-// read.
+// TestRoundsOfAQuietLeader: a leader decided three times for each of its appends: its own record
+// woke it when it was written, and again when it was read.
 func TestRoundsOfAQuietLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -202,10 +214,22 @@
 		directory := directory.NewDirectory(announced, zerolog.Nop())
 		replica := jobstore.NewReplica(log.Client("e"), func() int { return 1 }, zerolog.Nop())
 		follower := catalog.NewFollower(config.Client("e"), catalog.Format{ConfigKey: "config"}, zerolog.Nop())
-		settings := Settings{Entry: "e", Incarnation: "e/1", Address: "e", Timing: DefaultTiming(6 * time.Second), Dispatch: dispatch.DefaultSettings()}
+		settings := Settings{
+			Entry:       "e",
+			Incarnation: "e/1",
+			Address:     "e",
+			Timing:      DefaultTiming(6 * time.Second),
+			Dispatch:    dispatch.DefaultSettings(),
+		}
 		c := New(settings, Dependencies{
-			Log: log.Client("e"), Replica: replica, Catalog: follower, DirectoryLog: announced, Directory: directory, Latency: replica.Latency(),
-			Logger: zerolog.Nop(), Metrics: scope,
+			Log:          log.Client("e"),
+			Replica:      replica,
+			Catalog:      follower,
+			DirectoryLog: announced,
+			Directory:    directory,
+			Latency:      replica.Latency(),
+			Logger:       zerolog.Nop(),
+			Metrics:      scope,
 		})
 		go replica.Run(ctx)
 		go follower.Run(ctx)
@@ -215,7 +239,7 @@
 		before := roundsIn(scope)
 		const watched = 10 * time.Second
 		time.Sleep(watched)
-		// One when a decision is due by itself, and one when a sign of life is.
+		// One when a decision is due by itself, and one when a heartbeat is.
 		most := int(watched/settings.Dispatch.MaxInterval) + int(watched/settings.Timing.HeartbeatInterval) + 1
 		if got := roundsIn(scope) - before; got == 0 || got > most {
 			t.Errorf("%d rounds in %v without any news, want at most %d", got, watched, most)
@@ -236,7 +260,8 @@
 	return rounds
 }
 
-// TestRest: rounds take at most a third of the leader's time however long each takes, up to the longest rest.
+// TestRest: decisions take at most a third of the leading goroutine's time, up to the longest
+// rest.
 func TestRest(t *testing.T) {
 	tests := []struct{ worked, rest time.Duration }{
 		{0, 0},
@@ -252,8 +277,9 @@
 	}
 }
 
-// TestPollsBuildOnOthers: a poll that says only what has changed is answered like the full one, and one that builds on a poll which this leader does not have starts and
-// stops nothing: the agent is told on which it may build.
+// TestPollsBuildOnOthers: a delta is answered like the full poll, and one to a poll that this
+// leader does not have starts and stops nothing: the answer says on which poll the agent may
+// build.
 func TestPollsBuildOnOthers(t *testing.T) {
 	withFleet(t, 1, func(t *testing.T, fl *fleet, _ *counter) {
 		brief := agentPoll(0, 2, 0)
@@ -266,7 +292,8 @@
 			t.Errorf("the decision gets %+v", got)
 		}
 		brief.Sequence, brief.Delta = 3, &assignment.Delta{Sequence: 2, Percents: []int{40}}
-		if a := ask(t, fl, brief); a.LeaseMillis != 0 || len(a.Start)+len(a.Stop) != 0 || a.BasePoll != 1 || !a.Incarnation.IsZero() {
+		a := ask(t, fl, brief)
+		if a.LeaseMillis != 0 || len(a.Start)+len(a.Stop) != 0 || a.BasePoll != 1 || !a.Incarnation.IsZero() {
 			t.Errorf("on a poll that is not known here it is answered with %+v", a)
 		}
 		if got := len(fl.take()); got != 0 {
--- a/jobs/leader/election_test.go
+++ b/jobs/leader/election_test.go
@@ -16,6 +16,7 @@
 	now := time.Date(2026, 3, 4, 5, 6, 7, 0, time.UTC)
 	leader := directory.Leader{Term: 7, Incarnation: other, Address: "10.1.0.19:7000"}
 	ours := directory.Leader{Term: 7, Incarnation: self, Address: "10.1.0.18:7000"}
+	earlier := directory.Leader{Term: 6, Incarnation: other}
 	vacant := directory.Leader{Term: 7, Address: "10.1.0.19:7000"}
 	// seen is the evidence of a standby that has watched for a minute and read a write of the
 	// leader so long ago.
@@ -67,11 +68,11 @@
 
 		{"given up", waiting, seen(100 * ms).from(vacant), claim},
 		{"given up, no standby", waiting, seen(100 * ms).noStandby().from(vacant), read},
-		{"given up within the delay, no standby", waiting.vacantAt(now.Add(-999 * ms)), seen(100 * ms).noStandby().from(vacant), read},
-		{"given up before the delay, no standby", waiting.vacantAt(now.Add(-time.Second)), seen(100 * ms).noStandby().from(vacant), claim},
+		{"within the delay", waiting.vacantAt(now.Add(-999 * ms)), seen(100 * ms).noStandby().from(vacant), read},
+		{"after the delay", waiting.vacantAt(now.Add(-time.Second)), seen(100 * ms).noStandby().from(vacant), claim},
 		{"nobody has ever led", waiting, seen(time.Hour).from(directory.Leader{}), claim},
 		{"found gone", waiting.WithGone(leader), seen(100 * ms), claim},
-		{"an earlier leader found gone", waiting.WithGone(directory.Leader{Term: 6, Incarnation: other}), seen(100 * ms), wait},
+		{"an earlier leader found gone", waiting.WithGone(earlier), seen(100 * ms), wait},
 		{"offered to this entry", waiting, seen(100 * ms).offered(7), claim},
 		{"offered to this entry, no standby", waiting, seen(100 * ms).noStandby().offered(7), claim},
 		{"an earlier offer", waiting, seen(100 * ms).offered(6), wait},
--- a/jobs/leader/golden_test.go
+++ b/jobs/leader/golden_test.go
@@ -57,8 +57,14 @@
 		State:    goldenPresent(),
 		Complete: true,
 		Runs:     []assignment.Run{{RunID: goldenRun, Percent: 40, AgeMillis: 1500, ListedMillis: 1400}},
-		Ends:     []assignment.End{{RunID: goldenOther, Number: 6, Reason: job.EndStopped, Checkpoint: "checkpoint-4", TookMillis: 2500}},
-		Refused:  []assignment.Refusal{{RunID: goldenOther, Reason: "no room", Uncertain: true, Started: true}},
+		Ends: []assignment.End{{
+			RunID:      goldenOther,
+			Number:     6,
+			Reason:     job.EndStopped,
+			Checkpoint: "checkpoint-4",
+			TookMillis: 2500,
+		}},
+		Refused: []assignment.Refusal{{RunID: goldenOther, Reason: "no room", Uncertain: true, Started: true}},
 		EndedIncarnations: []assignment.IncarnationEnd{{
 			ID:          incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722800000},
 			Drained:     true,
@@ -126,7 +132,8 @@
 	})
 }
 
-// withCandidate runs a test with a candidate that leads in term 3, though no goroutine of it runs.
+// withCandidate runs a test with a candidate that leads in term 3, though no goroutine of it
+// runs.
 func withCandidate(t *testing.T, f func(t *testing.T, c *Candidate, log *bytes.Buffer)) {
 	withLeases(t, func(t *testing.T, fl *fleet) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -135,7 +142,12 @@
 		log := jobtest.NewLog(1)
 		replica := jobstore.NewReplica(log.Client("e"), func() int { return 1 }, zerolog.Nop())
 		go replica.Run(ctx)
-		c := New(Settings{Entry: "entry-1", Incarnation: "entry-1/4", Address: "10.1.0.18:7000", Timing: fl.timing}, Dependencies{
+		c := New(Settings{
+			Entry:       "entry-1",
+			Incarnation: "entry-1/4",
+			Address:     "10.1.0.18:7000",
+			Timing:      fl.timing,
+		}, Dependencies{
 			Log:       log.Client("e"),
 			Replica:   replica,
 			Catalog:   catalog.NewFollower(jobtest.NewLog(2).Client("e"), catalog.Format{}, zerolog.Nop()),
@@ -153,11 +165,13 @@
 // recordLeader has another entry lead in a term.
 func recordLeader(t *testing.T, c *Candidate, term int64) {
 	t.Helper()
-	record, err := directory.LeaderRecord(directory.Leader{Term: term, Incarnation: "entry-2/5", Address: "10.1.0.19:7000"})
+	leader := directory.Leader{Term: term, Incarnation: "entry-2/5", Address: "10.1.0.19:7000"}
+	record, err := directory.LeaderRecord(leader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := c.deps.Log.Append(t.Context(), []topic.Record{record}, topic.Condition{Producer: directory.TermProducer(term, 0)}); err != nil {
+	condition := topic.Condition{Producer: directory.TermProducer(term, 0)}
+	if _, err := c.deps.Log.Append(t.Context(), []topic.Record{record}, condition); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(time.Second)
@@ -180,7 +194,7 @@
 			t.Fatal(err)
 		}
 		goldentest.Bytes(t, "poll-described.json", body)
-		cordonsProof = time.Now()
+		cordonsSyncedAt = time.Now()
 		first := served(c.ServePoll, http.MethodPost, assignment.Path, string(goldentest.Read(t, "poll-described.json")))
 		goldentest.Bytes(t, "served-first.txt", first)
 		if got := c.fleet.take()["worker-1"].poll; !sameJSON(t, got, described) {
@@ -188,18 +202,23 @@
 		}
 		settled := assignment.RunID{Task: job.TaskName{Job: "000000000000000b", Round: 1, Step: 1, Index: 1}, Run: 1}
 		started := assignment.RunID{Task: job.TaskName{Job: "000000000000000c", Round: 1, Step: 1, Index: 1}, Run: 2}
-		c.fleet.publish(map[string]dispatch.DesiredState{"worker-1": {Incarnation: goldenLife, AckedEnd: 6, Runs: map[job.TaskName]dispatch.DesiredRun{
+		runs := map[job.TaskName]dispatch.DesiredRun{
 			settled.Task: {Start: assignment.Start{RunID: settled}, Stopping: true},
 			started.Task: {
 				Start: assignment.Start{RunID: started, Spec: "{}", Checkpoint: "checkpoint-4", Permit: "ticket-8"},
 				Role:  &assignment.Role{RunID: started, LatencyTargetMillis: 80},
 			},
-		}}})
+		}
+		c.fleet.publish(map[string]dispatch.DesiredState{
+			"worker-1": {Incarnation: goldenLife, AckedEnd: 6, Runs: runs},
+		})
 		goldentest.Bytes(t, "served-orders.txt", served(c.ServePoll, http.MethodPost, assignment.Path, string(body)))
-		brief := `{"worker":"worker-1","agent":"agent-1/7","seq":13,"term":3,"since":{"seq":4,"ms":500,"listed_ms":450,"p":[45]}}`
+		brief := `{"worker":"worker-1","agent":"agent-1/7","seq":13,"term":3,` +
+			`"since":{"seq":4,"ms":500,"listed_ms":450,"p":[45]}}`
 		goldentest.Bytes(t, "served-unknown-base.txt", served(c.ServePoll, http.MethodPost, assignment.Path, brief))
 		recordLeader(t, c, 9)
-		goldentest.Bytes(t, "served-redirect.txt", served(c.ServePoll, http.MethodPost, assignment.Path, `{"worker":"worker-1","agent":"agent-1/7","seq":14,"term":9}`))
+		later := `{"worker":"worker-1","agent":"agent-1/7","seq":14,"term":9}`
+		goldentest.Bytes(t, "served-redirect.txt", served(c.ServePoll, http.MethodPost, assignment.Path, later))
 		goldentest.Bytes(t, "served-leader.txt", served(c.ServeLeader, http.MethodGet, assignment.LeaderPath, ""))
 	})
 }
@@ -214,7 +233,8 @@
 	return bytes.Equal(a, b)
 }
 
-// TestGoldenServeHandover holds an offer as it stands in the file, the answers to it, and the log line.
+// TestGoldenServeHandover holds an offer as it stands in the file, the answers to it, and the log
+// line.
 func TestGoldenServeHandover(t *testing.T) {
 	withCandidate(t, func(t *testing.T, c *Candidate, log *bytes.Buffer) {
 		recordLeader(t, c, 3)
@@ -223,7 +243,8 @@
 		goldentest.Bytes(t, "served-handover.txt", served(c.ServeHandover, http.MethodPost, assignment.HandoverPath, offer))
 		goldentest.Bytes(t, "log-handover.txt", fields(log))
 		late := strings.Replace(offer, "3", "2", 1)
-		goldentest.Bytes(t, "served-handover-late.txt", served(c.ServeHandover, http.MethodPost, assignment.HandoverPath, late))
+		declined := served(c.ServeHandover, http.MethodPost, assignment.HandoverPath, late)
+		goldentest.Bytes(t, "served-handover-late.txt", declined)
 	})
 }
 
@@ -238,7 +259,8 @@
 		next.ID.StartMillis++
 		described.Sequence, described.State = 13, &next
 		ask(t, c.fleet, described)
-		cordons = catalog.Cordons{}.With(catalog.Cordon{Zone: "zone-1", Revision: 7, Since: time.Date(2026, 3, 4, 5, 6, 7, 0, time.UTC)})
+		since := time.Date(2026, 3, 4, 5, 6, 7, 0, time.UTC)
+		cordons = catalog.Cordons{}.With(catalog.Cordon{Zone: "zone-1", Revision: 7, Since: since})
 		goldentest.Bytes(t, "served-workers.txt", served(c.ServeWorkers, http.MethodGet, WorkersPath, ""))
 		c.fleet.close()
 		goldentest.Bytes(t, "served-workers-elsewhere.txt", served(c.ServeWorkers, http.MethodGet, WorkersPath, ""))
@@ -250,7 +272,8 @@
 	return regexp.MustCompile(`"(message|error)":"(?:[^"\\]|\\.)*"`).ReplaceAll(log.Bytes(), []byte(`"$1":""`))
 }
 
-// TestGoldenLeadership holds the log lines of an entry that claims leadership, leads and gives it up.
+// TestGoldenLeadership holds the log lines of an entry that claims leadership, leads and gives it
+// up.
 func TestGoldenLeadership(t *testing.T) {
 	withCandidate(t, func(t *testing.T, c *Candidate, log *bytes.Buffer) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/jobs/leader/handover_test.go
+++ b/jobs/leader/handover_test.go
@@ -21,8 +21,8 @@
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
-// countingTransport notes who was called. Those at an address that is gone can't be reached, the others answer with an empty object or, if refusing is set,
-// with a conflict.
+// countingTransport notes who was called. Hosts in gone refuse connections; the others answer
+// with an empty object, or with a conflict if refusing is set.
 type countingTransport struct {
 	mu       sync.Mutex
 	hosts    []string
@@ -41,7 +41,12 @@
 	if c.refusing {
 		status = http.StatusConflict
 	}
-	return &http.Response{StatusCode: status, Body: io.NopCloser(strings.NewReader("{}")), Header: http.Header{}, Request: r}, nil
+	return &http.Response{
+		StatusCode: status,
+		Body:       io.NopCloser(strings.NewReader("{}")),
+		Header:     http.Header{},
+		Request:    r,
+	}, nil
 }
 
 // testTerm is a term in which an entry leads.
@@ -50,7 +55,8 @@
 	deps   Dependencies
 }
 
-// withTerm runs a test with a term of the first of n entries, half of which have little processor time.
+// withTerm runs a test with a term of the first of n entries, half of which have little processor
+// time.
 func withTerm(t *testing.T, n int, f func(t *testing.T, ctx context.Context, tm *testTerm, calls *countingTransport)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -63,23 +69,29 @@
 		go entries.Run(ctx)
 		time.Sleep(time.Second)
 		calls := &countingTransport{gone: map[string]bool{}}
-		f(t, ctx, &testTerm{leader: directory.Leader{Term: 1, Incarnation: "e", Address: addressOf(1)}, deps: Dependencies{
-			Client: &http.Client{Transport: calls}, Latency: hedge.NewLatency(), DirectoryLog: log.Client("e"), Directory: entries, Logger: zerolog.Nop(),
+		leader := directory.Leader{Term: 1, Incarnation: "e", Address: addressOf(1)}
+		f(t, ctx, &testTerm{leader: leader, deps: Dependencies{
+			Client:       &http.Client{Transport: calls},
+			Latency:      hedge.NewLatency(),
+			DirectoryLog: log.Client("e"),
+			Directory:    entries,
+			Logger:       zerolog.Nop(),
 		}}, calls)
 	})
 }
 
 func addressOf(i int) string { return fmt.Sprintf("10.0.0.%d:7000", i) }
 
-// TestFewEntriesAreOffered: a leader that did not reach the store asked all other entries at once to lead, and each that would claimed the next
-// term. It asks a few, first those that should lead, and others in the next round.
+// TestFewEntriesAreOffered: a leader that could not write offered leadership to all other entries
+// at once, and each that accepted claimed the next term. It asks a few, first those that are
+// large enough to lead.
 func TestFewEntriesAreOffered(t *testing.T) {
 	const watched = 2500 * time.Millisecond
 	const atOnce = 5
 	for _, n := range []int{20, 40} {
 		withTerm(t, n, func(t *testing.T, ctx context.Context, tm *testTerm, calls *countingTransport) {
 			calls.refusing = true
-			able := tm.deps.Directory.EligibleAddresses()
+			eligible := tm.deps.Directory.EligibleAddresses()
 			ctx, cancel := context.WithTimeout(ctx, watched)
 			defer cancel()
 			handover{leader: tm.leader, deps: tm.deps}.whileFailing(ctx, func() { t.Error("it was handed over") })
@@ -90,7 +102,7 @@
 				t.Errorf("%d offers to %d entries, want at most %d", len(calls.hosts), n, most)
 			}
 			for _, host := range calls.hosts[:atOnce] {
-				if !slices.Contains(able, host) || host == addressOf(1) {
+				if !slices.Contains(eligible, host) || host == addressOf(1) {
 					t.Errorf("the first round asked %s, want one that should lead", host)
 				}
 			}
@@ -98,8 +110,9 @@
 	}
 }
 
-// TestGoneEntriesArePruned: what an entry had announced stayed for good, so that after months most of those that were asked were boxes that nobody had any more.
-// The leader takes those off that it does not reach three times in a row, at a cost that does not grow with the entries.
+// TestGoneEntriesArePruned: registrations stayed for good, so that after months most of the
+// registered entries were boxes that no longer existed. The leader deregisters those that fail
+// three checks in a row, at a cost that does not grow with the entries.
 func TestGoneEntriesArePruned(t *testing.T) {
 	for _, n := range []int{20, 40} {
 		withTerm(t, n, func(t *testing.T, ctx context.Context, tm *testTerm, calls *countingTransport) {
@@ -112,10 +125,10 @@
 			if _, ok := listed[gone]; ok || len(listed) != n-1 {
 				t.Errorf("%d of %d are listed, want all but %s", len(listed), n, gone)
 			}
-			if line := tm.deps.Directory.Standbys(); len(line) != 5 || slices.Contains(line, gone) {
-				t.Errorf("in line are %v, want five that are there", line)
+			if standbys := tm.deps.Directory.Standbys(); len(standbys) != 5 || slices.Contains(standbys, gone) {
+				t.Errorf("standbys are %v, want five that are there", standbys)
 			}
-			// Five in line and three others in each round, and one that is missed.
+			// Five standbys and three others in each round, and the one that is gone.
 			if most := int(watched/pruneInterval) * (5 + 3 + 1); len(calls.hosts) > most {
 				t.Errorf("%d calls in %v with %d entries, want at most %d", len(calls.hosts), watched, n, most)
 			}
@@ -123,7 +136,7 @@
 	}
 }
 
-// TestEntryAnnouncesItselfAgain: an entry that was taken off the directory although it lives is back in it soon.
+// TestEntryAnnouncesItselfAgain: an entry that was deregistered although it runs is soon registered again.
 func TestEntryAnnouncesItselfAgain(t *testing.T) {
 	withTerm(t, 4, func(t *testing.T, ctx context.Context, tm *testTerm, _ *countingTransport) {
 		d := tm.deps.Directory
--- a/jobs/leader/leader.go
+++ b/jobs/leader/leader.go
@@ -4,9 +4,9 @@
 // it leads.
 //
 // The package owns who leads (election.go, campaign.go, handover.go), the writes of a term
-// (writer.go), the leases of agents and what each agent was told (fleet.go). It relies on the job
-// topic, which accepts no write of a leader once a higher term has begun, on package jobstore for
-// what the topic holds, and on package dispatch for the decisions.
+// (writer.go), and the leases and orders of agents (fleet.go, lease.go, poll.go). It relies on
+// the job topic, which accepts no write of a leader once a higher term has begun, on package
+// jobstore for what the topic holds, and on package dispatch for the decisions.
 //
 // # Leadership
 //
--- a/jobs/leader/leases_test.go
+++ b/jobs/leader/leases_test.go
@@ -7,6 +7,7 @@
 
 	"github.com/uber-go/tally/v4"
 
+	"yarrowgrade.example/yarrowgrade/internal/suspend"
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
 	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
@@ -14,20 +15,22 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// cordons are what operators have cordoned, as the leader knows, and cordonsProof is when that was proved.
+// cordons are those in force, and cordonsSyncedAt is when it was known that there are no others.
 var (
-	cordons      catalog.Cordons
-	cordonsProof time.Time
+	cordons         catalog.Cordons
+	cordonsSyncedAt time.Time
 )
 
-// suspended is for how long the leader's machine was suspended.
+// suspended is how long the leader's machine was suspended.
 var suspended time.Duration
 
-// withLeases runs a test with open leases, in a bubble.
+// withLeases runs a test with the workers of a leader, in a bubble.
 func withLeases(t *testing.T, f func(t *testing.T, fl *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
-		fl := newFleet(DefaultTiming(6*time.Second), func() time.Duration { return suspended }, func() (catalog.Cordons, time.Time) { return cordons, cordonsProof }, tally.NoopScope.Counter("looks"))
-		cordons, cordonsProof = nil, time.Now()
+		clock := suspend.Clock(func() time.Duration { return suspended })
+		inForce := func() (catalog.Cordons, time.Time) { return cordons, cordonsSyncedAt }
+		fl := newFleet(DefaultTiming(6*time.Second), clock, inForce, tally.NoopScope.Counter("answers"))
+		cordons, cordonsSyncedAt = nil, time.Now()
 		fl.open(3)
 		fl.prove(fl.clock.Now())
 		f(t, fl)
@@ -40,12 +43,15 @@
 	return assignment.Poll{Worker: "w", Agent: "a", Sequence: sequence, Term: 3, State: &present, Complete: true}
 }
 
-var wantedRun = assignment.RunID{Task: job.TaskName{Job: "0000000000000001"}, Run: 1}
+var desiredRun = assignment.RunID{Task: job.TaskName{Job: "0000000000000001"}, Run: 1}
 
-// publishOne publishes that one run is wanted.
+// publishOne publishes that one run is desired.
 func publishOne(fl *fleet) {
 	fl.publish(map[string]dispatch.DesiredState{"w": {
-		Incarnation: present.ID, Runs: map[job.TaskName]dispatch.DesiredRun{wantedRun.Task: {Start: assignment.Start{RunID: wantedRun}}},
+		Incarnation: present.ID,
+		Runs: map[job.TaskName]dispatch.DesiredRun{
+			desiredRun.Task: {Start: assignment.Start{RunID: desiredRun}},
+		},
 	}})
 }
 
@@ -68,20 +74,24 @@
 			t.Errorf("starts: %+v", a.Start)
 		}
 		p := poll(3)
-		p.Runs = []assignment.Run{{RunID: wantedRun}, {RunID: assignment.RunID{Task: job.TaskName{Job: "0000000000000002"}, Run: 4}}}
+		other := assignment.RunID{Task: job.TaskName{Job: "0000000000000002"}, Run: 4}
+		p.Runs = []assignment.Run{{RunID: desiredRun}, {RunID: other}}
 		if a := ask(t, fl, p); len(a.Start) != 0 || len(a.Stop) != 1 || a.Stop[0].Run != 4 {
-			t.Errorf("want only a stop of what is not wanted, got %+v", a)
+			t.Errorf("want only a stop of what is not desired, got %+v", a)
 		}
-		fl.publish(map[string]dispatch.DesiredState{"w": {Incarnation: present.ID, Held: map[job.ID]bool{"0000000000000002": true}}})
+		fl.publish(map[string]dispatch.DesiredState{"w": {
+			Incarnation: present.ID,
+			Held:        map[job.ID]bool{other.Task.Job: true},
+		}})
 		p.Sequence = 4
-		if a := ask(t, fl, p); len(a.Stop) != 1 || a.Stop[0] != wantedRun {
-			t.Errorf("want only a stop of what is not wanted and not held, got %+v", a.Stop)
+		if a := ask(t, fl, p); len(a.Stop) != 1 || a.Stop[0] != desiredRun {
+			t.Errorf("want only a stop of what is neither desired nor held, got %+v", a.Stop)
 		}
-		other := assignment.WorkerState{ID: incarnation.ID{Instance: "life-1", StartMillis: 2}}
+		next := assignment.WorkerState{ID: incarnation.ID{Instance: "life-1", StartMillis: 2}}
 		p = poll(5)
-		p.State = &other
+		p.State = &next
 		if a := ask(t, fl, p); len(a.Start)+len(a.Stop) != 0 {
-			t.Errorf("another life gets %+v", a)
+			t.Errorf("another incarnation gets %+v", a)
 		}
 	})
 }
@@ -102,8 +112,9 @@
 	})
 }
 
-// TestLeasesSuspended: a leader whose machine was suspended leases nothing and starts nothing on a proof from before, which is younger by its steady
-// clock than it is: a successor may lead by now, and have given up what this one would keep alive.
+// TestLeasesSuspended: after a suspension of its machine a leader must grant nothing on a proof
+// from before it, however young that seems by the monotonic clock: a successor may lead by now,
+// and count on no lease being left.
 func TestLeasesSuspended(t *testing.T) {
 	withLeases(t, func(t *testing.T, fl *fleet) {
 		ask(t, fl, poll(1))
@@ -129,8 +140,8 @@
 	})
 }
 
-// TestLeasesExpire: between the decision that a worker's lease is over and its dispatch.Want the worker's agent may come back.
-// It must get neither a lease nor an order then.
+// TestLeasesExpire: an agent that comes back between the decision that its worker's lease has
+// ended and the publication of what follows must get neither a lease nor an order.
 func TestLeasesExpire(t *testing.T) {
 	withLeases(t, func(t *testing.T, fl *fleet) {
 		ask(t, fl, poll(1))
@@ -154,7 +165,8 @@
 	})
 }
 
-// TestLeasesUnreached: an agent that does not reach its worker gets no lease, so the worker counts as silent.
+// TestLeasesUnreached: an agent that does not reach its worker gets no lease, so that the
+// worker's lease ends.
 func TestLeasesUnreached(t *testing.T) {
 	withLeases(t, func(t *testing.T, fl *fleet) {
 		publishOne(fl)
@@ -168,38 +180,39 @@
 	})
 }
 
-// TestLeasesOvertaken: an older poll that comes after a newer one is not taken over, and its sender is not told that it was.
+// TestLeasesOvertaken: a poll that arrives after a newer one is not taken, and its sender is not
+// told that it was.
 func TestLeasesOvertaken(t *testing.T) {
 	withLeases(t, func(t *testing.T, fl *fleet) {
 		ask(t, fl, poll(1))
 		ask(t, fl, poll(3))
 		older := poll(2)
-		older.Refused = []assignment.Refusal{{RunID: wantedRun}}
+		older.Refused = []assignment.Refusal{{RunID: desiredRun}}
 		ask(t, fl, older)
 		taken := fl.take()["w"].poll
 		if taken.Sequence != 3 {
 			t.Errorf("the poll %d was taken over", taken.Sequence)
 		}
 		if a := ask(t, fl, poll(4)); a.AckedPoll != 0 {
-			t.Errorf("%d was heard before anything was kept", a.AckedPoll)
+			t.Errorf("%d was acknowledged before anything was stored", a.AckedPoll)
 		}
 		fl.publish(map[string]dispatch.DesiredState{"w": {Incarnation: present.ID}})
 		if a := ask(t, fl, poll(5)); a.AckedPoll != 3 {
-			t.Errorf("%d was heard, want 3", a.AckedPoll)
+			t.Errorf("%d was acknowledged, want 3", a.AckedPoll)
 		}
 	})
 }
 
-// TestLeasesOvertakenOnUnknownBase: an agent drops a refusal once it is told that the poll which carried it was heard. Were a poll called heard that
-// builds on one which the leader does not have, and from which it takes nothing, the refusal would be lost. Neither before anything is kept nor after
-// is such a poll heard.
+// TestLeasesOvertakenOnUnknownBase: an agent drops a refusal once the poll that carried it is
+// acknowledged. Were a delta to an unknown poll acknowledged, from which the leader takes
+// nothing, the refusal would be lost.
 func TestLeasesOvertakenOnUnknownBase(t *testing.T) {
 	withLeases(t, func(t *testing.T, fl *fleet) {
 		ask(t, fl, poll(1))
 		unknown := assignment.Poll{Worker: "w", Agent: "a", Sequence: 2, Term: 3, Delta: &assignment.Delta{Sequence: 99}}
-		unknown.Refused = []assignment.Refusal{{RunID: wantedRun}}
+		unknown.Refused = []assignment.Refusal{{RunID: desiredRun}}
 		if a := ask(t, fl, unknown); a.AckedPoll != 0 || a.BasePoll != 1 {
-			t.Errorf("%d was heard before anything was kept, on base %d, want 0 on 1", a.AckedPoll, a.BasePoll)
+			t.Errorf("%d was acknowledged before anything was stored, on base %d, want 0 on 1", a.AckedPoll, a.BasePoll)
 		}
 		if taken := fl.take()["w"].poll; taken.Sequence != 1 || len(taken.Refused) != 0 {
 			t.Errorf("the poll %d was taken over with %v", taken.Sequence, taken.Refused)
@@ -207,12 +220,13 @@
 		fl.publish(map[string]dispatch.DesiredState{"w": {Incarnation: present.ID}})
 		unknown.Sequence = 3
 		if a := ask(t, fl, unknown); a.AckedPoll != 1 || a.BasePoll != 1 {
-			t.Errorf("%d was heard on base %d, want 1 on 1", a.AckedPoll, a.BasePoll)
+			t.Errorf("%d was acknowledged on base %d, want 1 on 1", a.AckedPoll, a.BasePoll)
 		}
 	})
 }
 
-// TestLeasesAgents: another life of an agent gets a higher fence, and the former one is not listened to any more.
+// TestLeasesAgents: another incarnation of an agent gets a higher fence, and the former one is
+// not listened to any more.
 func TestLeasesAgents(t *testing.T) {
 	withLeases(t, func(t *testing.T, fl *fleet) {
 		first := ask(t, fl, poll(1))
@@ -232,12 +246,13 @@
 		}
 		fl.close()
 		if _, ok := fl.serve(t.Context(), p); ok {
-			t.Error("a closed desk answered")
+			t.Error("an entry that no longer leads answered")
 		}
 	})
 }
 
-// TestLeasesHolds: a poll with nothing to say is held, and answered as soon as there is something.
+// TestLeasesHolds: a poll with nothing to answer is held, and answered as soon as there is
+// something.
 func TestLeasesHolds(t *testing.T) {
 	withLeases(t, func(t *testing.T, fl *fleet) {
 		ask(t, fl, poll(1))
@@ -260,8 +275,8 @@
 	})
 }
 
-// TestLeasesOpen: an answer says that the worker's zone is open only while no cordon of it is known, and how old the proof is at the
-// moment of the answer, whatever was decided before.
+// TestLeasesOpen: an answer says that the worker's zone is open only while no cordon of it is
+// known, with the age of the proof at the moment of the answer, whatever was decided before.
 func TestLeasesOpen(t *testing.T) {
 	const zone = "zone-1"
 	inZone := present
@@ -288,9 +303,10 @@
 				p.Sequence = 2
 				a := ask(t, fl, p)
 				if a.ZoneOpen != test.open || test.open && time.Duration(a.ZoneProofMillis)*time.Millisecond < test.age {
-					t.Errorf("open is %v with a proof of %d ms, want %v with at least %v", a.ZoneOpen, a.ZoneProofMillis, test.open, test.age)
+					t.Errorf("open is %v with a proof of %d ms, want %v with at least %v",
+						a.ZoneOpen, a.ZoneProofMillis, test.open, test.age)
 				}
-				cordonsProof = time.Time{}
+				cordonsSyncedAt = time.Time{}
 				p.Sequence = 3
 				if a := ask(t, fl, p); a.ZoneOpen {
 					t.Error("the zone is said to be open without a proof")
@@ -300,18 +316,22 @@
 	}
 }
 
-// TestWorkerList: operators see each worker that has reported, what its agent lists, and the cordon of its zone.
+// TestWorkerList: operators see each worker that has reported, what its agent lists, and the
+// cordon of its zone.
 func TestWorkerList(t *testing.T) {
 	withLeases(t, func(t *testing.T, fl *fleet) {
 		inZone := present
 		inZone.Zone = "zone-1"
 		p := poll(1)
-		p.State, p.Runs = &inZone, []assignment.Run{{RunID: wantedRun}}
+		p.State, p.Runs = &inZone, []assignment.Run{{RunID: desiredRun}}
 		ask(t, fl, p)
 		cordons = catalog.Cordons{}.With(catalog.Cordon{Zone: "zone-1", Revision: 7})
 		list, ok := fl.status()
-		if !ok || len(list) != 1 || list[0].Worker != "w" || list[0].Runs != 1 || list[0].Cordon == nil || list[0].Cordon.Revision != 7 {
-			t.Errorf("got %+v, %v", list, ok)
+		if !ok || len(list) != 1 {
+			t.Fatalf("got %+v, %v", list, ok)
+		}
+		if w := list[0]; w.Worker != "w" || w.Runs != 1 || w.Cordon == nil || w.Cordon.Revision != 7 {
+			t.Errorf("got %+v", w)
 		}
 		next := inZone
 		next.ID.StartMillis++
--- a/jobs/leader/worker.go
+++ b/jobs/leader/worker.go
@@ -42,7 +42,7 @@
 // agentSession is the newest incarnation of a worker's agent.
 type agentSession struct {
 	incarnation string
-	// former holds the earlier incarnations, whose polls are turned away.
+	// former holds the earlier incarnations, whose polls are rejected.
 	former map[string]bool
 	// fence is what the worker is to obey; it rises with each incarnation of the agent.
 	fence int64
