--- a/jobs/catalog/apply.go
+++ b/jobs/catalog/apply.go
@@ -29,8 +29,7 @@
 	}
 }
 
-// cordonsIn returns the cordons that have a record in a snapshot, which holds the newest record
-// of each key. The others were removed while this process read nothing. f.mu must be held.
+// cordonsIn returns the cordons that still have a record in a snapshot. f.mu must be held.
 func (f *Follower) cordonsIn(snapshot []topic.Stored) Cordons {
 	kept := Cordons{}
 	for _, r := range snapshot {
@@ -59,8 +58,8 @@
 		Msg("configuration in force")
 }
 
-// applyCordon returns the cordons after a record. A malformed record changes nothing, except in a
-// snapshot: there the records before it are missing, so the zone counts as cordoned to be safe.
+// applyCordon returns the cordons after a record. A malformed one changes nothing, except in a
+// snapshot, which lacks earlier records: there the zone counts as cordoned.
 func (f *Follower) applyCordon(cordons Cordons, zone string, r topic.Stored, snapshot bool) Cordons {
 	if r.Value == nil {
 		return cordons.Without(zone)
--- a/jobs/catalog/catalog.go
+++ b/jobs/catalog/catalog.go
@@ -22,12 +22,11 @@
 
 // Queue is a route by which callers submit jobs.
 type Queue struct {
-	Name string
-	// Host and Prefix are those of the URLs that lead to the queue.
+	Name    string
 	Host    string
 	Prefix  string
 	Service string
-	// Priority is 0 for the most urgent jobs.
+	// Priority 0 is the most urgent.
 	Priority int
 	// MaxAttempts bounds the failed runs of a task.
 	MaxAttempts int
@@ -45,17 +44,15 @@
 	Name string
 	// ChecksAdmission says that the workers reject runs that exceed their capacity.
 	ChecksAdmission bool
-	// PoweredOff says that the pool's machines are off until they are moved.
+	// PoweredOff says that the machines are off until they are moved.
 	PoweredOff bool
 }
 
 // Team is a tenant of the system.
 type Team struct {
 	Name string
-	// Keys are the keys with which the team's callers submit jobs.
 	Keys []string
-	// GuaranteedAccelerators is how many accelerators are reserved for the team's jobs of
-	// priority 0.
+	// GuaranteedAccelerators are reserved for jobs of priority 0.
 	GuaranteedAccelerators int
 }
 
@@ -71,7 +68,7 @@
 	teamOfKey map[string]string
 }
 
-// WithIndex returns the catalog with its keys indexed, as TeamOf needs them.
+// WithIndex returns the catalog ready for TeamOf.
 func (c Catalog) WithIndex() *Catalog {
 	c.teamOfKey = make(map[string]string)
 	for _, t := range c.Teams {
@@ -100,8 +97,7 @@
 	return team, ok
 }
 
-// GuaranteedAccelerators returns how many accelerators are reserved for a team; zero for an
-// unknown one.
+// GuaranteedAccelerators returns how many are reserved for a team.
 func (c *Catalog) GuaranteedAccelerators(team string) int {
 	for _, t := range c.Teams {
 		if t.Name == team {
--- a/jobs/catalog/follower.go
+++ b/jobs/catalog/follower.go
@@ -17,13 +17,13 @@
 // How long a read waits for new records. New ones end the wait at once; it bounds how old the
 // proof of being up to date gets, to twice the wait and the time of an answer.
 const (
-	// waitPerReader is the wait for each process that reads: it bounds the reads of all together
-	// to 250 a second, except where the bounds below apply.
+	// waitPerReader bounds the reads of all processes together to 250 a second, between the
+	// bounds below.
 	waitPerReader = 4 * time.Millisecond
-	// minWait is also the wait of the leader, whose proof ages further on its way to the agents.
+	// minWait is also the wait of the leader, whose proof ages further on its way to agents.
 	minWait = 500 * time.Millisecond
-	// maxWait keeps the proof young enough for requests with keys to be accepted in the first 3 s
-	// of an outage of the log.
+	// maxWait keeps proofs young enough to accept requests with keys for 3 s of an outage of the
+	// log.
 	maxWait = 700 * time.Millisecond
 )
 
@@ -39,7 +39,7 @@
 	mu      sync.Mutex
 	current *Catalog
 	cordons Cordons
-	// syncedAt is when the newest read was sent that proved that there is nothing newer.
+	// syncedAt is when the read was sent that proved that there is nothing newer.
 	syncedAt suspend.Instant
 	// changed is closed and replaced when current or cordons change.
 	changed chan struct{}
@@ -56,16 +56,15 @@
 	}
 }
 
-// WithSuspension sets the clock that counts how long the machine was suspended. Without it, no
-// suspension counts.
+// WithSuspension sets the clock that counts suspensions of the machine.
 func (f *Follower) WithSuspension(clock suspend.Clock) *Follower {
 	f.clock, f.relay = clock, topic.NewRelayServer(clock)
 	f.tail.WithSuspension(clock)
 	return f
 }
 
-// WithReaders sets how many processes read the records, and whether this one leads. Without it,
-// this is the only one.
+// WithReaders sets how many processes read the records, this one alone by default, and whether
+// this one leads.
 func (f *Follower) WithReaders(readers func() int, leads func() bool) *Follower {
 	f.tail.WithReaders(readers).WithWait(func() time.Duration {
 		if leads() {
@@ -87,17 +86,16 @@
 	})
 }
 
-// Current returns the newest catalog, or nil if none has come, and since when it is known that
-// there is none newer; zero if that was never known. The time since then includes suspensions of
-// the machine, so that no key that was removed meanwhile is accepted for longer.
+// Current returns the newest catalog, or nil, and when it was last known that there is none
+// newer; zero if never. Suspensions count as time since then: a key that was removed meanwhile
+// must not be accepted for longer.
 func (f *Follower) Current() (*Catalog, time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.current, f.clock.Monotonic(f.syncedAt)
 }
 
-// Cordons returns the cordoned zones, and since when it is known that there are no others, as
-// Current does.
+// Cordons returns the cordoned zones, and when it was last known that there are no others.
 func (f *Follower) Cordons() (Cordons, time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/jobs/leader/campaign.go
+++ b/jobs/leader/campaign.go
@@ -16,8 +16,8 @@
 // claimTimeout bounds the write that claims a term.
 const claimTimeout = 900 * time.Millisecond
 
-// campaign returns once this entry leads in a term above lostTerm; false if it resigned or ctx
-// has ended. It claims no term before earliestClaim.
+// campaign waits until this entry leads in a term above lostTerm; false if it has resigned or ctx
+// has ended.
 func (c *Candidate) campaign(ctx context.Context, lostTerm int64, earliestClaim time.Time) (directory.Leader, bool) {
 	e := newElection(c.settings.Timing, c.settings.Incarnation, lostTerm, earliestClaim, time.Now())
 	gone := make(chan directory.Leader, 1)
@@ -55,7 +55,6 @@
 	return directory.Leader{}, false
 }
 
-// evidence is what this entry knows about the leader now.
 func (c *Candidate) evidence() evidence {
 	leader, lastWrite, end := c.deps.Replica.Leader()
 	return evidence{
@@ -70,7 +69,7 @@
 	}
 }
 
-// askLeader asks the leader whether it is still there, and sends it to gone if it is not.
+// askLeader sends the leader to gone if it does not run any more.
 func (c *Candidate) askLeader(ctx context.Context, leader directory.Leader, gone chan<- directory.Leader) {
 	if !c.leaderIsGone(ctx, leader) {
 		return
@@ -82,8 +81,8 @@
 	}
 }
 
-// leaderIsGone asks the leader whether it is still there. It is gone if another incarnation
-// answers or the connection is refused; a leader that does not answer may only be slow.
+// leaderIsGone reports whether another incarnation answers at the leader's address, or nothing
+// listens there. A leader that gives no answer may only be slow.
 func (c *Candidate) leaderIsGone(ctx context.Context, leader directory.Leader) bool {
 	if leader.Address == c.settings.Address {
 		return true
@@ -99,10 +98,9 @@
 	return r.Self != leader.Incarnation
 }
 
-// claim writes the claim of a term, provided that the topic still ends at end. Only reading the
-// topic tells whether the claim counts: the log takes the claims of several entries for retries
-// of one, because they carry the same term and sequence number, and reports success for all of
-// them.
+// claim appends the claim of a term, provided that the topic still ends at end. Only reading the
+// topic tells who holds the term: the log takes claims of several entries for retries of one
+// append, and reports success for all.
 func (c *Candidate) claim(ctx context.Context, term, end int64) error {
 	self := directory.Leader{Term: term, Incarnation: c.settings.Incarnation, Address: c.settings.Address}
 	record, err := directory.LeaderRecord(self)
--- a/jobs/leader/candidate.go
+++ b/jobs/leader/candidate.go
@@ -9,16 +9,11 @@
 
 // Reasons for which leadership ends or is not taken over.
 var (
-	// errSuperseded says that another entry holds a later term.
 	errSuperseded = errors.New("a later term has begun")
-	// errIsolated says that leadership was given up because no agent reaches this entry.
-	errIsolated = errors.New("no agent reaches this entry")
-	// errResigned says that leadership was given up for good.
-	errResigned = errors.New("given up for a planned stop")
-	// errHandedOver says that another entry takes over because this one can't write.
+	errIsolated   = errors.New("no agent reaches this entry")
+	errResigned   = errors.New("given up for a planned stop")
 	errHandedOver = errors.New("handed over to an entry that reaches the log")
-	// errLarger says that an entry with more cores should take over.
-	errLarger = errors.New("larger entries may lead")
+	errLarger     = errors.New("larger entries may lead")
 )
 
 // Candidate is an entry that leads, or waits until it does.
@@ -27,8 +22,7 @@
 	deps     Dependencies
 	metrics  metrics
 	fleet    *fleet
-	// resign is closed by Resign.
-	resign chan struct{}
+	resign   chan struct{}
 	// offeredTerm is the newest term whose leader has offered leadership to this entry.
 	offeredTerm atomic.Int64
 }
@@ -45,8 +39,7 @@
 	}
 }
 
-// Resign gives up leadership, if this entry leads, and lets it claim none again. It must be
-// called at most once.
+// Resign gives up leadership for good. It must be called at most once.
 func (c *Candidate) Resign() { close(c.resign) }
 
 func (c *Candidate) resigned() bool {
--- a/jobs/leader/fleet.go
+++ b/jobs/leader/fleet.go
@@ -23,25 +23,24 @@
 	clock  suspend.Clock
 	// cordons returns the cordoned zones, and when it was known that there are no others.
 	cordons func() (catalog.Cordons, time.Time)
-	// answers counts the answers that were made, those included that a held poll did not send.
+	// answers counts answers, also those not sent because the poll was held on.
 	answers tally.Counter
-	// decisionDue receives a value when a poll needs a decision.
+	// decisionDue has a value when a poll needs a decision.
 	decisionDue chan struct{}
 
 	mu sync.Mutex
 	// term is the one in which this entry leads; zero if it does not lead.
 	term int64
-	// fences is how many fences were given out in the term.
+	// fences counts those given out in the term.
 	fences int64
-	// proof is when the newest acknowledged append of the term was sent: this entry led then.
+	// proof is when the newest acknowledged append of the term was sent.
 	proof suspend.Instant
 	// published says that a decision of the term has been published.
 	published bool
-	// lastPoll is when the last poll of any agent arrived.
-	lastPoll time.Time
-	workers  map[string]*worker
-	// deciding are the workers with a poll or an expired lease that was taken into a decision and
-	// is not published yet.
+	lastPoll  time.Time
+	workers   map[string]*worker
+	// deciding are the workers with a poll or expired lease that was taken and is not published
+	// yet.
 	deciding map[*worker]bool
 }
 
@@ -57,7 +56,7 @@
 	}
 }
 
-// open begins a term, in which nothing is known of any worker.
+// open begins a term.
 func (f *fleet) open(term int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,7 +65,7 @@
 	f.workers, f.deciding = map[string]*worker{}, map[*worker]bool{}
 }
 
-// close ends the term: polls are redirected from now on, the held ones too.
+// close ends the term: polls are redirected from now on.
 func (f *fleet) close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -81,7 +80,7 @@
 	}
 }
 
-// workerOf returns the worker of a name. f.mu must be held.
+// workerOf returns the worker of a name, a new one if it has not been seen. f.mu must be held.
 func (f *fleet) workerOf(name string) *worker {
 	w := f.workers[name]
 	if w == nil {
@@ -98,7 +97,6 @@
 	return now.Sub(f.lastPoll)
 }
 
-// timedPoll is a poll with the time of its arrival.
 type timedPoll struct {
 	poll assignment.Poll
 	at   time.Time
@@ -120,10 +118,9 @@
 	return polls
 }
 
-// publish acknowledges the polls that were taken and puts in force what is desired of the workers
-// for which that has changed, all of which must be stored. It wakes only the polls that this
-// concerns: waking all of them at each decision is work that grows with the square of the
-// workers.
+// publish acknowledges the polls that were taken and puts in force what is desired anew; all of
+// it must be stored. It wakes only the held polls that this concerns: waking all at each decision
+// would be work that grows with the square of the workers.
 func (f *fleet) publish(changed map[string]dispatch.DesiredState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/jobs/leader/handover.go
+++ b/jobs/leader/handover.go
@@ -15,19 +15,18 @@
 
 // Times and numbers of offers.
 const (
-	// offerAfter is how long a write goes without success at least before the leader offers
-	// leadership to others.
+	// offerAfter is the least time that a write goes without success before leadership is
+	// offered.
 	offerAfter = 400 * time.Millisecond
 	// offerInterval is the time between two rounds of offers, offerTimeout bounds one offer.
 	offerInterval = 300 * time.Millisecond
 	offerTimeout  = 500 * time.Millisecond
-	// offersPerRound is how many entries get an offer in a round: enough that one of them reaches
-	// the log, few enough that not too many claim the term.
+	// offersPerRound is enough for one that reaches the log, and few enough that not too many
+	// claim.
 	offersPerRound = 5
-	// largerInterval is the time between two rounds of offers to larger entries, also after the
-	// beginning of a term. Nothing starts during a handover, so they must not follow one another.
+	// largerInterval is the time between offers to larger entries. Nothing starts during a
+	// handover, so they must not follow one another.
 	largerInterval = 2 * time.Second
-	// largerPerRound is how many larger entries get an offer in a round, one after the other.
 	largerPerRound = 3
 )
 
@@ -37,8 +36,8 @@
 	deps   Dependencies
 }
 
-// whileFailing offers leadership once a write has gone without success for a while, and until an
-// entry accepts or ctx ends. It calls accepted when one has.
+// whileFailing offers leadership once a write goes without success for a while, until an entry
+// accepts, which it reports by accepted, or ctx ends.
 func (h handover) whileFailing(ctx context.Context, accepted func()) {
 	began := time.Now()
 	wait := max(offerAfter, 2*h.deps.Latency.HedgeDelay(0))
@@ -52,7 +51,7 @@
 	}
 }
 
-// offerAny offers leadership to a few of the entries at once, and reports whether one accepts.
+// offerAny reports whether one of a few of the entries accepts.
 func (h handover) offerAny(ctx context.Context, addresses []string, failing time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, offerTimeout)
 	defer cancel()
@@ -80,9 +79,8 @@
 	return false
 }
 
-// toLarger offers leadership, now and then and until ctx ends, to entries that have many more
-// cores than this one. When one of them claims the next term, the leadership and with it ctx
-// ends.
+// toLarger offers leadership to entries with many more cores until ctx ends, as it does when one
+// of them has claimed the next term.
 func (h handover) toLarger(ctx context.Context, cores float64) {
 	for pause.For(ctx, largerInterval) {
 		for _, address := range sample.Draw(h.deps.Directory.LargerThan(cores), largerPerRound) {
@@ -93,8 +91,8 @@
 	}
 }
 
-// offer offers leadership to one entry, and reports whether it accepts. Failing is how long the
-// leader's write has gone without success; zero if it looks for a larger entry.
+// offer reports whether an entry accepts. Failing is how long the leader's write has gone without
+// success; zero in an offer to a larger entry.
 func (h handover) offer(ctx context.Context, address string, failing time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, offerTimeout)
 	defer cancel()
--- a/jobs/leader/leader.go
+++ b/jobs/leader/leader.go
@@ -52,8 +52,7 @@
 	Entry string
 	// Incarnation names this start of the entry.
 	Incarnation string
-	// Address is where agents and other entries reach it, such as 10.1.0.19:7000.
-	Address string
+	Address     string
 	// Cores is how many cores the entry has, in fractions too; zero if unknown.
 	Cores    float64
 	Timing   Timing
--- a/jobs/leader/leadership.go
+++ b/jobs/leader/leadership.go
@@ -19,7 +19,7 @@
 	formerLeases time.Time
 }
 
-// lead leads in a term until leadership is lost, and returns why.
+// lead leads until leadership is lost, and returns why.
 func (c *Candidate) lead(ctx context.Context, leader directory.Leader) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -45,7 +45,6 @@
 	}
 }
 
-// newLeadership returns the leadership of a term with all jobs that are stored.
 func (c *Candidate) newLeadership(leader directory.Leader) *leadership {
 	l := &leadership{
 		Candidate: c,
@@ -63,8 +62,8 @@
 	return l
 }
 
-// round decides once, rests, writes a heartbeat if one is due, and waits until there is something
-// to decide on. An error ends the leadership.
+// round decides, rests, writes a heartbeat if one is due, and waits. An error ends the
+// leadership.
 func (l *leadership) round(ctx context.Context) error {
 	// Taken before the decision: what changes during it wakes the wait.
 	jobs, operators := l.deps.Replica.JobsChanged(), l.deps.Catalog.Changed()
@@ -84,8 +83,8 @@
 	return l.checkLeading(ctx)
 }
 
-// decide takes what is new, decides, stores the decision and publishes it to the agents. It
-// returns how long it has worked, not counting the append.
+// decide takes what is new, decides, stores the decision, and publishes it. It returns the time
+// that this took without the append.
 func (l *leadership) decide(ctx context.Context) (worked time.Duration, err error) {
 	now := time.Now()
 	for _, p := range l.fleet.take() {
@@ -115,7 +114,7 @@
 	return worked, nil
 }
 
-// wait returns when there is something to decide on, or a heartbeat or decision is due by itself.
+// wait returns when there is something to decide on, or a heartbeat or decision is due.
 func (l *leadership) wait(ctx context.Context, jobs, operators <-chan struct{}) error {
 	timer := time.NewTimer(l.untilDue())
 	defer timer.Stop()
@@ -134,17 +133,15 @@
 	return nil
 }
 
-// minWait bounds from below the time between two rounds that are due by themselves.
+// minWait keeps rounds apart when something is overdue.
 const minWait = time.Millisecond
 
-// untilDue is how long it is until a heartbeat or a decision is due by itself.
 func (l *leadership) untilDue() time.Duration {
 	heartbeat := l.writer.written.Add(l.settings.Timing.HeartbeatInterval)
 	return max(min(time.Until(heartbeat), time.Until(l.controller.Next())), minWait)
 }
 
-// checkLeading returns an error if another entry leads, or if this one should let another one
-// lead.
+// checkLeading returns an error if another entry leads, or after giving up for lack of polls.
 func (l *leadership) checkLeading(ctx context.Context) error {
 	if current, _, _ := l.deps.Replica.Leader(); current.Term > l.writer.leader.Term {
 		return errSuperseded
@@ -155,7 +152,7 @@
 	return nil
 }
 
-// giveUp tells the others that nobody leads, and returns errResigned once that is stored.
+// giveUp records that nobody leads, and returns errResigned.
 func (l *leadership) giveUp(ctx context.Context) error {
 	l.writer.leader.Incarnation = ""
 	if err := l.writer.heartbeat(ctx); err != nil {
@@ -164,18 +161,17 @@
 	return errResigned
 }
 
-// Rest after a decision. A decision looks at all workers and all jobs, so the more there are the
-// longer it takes and the more often something is new: without rest decisions would take all of
-// the processor, and polls would wait for it.
+// Rest after a decision. Decisions look at all workers and jobs, and the more there are the more
+// often one is due: without rest they would take all of the processor, and polls would wait.
 const (
-	// restFactor is the rest as a multiple of the time that the decision took.
+	// restFactor is the rest in multiples of the time that the decision took.
 	restFactor = 2
-	// maxRest bounds the rest; one that would be shorter than minRest is left out.
+	// Rests are at most maxRest long; those under minRest are left out.
 	maxRest = 100 * time.Millisecond
 	minRest = 2 * time.Millisecond
 )
 
-// restAfter is how long to rest after a decision that took so long, not counting its append.
+// restAfter is the rest after a decision that took so long without its append.
 func restAfter(worked time.Duration) time.Duration {
 	rest := min(restFactor*worked, maxRest)
 	if rest < minRest {
--- a/jobs/leader/lease.go
+++ b/jobs/leader/lease.go
@@ -7,7 +7,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 )
 
-// prove notes that this entry led when an append was sent that has been acknowledged since.
+// prove notes when an acknowledged append was sent: this entry led then.
 func (f *fleet) prove(sent suspend.Instant) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -19,9 +19,8 @@
 	}
 }
 
-// lease is how long a lease is that is granted now: zero if the proof of leadership is too old,
-// because a successor may count on there being none. Time for which this machine was suspended
-// counts. f.mu must be held.
+// lease is the length of a lease granted now: zero if the proof of leadership is too old,
+// suspensions included, since a successor counts on that. f.mu must be held.
 func (f *fleet) lease() time.Duration {
 	if f.clock.Since(f.proof) > f.timing.MaxProofAge {
 		return 0
@@ -29,8 +28,8 @@
 	return f.timing.Lease
 }
 
-// leaseFor is how long a lease a poll gets now. An agent that does not reach its worker gets
-// none, so that what an earlier agent may have left there ends. f.mu must be held.
+// leaseFor is the lease for a poll. An agent that does not reach its worker gets none: what an
+// earlier agent left there must end. f.mu must be held.
 func (f *fleet) leaseFor(w *worker, poll assignment.Poll) time.Duration {
 	if poll.State == nil || poll.Unresponsive || w.expired {
 		return 0
@@ -38,11 +37,10 @@
 	return f.lease()
 }
 
-// expire returns those of the workers whose last lease has ended for sure, and marks them: they
-// get neither lease nor orders until the decision on it is published. Leases of a former leader
-// were granted until formerLeases at the latest. It holds the lock under which leases are
-// granted, so an agent that comes back at this moment either has got a lease before, or gets
-// none.
+// expire returns the workers whose last lease has ended for sure. They get neither lease nor
+// orders until the decision on that is published. Leases are granted under the same lock, so an
+// agent that comes back meanwhile was granted one before, or gets none. A former leader granted
+// its last one at formerLeases at the latest.
 func (f *fleet) expire(workers map[string]bool, now, formerLeases time.Time) map[string]bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -65,9 +63,9 @@
 	return expired
 }
 
-// zoneOpen reports whether a zone is not cordoned, and the age of the proof of that in
-// milliseconds, rounded up. It looks when the answer is made and not when the leader decides, so
-// that a leader that is held up in a decision tells no age that is too young. f.mu must be held.
+// zoneOpen reports whether a zone is not cordoned, and the age of the proof, rounded up. It looks
+// when the answer is made: a leader that is held up in a decision must not make the proof look
+// younger. f.mu must be held.
 func (f *fleet) zoneOpen(zone string, now time.Time) (open bool, ageMillis int64) {
 	cordons, proof := f.cordons()
 	if proof.IsZero() || cordons.Has(zone) {
--- a/jobs/leader/poll.go
+++ b/jobs/leader/poll.go
@@ -19,17 +19,17 @@
 // fenceBits is how many bits of a fence count the agents' incarnations within a term.
 const fenceBits = 20
 
-// reply is an answer to a poll as things stand.
+// reply is an answer that may be held back.
 type reply struct {
 	answer assignment.Answer
-	// urgent says that the agent has something to do, so the poll must not be held.
+	// urgent says that the agent has something to do.
 	urgent bool
 	// changed is closed when the answer may be another one.
 	changed <-chan struct{}
 }
 
-// serve answers a poll, after holding it while there is nothing to do. It returns false if this
-// entry does not lead, or not in the term that the agent knows.
+// serve answers a poll, after holding it while there is nothing to do; false if this entry does
+// not lead in a term that the agent accepts.
 func (f *fleet) serve(ctx context.Context, poll assignment.Poll) (assignment.Answer, bool) {
 	arrived := time.Now()
 	poll, err := f.receive(poll)
@@ -56,9 +56,9 @@
 	}
 }
 
-// receive keeps a poll as the worker's newest, unless it was overtaken by a newer one, and
-// returns it in full if it was a delta. A poll that needs no decision waits for the next one:
-// decisions for each of the polls would be work that grows with the square of the workers.
+// receive keeps a poll as the worker's newest, unless a newer one has overtaken it, and returns
+// it in full. Polls that need no decision wait for the next one: a decision for each would be
+// work that grows with the square of the workers.
 func (f *fleet) receive(poll assignment.Poll) (assignment.Poll, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -101,7 +101,6 @@
 	w.wake()
 }
 
-// requestDecision wakes the leading goroutine.
 func (f *fleet) requestDecision() {
 	select {
 	case f.decisionDue <- struct{}{}:
@@ -109,8 +108,7 @@
 	}
 }
 
-// requestFull is the answer to a delta to an unknown poll: it tells the agent on which poll it
-// may build, and gives no lease or orders.
+// requestFull answers a delta to an unknown poll with the one on which the agent may build.
 func (f *fleet) requestFull(poll assignment.Poll) (assignment.Answer, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -121,8 +119,8 @@
 	return f.acknowledge(w), true
 }
 
-// session returns the worker of a poll; false if the term has ended, or the poll is of a former
-// incarnation of its agent. f.mu must be held.
+// session returns the worker of a poll, unless the term has ended or the poll is a former
+// agent's. f.mu must be held.
 func (f *fleet) session(poll assignment.Poll) (*worker, bool) {
 	w := f.workers[poll.Worker]
 	if f.term == 0 || w == nil || w.agent.incarnation != poll.Agent {
@@ -131,7 +129,7 @@
 	return w, true
 }
 
-// acknowledge is an answer that says only what is stored of the agent's polls.
+// acknowledge returns an answer without lease and orders. f.mu must be held.
 func (f *fleet) acknowledge(w *worker) assignment.Answer {
 	return assignment.Answer{
 		Term:      f.term,
@@ -141,7 +139,7 @@
 	}
 }
 
-// answer answers a poll as things stand; false as for serve.
+// answer makes the answer to a poll as things stand.
 func (f *fleet) answer(poll assignment.Poll, arrived time.Time) (reply, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -198,8 +196,7 @@
 	r.urgent = len(a.Start) > 0 || len(a.Stop) > 0 || len(a.StopUnlisted) > 0 || a.AckedEnd > poll.AckedEnd
 }
 
-// knownRuns are the runs that a poll names: those that are on the worker, have ended or were
-// refused.
+// knownRuns are the runs that a poll names.
 func knownRuns(poll assignment.Poll) map[assignment.RunID]bool {
 	known := make(map[assignment.RunID]bool, len(poll.Runs)+len(poll.Ends)+len(poll.Refused))
 	for _, r := range poll.Runs {
--- a/jobs/leader/prune.go
+++ b/jobs/leader/prune.go
@@ -21,22 +21,20 @@
 
 // Pace of the checks.
 const (
-	// pruneInterval is the time between two rounds of checks.
 	pruneInterval = 2 * time.Second
 	// pruneSample is how many entries are checked in a round besides the standbys.
 	pruneSample = 3
 	// pruneMisses is how many checks in a row an entry fails before it is deregistered. One that
 	// was only cut off registers again.
-	pruneMisses = 3
-	// pruneTimeout bounds a check.
+	pruneMisses  = 3
 	pruneTimeout = 500 * time.Millisecond
 )
 
-// pruner deregisters entries that are gone. The directory keeps registrations for good: in time
-// all standbys would be boxes that no longer exist, and agents and entries would call such ones.
+// pruner deregisters entries that are gone. Otherwise all standbys would in time be boxes that no
+// longer exist.
 type pruner struct {
 	deps Dependencies
-	// self is the address of this entry, which it does not check.
+	// self is this entry's address.
 	self string
 	// misses counts the failed checks in a row, by entry.
 	misses map[string]int
@@ -46,7 +44,6 @@
 	return &pruner{deps: deps, self: self, misses: map[string]int{}}
 }
 
-// run checks entries until ctx ends.
 func (p *pruner) run(ctx context.Context) {
 	for pause.For(ctx, pruneInterval) {
 		gone := p.check(ctx, p.choose())
@@ -65,8 +62,7 @@
 	}
 }
 
-// choose returns the entries to check, with their addresses: the standbys, those that failed
-// their last check, and a few others.
+// choose returns the entries to check, with their addresses.
 func (p *pruner) choose() map[string]string {
 	addresses := p.deps.Directory.AddressesByName()
 	names := slices.Concat(
@@ -83,8 +79,8 @@
 	return chosen
 }
 
-// check checks entries, all at once, and returns those that have failed pruneMisses checks in a
-// row.
+// check checks entries at their addresses, and returns those that have failed pruneMisses checks
+// in a row.
 func (p *pruner) check(ctx context.Context, addresses map[string]string) (gone []string) {
 	var mu sync.Mutex
 	var wg conc.WaitGroup
@@ -106,7 +102,6 @@
 	return gone
 }
 
-// answers reports whether something answers at an entry's address.
 func (p *pruner) answers(ctx context.Context, address string) bool {
 	if address == p.self {
 		return true
--- a/jobs/leader/takeover.go
+++ b/jobs/leader/takeover.go
@@ -12,7 +12,6 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// probeTimeout bounds the read by which an entry makes sure that it reaches the log.
 const probeTimeout = 250 * time.Millisecond
 
 // ServeHandover answers a leader's offer: 200 if this entry claims the next term, 409 if not.
@@ -31,10 +30,9 @@
 	jsonhttp.Write(w, http.StatusOK, struct{}{})
 }
 
-// accept has this entry claim the term after the offered one, or returns why it won't. It
-// declines if it has lost the log for a part of the time for which the leader has: then all have,
-// and another leader would gain nothing. For the same reason a small entry declines at first
-// while there are larger ones.
+// accept has this entry claim the next term, or returns why not. An entry that has lost the log
+// as well declines: nothing would be gained. A small one declines at first while there are larger
+// ones.
 func (c *Candidate) accept(ctx context.Context, offer assignment.Handover) error {
 	if c.resigned() {
 		return errResigned
@@ -56,7 +54,6 @@
 	return nil
 }
 
-// probe returns an error if this entry does not reach the log.
 func (c *Candidate) probe(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/jobs/leader/worker.go
+++ b/jobs/leader/worker.go
@@ -14,18 +14,16 @@
 	agent   agentSession
 	reports reports
 	history history
-	// pending says that the newest poll has not been taken by the leading goroutine.
+	// pending says that the newest poll is not taken yet.
 	pending bool
 
 	// granted is when the newest lease was granted.
 	granted time.Time
-	// expired says that the leading goroutine has found the last lease to have ended, and has not
-	// published what follows from that.
+	// expired says that the lease was found to have ended, and what follows is not published yet.
 	expired bool
 
-	// desired is what the leading goroutine has published last.
 	desired dispatch.DesiredState
-	// changed is closed and replaced when held polls of the agent are to be answered again.
+	// changed is closed and replaced to have held polls answered again.
 	changed chan struct{}
 }
 
@@ -33,7 +31,6 @@
 	return &worker{agent: agentSession{former: map[string]bool{}}, changed: make(chan struct{})}
 }
 
-// wake has the held polls of the worker's agent answered again.
 func (w *worker) wake() {
 	close(w.changed)
 	w.changed = make(chan struct{})
@@ -42,13 +39,12 @@
 // agentSession is the newest incarnation of a worker's agent.
 type agentSession struct {
 	incarnation string
-	// former holds the earlier incarnations, whose polls are rejected.
+	// former holds the incarnations whose polls are rejected.
 	former map[string]bool
-	// fence is what the worker is to obey; it rises with each incarnation of the agent.
+	// fence rises with each incarnation; the worker obeys the highest.
 	fence int64
 }
 
-// replace begins the session of another incarnation of the agent.
 func (s *agentSession) replace(incarnation string, fence int64) {
 	if s.incarnation != "" {
 		s.former[s.incarnation] = true
@@ -60,14 +56,13 @@
 type reports struct {
 	newest  assignment.Poll
 	arrived time.Time
-	// base is the newest poll that is no delta: deltas are built on it.
+	// base is the newest poll that is no delta.
 	base assignment.Poll
-	// taken is the sequence number of the poll that the leading goroutine took last, acked that
-	// of the poll all of whose consequences are stored.
+	// taken and acked are the sequence numbers of the newest poll that was taken into a decision,
+	// and of that whose consequences are stored.
 	taken, acked int64
 }
 
-// add keeps a poll as the newest. Full says that it was sent as it is, and not as a delta.
 func (r *reports) add(poll assignment.Poll, full bool, arrived time.Time) {
 	if full {
 		r.base = poll
@@ -75,17 +70,16 @@
 	r.newest, r.arrived = poll, arrived
 }
 
-// maxFormer is how many former incarnations of a worker are kept for operators.
+// maxFormer bounds the former incarnations that are kept.
 const maxFormer = 5
 
-// history holds the incarnations of a worker that this leader has seen.
+// history holds the worker's incarnations, for operators.
 type history struct {
 	current incarnation.ID
-	// former are the earlier ones, the newest first.
+	// The newest of former comes first.
 	former []incarnation.ID
 }
 
-// add notes the incarnation of a poll whose worker has listed what it runs.
 func (h *history) add(poll assignment.Poll) {
 	if poll.State == nil || !poll.Complete || h.current == poll.State.ID {
 		return
--- a/jobs/leader/writer.go
+++ b/jobs/leader/writer.go
@@ -13,7 +13,7 @@
 
 // Times of an append.
 const (
-	// appendTimeout bounds one attempt, appendRetryDelay follows a failed one.
+	// appendTimeout bounds an attempt, appendRetryDelay follows a failed one.
 	appendTimeout    = 3 * time.Second
 	appendRetryDelay = 60 * time.Millisecond
 	// slowAppend is the duration above which an append is logged.
@@ -31,14 +31,13 @@
 	written time.Time
 }
 
-// newTermWriter returns the writer of a term that has just begun.
 func newTermWriter(leader directory.Leader, deps Dependencies, f *fleet) *termWriter {
 	return &termWriter{leader: leader, deps: deps, fleet: f, written: time.Now()}
 }
 
-// write appends records and retries until they are stored. It fails with errSuperseded when a
-// later term has begun, with errHandedOver when another entry takes over because this one does
-// not reach the log, and with the error of ctx.
+// write appends records and retries until they are stored. It fails with errSuperseded in a later
+// term, with errHandedOver when another entry takes over because this one can't write, and when
+// ctx ends.
 func (w *termWriter) write(ctx context.Context, records []topic.Record) error {
 	w.sequence++
 	began := w.deps.Suspension.Now()
@@ -53,15 +52,13 @@
 		return err
 	}
 	w.logSlow(began, offset, len(records))
-	// Any of the attempts may be the one that was carried out: only the first one's time is safe.
+	// Which attempt was carried out is unknown, so only the first one's time is a proof.
 	w.written = w.deps.Suspension.Monotonic(began)
 	w.fleet.prove(began)
 	w.deps.Replica.ApplyLocal(records, offset)
 	return nil
 }
 
-// call is the append of records under the current sequence number, and returns their first
-// offset.
 func (w *termWriter) call(records []topic.Record) hedge.Call[int64] {
 	condition := topic.Condition{Producer: directory.TermProducer(w.leader.Term, w.sequence)}
 	return hedge.Call[int64]{
@@ -77,7 +74,6 @@
 	}
 }
 
-// attempt appends once.
 func (w *termWriter) attempt(ctx context.Context, try int, records []topic.Record, c topic.Condition) (int64, error) {
 	if current, _, _ := w.deps.Replica.Leader(); current.Term > w.leader.Term {
 		return 0, errSuperseded
