--- /dev/null
+++ b/jobs/leader/workers_test.go
@@ -0,0 +1,39 @@
+package leader
+
+import (
+	"testing"
+
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+)
+
+// TestWorkerList: operators see each worker that has reported, what its agent lists, and the
+// cordon of its zone.
+func TestWorkerList(t *testing.T) {
+	withLeases(t, func(t *testing.T, fl *fleet) {
+		inZone := present
+		inZone.Zone = "zone-1"
+		p := poll(1)
+		p.State, p.Runs = &inZone, []assignment.Run{{RunID: desiredRun}}
+		ask(t, fl, p)
+		cordons = catalog.Cordons{}.With(catalog.Cordon{Zone: "zone-1", Revision: 7})
+		list, ok := fl.status()
+		if !ok || len(list) != 1 {
+			t.Fatalf("got %+v, %v", list, ok)
+		}
+		if w := list[0]; w.Worker != "w" || w.Runs != 1 || w.Cordon == nil || w.Cordon.Revision != 7 {
+			t.Errorf("got %+v", w)
+		}
+		next := inZone
+		next.ID.StartMillis++
+		p.Sequence, p.State = 2, &next
+		ask(t, fl, p)
+		if list, _ := fl.status(); list[0].Life != next.ID || len(list[0].Former) != 1 || list[0].Former[0] != inZone.ID {
+			t.Errorf("after a new start under the same id: %+v", list)
+		}
+		fl.close()
+		if list, ok := fl.status(); ok {
+			t.Errorf("an entry that does not lead lists %+v", list)
+		}
+	})
+}
