--- a/cmd/yarrowgraded/jobentry.go
+++ b/cmd/yarrowgraded/jobentry.go
@@ -121,7 +121,7 @@
 		WithSuspension(suspension).
 		WithStandby(func() bool { return e.directory.IsStandby(s.Node) })
 	relay := topic.NewRelayClient(
-		openTopic(platform.OperatorTopic), catalog.NewsPath, client, e.relayAddresses, t.Log)
+		openTopic(platform.OperatorTopic), catalog.RelayPath, client, e.relayAddresses, t.Log)
 	e.catalog = catalog.NewFollower(relay, platform.OperatorFormat(s.ZoneNames()), t.Log).
 		WithSuspension(suspension).
 		WithReaders(e.directory.Count, e.replica.Leading)
@@ -227,7 +227,7 @@
 	internal.HandlerFunc(http.MethodPost, assignment.HandoverPath, e.candidate.ServeHandover)
 	admission.NewOperators(e.replica, e.catalog).Register(internal)
 	internal.HandlerFunc(http.MethodGet, leader.WorkersPath, e.candidate.ServeWorkers)
-	internal.Handler(http.MethodGet, catalog.NewsPath, e.catalog.RelayServer())
+	internal.Handler(http.MethodGet, catalog.RelayPath, e.catalog.RelayServer())
 	internal.Handler(http.MethodGet, "/metrics", e.telemetry.MetricsHandler)
 	return serveAll(e.telemetry.Log, map[string]http.Handler{
 		e.settings.CallerAddress:              closeWhenDraining(platform.NewCallers(e.admission), e.draining),
