--- a/jobs/jobstore/writer_test.go
+++ b/jobs/jobstore/writer_test.go
@@ -161,6 +161,32 @@
 	})
 }
 
+// fleet starts entries that store records for each other, and returns the first. The log rejects
+// the given number of them, from the first on. asked counts the records that entries were asked to
+// store.
+func fleet(ctx context.Context, log *jobtest.Log, entries, rejected int, asked *atomic.Int64) *jobstore.Writer {
+	network := memnet.New()
+	names := make([]string, entries)
+	for i := range names {
+		names[i] = fmt.Sprintf("entry-%02d", i)
+	}
+	var first *jobstore.Writer
+	for i, name := range names {
+		entry := newWriter(ctx, log, name, func() []string { return names }, network.Client("http://"+name))
+		network.Attach("http://"+name, routerOf(func(w http.ResponseWriter, r *http.Request) {
+			asked.Add(1)
+			entry.ServeWrite(w, r)
+		}))
+		if i == 0 {
+			first = entry
+		}
+		if i < rejected {
+			log.SetFault(name, jobtest.Fault{Refuse: true})
+		}
+	}
+	return first
+}
+
 // TestFewAreAsked: in a large fleet a rejection doesn't wait for each entry, also when the log
 // rejects the first of them, and where it rejects only part of the entries the others are found.
 func TestFewAreAsked(t *testing.T) {
@@ -178,26 +204,8 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
-				network := memnet.New()
-				var names []string
-				for i := range entries {
-					names = append(names, fmt.Sprintf("entry-%02d", i))
-				}
 				var asked atomic.Int64
-				var w *jobstore.Writer
-				for i, name := range names {
-					entry := newWriter(ctx, log, name, func() []string { return names }, network.Client("http://"+name))
-					network.Attach("http://"+name, routerOf(func(w http.ResponseWriter, r *http.Request) {
-						asked.Add(1)
-						entry.ServeWrite(w, r)
-					}))
-					if i == 0 {
-						w = entry
-					}
-					if i < test.rejected {
-						log.SetFault(name, jobtest.Fault{Refuse: true})
-					}
-				}
+				w := fleet(ctx, log, entries, test.rejected, &asked)
 				time.Sleep(100 * time.Millisecond)
 				for range entries {
 					asked.Store(0)
