--- a/internal/hedge/hedge_test.go
+++ b/internal/hedge/hedge_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -25,11 +26,11 @@
 // number of the reply.
 type service struct {
 	replies []reply
-	begun   int
+	begun   atomic.Int64
 }
 
 func (s *service) attempt(ctx context.Context, number int) (int, error) {
-	s.begun++
+	s.begun.Add(1)
 	number = min(number, len(s.replies)-1)
 	r := s.replies[number]
 	select {
@@ -50,7 +51,7 @@
 		want    int
 		err     error
 		took    time.Duration
-		begun   int
+		begun   int64
 	}{
 		{"the first answers", []reply{{10 * ms, nil}}, Call[int]{}, 0, nil, 10 * ms, 1},
 		{"a lost answer", []reply{{time.Hour, nil}, {10 * ms, nil}}, Call[int]{}, 1, nil, 110 * ms, 2},
@@ -78,8 +79,8 @@
 				if err == nil && got != test.want || !errors.Is(err, test.err) {
 					t.Errorf("got %d, %v; want %d, %v", got, err, test.want, test.err)
 				}
-				if took := time.Since(began); took != test.took || s.begun != test.begun {
-					t.Errorf("took %v with %d attempts, want %v with %d", took, s.begun, test.took, test.begun)
+				if took := time.Since(began); took != test.took || s.begun.Load() != test.begun {
+					t.Errorf("took %v with %d attempts, want %v with %d", took, s.begun.Load(), test.took, test.begun)
 				}
 			})
 		})
@@ -93,8 +94,8 @@
 		defer cancel()
 		s := service{replies: []reply{{time.Hour, nil}}}
 		_, err := Call[int]{Attempt: s.attempt, HedgeAfter: after, Timeout: time.Second}.Do(ctx)
-		if !errors.Is(err, context.DeadlineExceeded) || s.begun != 4 {
-			t.Errorf("got %v after %d attempts, want the deadline after 4", err, s.begun)
+		if !errors.Is(err, context.DeadlineExceeded) || s.begun.Load() != 4 {
+			t.Errorf("got %v after %d attempts, want the deadline after 4", err, s.begun.Load())
 		}
 	})
 }
