--- a/jobs/admission/admission_test.go
+++ b/jobs/admission/admission_test.go
@@ -20,14 +20,18 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// service is an admission service whose configuration has one open queue, beside a log that a test gives faults to.
+// service is an admission service with one public queue, whose logs a test gives faults to.
 func service(ctx context.Context, log, config *jobtest.Log, logger zerolog.Logger) *admission.Service {
 	replica := jobstore.NewReplica(log.Client("e"), func() int { return 1 }, logger)
-	follower := catalog.NewFollower(config.Client("e"), catalog.Format{ConfigKey: "config", Config: func([]byte) (*catalog.Catalog, error) {
-		c := catalog.Catalog{Version: 1, Queues: []catalog.Queue{{Name: "q", Host: "h", Prefix: "/q/", Service: "s", Public: true, MaxAttempts: 1}}}
-		return c.WithIndex(), nil
-	}}, logger)
-	writer := jobstore.NewWriter(log.Client("e"), replica.Latency(), replica, func() []string { return nil }, "e", http.DefaultClient, logger)
+	queue := catalog.Queue{Name: "q", Host: "h", Prefix: "/q/", Service: "s", Public: true, MaxAttempts: 1}
+	follower := catalog.NewFollower(config.Client("e"), catalog.Format{
+		ConfigKey: "config",
+		Config: func([]byte) (*catalog.Catalog, error) {
+			return catalog.Catalog{Version: 1, Queues: []catalog.Queue{queue}}.WithIndex(), nil
+		},
+	}, logger)
+	noPeers := func() []string { return nil }
+	writer := jobstore.NewWriter(log.Client("e"), replica.Latency(), replica, noPeers, "e", http.DefaultClient, logger)
 	go replica.Run(ctx)
 	go follower.Run(ctx)
 	return admission.New(admission.Settings{KeyProof: 5 * time.Second}, admission.Dependencies{
@@ -35,8 +39,8 @@
 	})
 }
 
-// TestRefusals: what can't be kept is refused at once, never runs, and says when to come back: the longer the log has been
-// away, the later. The cause is in the log.
+// TestRefusals: a submission that can't be stored is refused at once and never runs. The longer
+// the log has been away, the later the caller is to come back. The cause is logged.
 func TestRefusals(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -57,7 +61,8 @@
 				log, config := jobtest.NewLog(1), jobtest.NewLog(2)
 				var lines strings.Builder
 				s := service(ctx, log, config, zerolog.New(zerolog.SyncWriter(&lines)))
-				if _, err := config.Client("o").Append(ctx, []topic.Record{{Key: "config", Value: []byte("1")}}, topic.Condition{}); err != nil {
+				records := []topic.Record{{Key: "config", Value: []byte("1")}}
+				if _, err := config.Client("o").Append(ctx, records, topic.Condition{}); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(time.Second)
--- a/jobs/assignment/delta_test.go
+++ b/jobs/assignment/delta_test.go
@@ -7,19 +7,29 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// TestOn: a poll that says what has changed since another one is taken only on that one, and
-// says then what it would have said in full.
+// TestOn: a delta is expanded only on the poll that it builds on, and then says what the full
+// poll would have said.
 func TestOn(t *testing.T) {
 	run := func(i int) RunID { return RunID{Task: job.TaskName{Job: "0000000000000001", Index: i}, Run: 2} }
 	base := Poll{
-		Worker: "w", Agent: "a", Sequence: 7, Term: 3, Complete: true, AckedEnd: 4, State: &WorkerState{ID: incarnation.ID{Instance: "x", StartMillis: 1}},
-		Runs: []Run{{RunID: run(0), Percent: 10, AgeMillis: 900, ListedMillis: 800}, {RunID: run(1), Percent: 20}},
+		Worker:   "w",
+		Agent:    "a",
+		Sequence: 7,
+		Term:     3,
+		Complete: true,
+		AckedEnd: 4,
+		State:    &WorkerState{ID: incarnation.ID{Instance: "x", StartMillis: 1}},
+		Runs:     []Run{{RunID: run(0), Percent: 10, AgeMillis: 900, ListedMillis: 800}, {RunID: run(1), Percent: 20}},
 	}
-	next := Poll{Worker: "w", Agent: "a", Sequence: 9, Term: 3, Wait: true, Delta: &Delta{Sequence: 7, Millis: 500, ListedMillis: 450, Percents: []int{15, 25}}}
+	delta := &Delta{Sequence: 7, Millis: 500, ListedMillis: 450, Percents: []int{15, 25}}
+	next := Poll{Worker: "w", Agent: "a", Sequence: 9, Term: 3, Wait: true, Delta: delta}
 	got, ok := next.Expand(base)
-	if !ok || got.Sequence != 9 || !got.Wait || got.AckedEnd != 4 || !got.Complete || got.State != base.State || got.Delta != nil {
+	if !ok || got.Sequence != 9 || !got.Wait || got.Delta != nil {
 		t.Fatalf("got %+v, %v", got, ok)
 	}
+	if got.AckedEnd != 4 || !got.Complete || got.State != base.State {
+		t.Fatalf("got %+v", got)
+	}
 	if want := (Run{RunID: run(0), Percent: 15, AgeMillis: 1400, ListedMillis: 1250}); got.Runs[0] != want {
 		t.Errorf("the first run is %+v, want %+v", got.Runs[0], want)
 	}
--- a/jobs/runner/delta_test.go
+++ b/jobs/runner/delta_test.go
@@ -14,8 +14,9 @@
 	return assignment.RunID{Task: job.TaskName{Job: "00000000000000ff", Index: index}, Run: 1}
 }
 
-// TestUnchangedIsNotToldAgain: an agent with eight runs told the same 1.1 KB twice a second. What a poll says while nothing but percentages changes is a number for each
-// run. What ends is told in full.
+// TestUnchangedIsNotToldAgain: an agent with eight runs sent the same 1.1 KB twice a second.
+// While nothing but percentages changes, a poll must have only a number for each run. Ends are
+// reported in full.
 func TestUnchangedIsNotToldAgain(t *testing.T) {
 	for _, n := range []int{4, 8} {
 		within(t, func(t *testing.T, a *agent) {
@@ -37,14 +38,17 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				// Who polls, when, and on what it builds take some 150 bytes, a percentage and its comma up to four.
+				// The poll's frame takes some 150 bytes, a percentage and its comma up to four.
 				if p.Delta == nil || len(data) > 150+4*n {
 					t.Errorf("with %d runs of which nothing but percentages changes a poll has %d bytes: %s", n, len(data), data)
 				}
 			}
 			full, ok := last.Expand(a.leader.described(last.Delta.Sequence))
-			if !ok || len(full.Runs) != n || full.Runs[0].Percent <= 0 || full.Runs[0].Percent >= 100 || full.State == nil || !full.Complete {
-				t.Errorf("the leader understands %+v", full)
+			if !ok || len(full.Runs) != n || full.State == nil || !full.Complete {
+				t.Fatalf("the leader understands %+v", full)
+			}
+			if percent := full.Runs[0].Percent; percent <= 0 || percent >= 100 {
+				t.Errorf("the leader understands that the first run is at %d %%", percent)
 			}
 			time.Sleep(3 * time.Second)
 			if p := a.leader.last(); p.Delta != nil || len(p.Ends) != n {
@@ -54,7 +58,7 @@
 	}
 }
 
-// after lists the polls after one.
+// after lists the polls after the one with a number.
 func (o *leader) after(sequence int64) []assignment.Poll {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -67,5 +71,5 @@
 	return polls
 }
 
-// described is the poll of that number.
+// described is the poll with a number.
 func (o *leader) described(sequence int64) assignment.Poll { return o.after(sequence - 1)[0] }
--- a/jobs/runner/fixture_test.go
+++ b/jobs/runner/fixture_test.go
@@ -26,14 +26,14 @@
 	heard  bool
 	polls  []assignment.Poll
 	down   bool
-	// keeps says that it keeps polls that describe the worker, so that later ones may build on them.
+	// keeps says that it keeps full polls, so that deltas may build on them.
 	keeps bool
 	base  int64
-	// during happens while each poll is under way, if it is set.
+	// during, if set, is called while each poll is under way.
 	during func()
 }
 
-// Poll implements runner.Leader. What a poll does not name and is wanted is started.
+// Poll implements runner.Leader.
 func (o *leader) Poll(ctx context.Context, p assignment.Poll) (assignment.Answer, error) {
 	o.mu.Lock()
 	o.polls = append(o.polls, p)
@@ -85,7 +85,7 @@
 	return newest
 }
 
-// agent is a runner beside a stand-in worker.
+// agent is a runner beside a worker of jobtest.
 type agent struct {
 	leader  *leader
 	workers *jobtest.Workers
@@ -100,13 +100,29 @@
 // suspended is for how long the agent's machine was suspended, in nanoseconds.
 var suspended atomic.Int64
 
+// agentSettings are those of an agent's process beside worker w.
+func agentSettings(process string) runner.Settings {
+	return runner.Settings{Name: "w", Agent: process, Lease: lease, Drift: 0.03, CordonWithin: jobtest.CordonBound}
+}
+
+// granting is a leader that grants leases in an open zone.
+func granting() *leader {
+	return &leader{answer: assignment.Answer{Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds(), ZoneOpen: true}}
+}
+
 // startAgent starts a runner beside a worker of two accelerators.
 func startAgent(ctx context.Context, t *testing.T, o *leader) *agent {
 	a := &agent{workers: jobtest.NewWorkers(1), leader: o}
-	a.workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{{Tasks: 1, Resources: job.Resources{Accelerators: 1}}}})
+	step := job.Step{Tasks: 1, Resources: job.Resources{Accelerators: 1}}
+	a.workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{step}})
 	a.worker = a.workers.Add("w", "s", "z", "r", job.Resources{Accelerators: 2})
-	a.runner = runner.New(runner.Settings{Name: "w", Agent: "1", Lease: lease, Drift: 0.03, CordonWithin: jobtest.CordonBound},
-		runner.Dependencies{Worker: a.worker, Leader: a.leader, Logger: zerolog.Nop(), Metrics: tally.NoopScope, Suspension: func() time.Duration { return time.Duration(suspended.Load()) }})
+	a.runner = runner.New(agentSettings("1"), runner.Dependencies{
+		Worker:     a.worker,
+		Leader:     a.leader,
+		Logger:     zerolog.Nop(),
+		Metrics:    tally.NoopScope,
+		Suspension: func() time.Duration { return time.Duration(suspended.Load()) },
+	})
 	go a.workers.Run(ctx)
 	go a.runner.Run(ctx)
 	first, _ := a.worker.Beat()
@@ -117,7 +133,7 @@
 func within(t *testing.T, f func(t *testing.T, a *agent)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		a := startAgent(ctx, t, &leader{answer: assignment.Answer{Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds(), ZoneOpen: true}})
+		a := startAgent(ctx, t, granting())
 		time.Sleep(time.Second)
 		f(t, a)
 		for _, b := range a.workers.Report() {
--- a/jobs/runner/golden_test.go
+++ b/jobs/runner/golden_test.go
@@ -58,8 +58,8 @@
 	return bytes.Clone(w.requests.Bytes())
 }
 
-// TestGoldenExchange: what is sent to a leader and to entries that are asked for it, and what is learnt from the
-// answers.
+// TestGoldenExchange: what is sent to a leader and to entries that are asked for it, and what
+// is learnt from the answers.
 func TestGoldenExchange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -140,7 +140,8 @@
 	time.Sleep(3 * time.Second)
 }
 
-// lineShapes are the lines of a log as their levels, steps, fields and whether there is a text, each once.
+// lineShapes are the lines of a log as their levels, steps, fields and whether there is a text,
+// each once.
 func lineShapes(t *testing.T, log []byte) []byte {
 	t.Helper()
 	shapes := map[string]bool{}
@@ -155,7 +156,8 @@
 	return []byte(strings.Join(slices.Sorted(maps.Keys(shapes)), ""))
 }
 
-// TestGoldenLogLines: the steps and the fields of what an agent logs, which operators' tools read.
+// TestGoldenLogLines: the steps and the fields of what an agent logs, which operators' tools
+// read.
 func TestGoldenLogLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/jobs/runner/incarnations_test.go
+++ b/jobs/runner/incarnations_test.go
@@ -10,7 +10,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 )
 
-// TestNewLife: a life that is over is told, and its runs are forgotten.
+// TestNewLife: the end of an incarnation is reported, and its runs are forgotten.
 func TestNewLife(t *testing.T) {
 	within(t, func(t *testing.T, a *agent) {
 		a.leader.set(func(answer *assignment.Answer) { answer.Start = []assignment.Start{{RunID: id(1)}} })
@@ -21,26 +21,37 @@
 		time.Sleep(50 * time.Millisecond)
 		next, _ := a.worker.Beat()
 		if !a.runner.Heartbeat(t.Context(), next) || a.runner.Heartbeat(t.Context(), old) {
-			t.Error("the new life must be taken and the old one not")
+			t.Error("the new incarnation must be taken and the old one not")
 		}
 		time.Sleep(time.Second)
-		if p := a.leader.last(); p.State.ID != next.ID || len(p.Runs) != 0 || len(p.EndedIncarnations) != 1 || p.EndedIncarnations[0].ID != old.ID {
-			t.Errorf("life %v, runs %+v, over %v", p.State.ID, p.Runs, p.EndedIncarnations)
+		p := a.leader.last()
+		if p.State.ID != next.ID || len(p.Runs) != 0 {
+			t.Errorf("the incarnation is %v, and the runs %+v", p.State.ID, p.Runs)
+		}
+		if len(p.EndedIncarnations) != 1 || p.EndedIncarnations[0].ID != old.ID {
+			t.Errorf("the ended incarnations are %+v", p.EndedIncarnations)
 		}
 	})
 }
 
-// TestLifeEnd: where a worker goes, the agent says how, and what was there: a run that had begun with its age, one whose start got no answer, and
-// none that was never sent.
+// TestLifeEnd: the report of an incarnation's end says how it ended and what was running: a run
+// that had started with its age, one whose start got no answer, and none whose start was never
+// sent.
 func TestLifeEnd(t *testing.T) {
-	begun := assignment.InterruptedRun{RunID: id(1), Started: true, AgeMillis: 400}
+	started := assignment.InterruptedRun{RunID: id(1), Started: true, AgeMillis: 400}
+	ending := func(runs ...assignment.InterruptedRun) assignment.IncarnationEnd {
+		return assignment.IncarnationEnd{Runs: runs}
+	}
+	crashAfter := func(d time.Duration) func(*agent, string) {
+		return func(a *agent, _ string) { a.workers.CrashOn(task, d, 3*time.Second) }
+	}
 	tests := []struct {
 		name   string
 		strike func(a *agent, instance string)
 		want   assignment.IncarnationEnd
 	}{
-		{"a run crashes it", func(a *agent, _ string) { a.workers.CrashOn(task, 400*time.Millisecond, 3*time.Second) }, assignment.IncarnationEnd{Runs: []assignment.InterruptedRun{begun}}},
-		{"a start crashes it", func(a *agent, _ string) { a.workers.CrashOn(task, 0, 3*time.Second) }, assignment.IncarnationEnd{Runs: []assignment.InterruptedRun{{RunID: id(1)}}}},
+		{"a run crashes it", crashAfter(400 * time.Millisecond), ending(started)},
+		{"a start crashes it", crashAfter(0), ending(assignment.InterruptedRun{RunID: id(1)})},
 		{"it leaves", func(a *agent, instance string) {
 			time.AfterFunc(600*time.Millisecond, func() {
 				a.worker.Leave(time.Minute)
@@ -48,8 +59,8 @@
 				a.runner.Heartbeat(context.Background(), leaving)
 			})
 			time.AfterFunc(700*time.Millisecond, func() { a.runner.Deregister(instance); a.worker.Crash(3 * time.Second) })
-		}, assignment.IncarnationEnd{Drained: true, Runs: []assignment.InterruptedRun{begun}}},
-		{"it is away before the start", func(a *agent, _ string) { a.worker.CrashProcess(3 * time.Second) }, assignment.IncarnationEnd{}},
+		}, assignment.IncarnationEnd{Drained: true, Runs: []assignment.InterruptedRun{started}}},
+		{"it is away before the start", func(a *agent, _ string) { a.worker.CrashProcess(3 * time.Second) }, ending()},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -78,8 +89,8 @@
 	}
 }
 
-// TestLateHeartbeat: a heartbeat that was held up and is of a life that has crashed changes nothing, also for an agent that began after
-// that life and has not heard of it.
+// TestLateHeartbeat: a late heartbeat of an incarnation that has crashed changes nothing, also
+// at an agent that began after that incarnation and has not heard of it.
 func TestLateHeartbeat(t *testing.T) {
 	within(t, func(t *testing.T, a *agent) {
 		a.workers.SetWork(time.Minute)
@@ -87,12 +98,13 @@
 		time.Sleep(500 * time.Millisecond)
 		present, _ := a.worker.Beat()
 		late := present
-		late.ID = incarnation.ID{Instance: "a life that the agent never knew"}
+		late.ID = incarnation.ID{Instance: "an incarnation that the agent never knew"}
 		if a.runner.Heartbeat(t.Context(), late) {
 			t.Error("the late heartbeat was taken")
 		}
 		time.Sleep(time.Second)
-		if p := a.leader.last(); p.State == nil || p.State.ID != present.ID || len(p.Runs) != 1 || len(p.EndedIncarnations) != 0 {
+		p := a.leader.last()
+		if p.State == nil || p.State.ID != present.ID || len(p.Runs) != 1 || len(p.EndedIncarnations) != 0 {
 			t.Errorf("after it the agent says %+v", p)
 		}
 		if !a.runner.Heartbeat(t.Context(), present) {
--- a/jobs/runner/leader_client_test.go
+++ b/jobs/runner/leader_client_test.go
@@ -28,8 +28,10 @@
 	return nil, errors.New("nobody there")
 }
 
-// TestFewEntriesAreAsked: when a third of the entries lost their way to the store, each of 800 agents asked each of 183 entries who leads, three times a second: 160,000
-// connections, and 27 MB at each entry instead of 7. How many an agent asks must not depend on how many there are.
+// TestFewEntriesAreAsked: when a third of the entries could not reach the store, each of 800
+// agents asked each of 183 entries who leads, three times a second: 160,000 connections, and 27
+// MB of memory at each entry instead of 7. How many entries an agent asks must not depend on
+// how many there are.
 func TestFewEntriesAreAsked(t *testing.T) {
 	for _, n := range []int{20, 40} {
 		synctest.Test(t, func(t *testing.T) {
--- a/jobs/runner/reports_test.go
+++ b/jobs/runner/reports_test.go
@@ -12,7 +12,8 @@
 	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
 
-// TestOddHeartbeats: a heartbeat that says otherwise what a worker can't change in a life is taken only when it is said twice in a row: others may write there too.
+// TestOddHeartbeats: a heartbeat of another identity than the worker's is taken only when it
+// comes twice in a row: others may send heartbeats too.
 func TestOddHeartbeats(t *testing.T) {
 	within(t, func(t *testing.T, a *agent) {
 		sound, _ := a.worker.Beat()
@@ -21,11 +22,21 @@
 		other := odd
 		other.Service = "a third"
 		for i, said := range []struct {
-			life  assignment.WorkerState
+			state assignment.WorkerState
 			taken bool
-		}{{odd, false}, {sound, true}, {odd, false}, {other, false}, {sound, true}, {odd, false}, {odd, true}, {sound, false}, {sound, true}} {
-			if got := a.runner.Heartbeat(t.Context(), said.life); got != said.taken {
-				t.Errorf("heartbeat %d of service %s: taken %v, want %v", i, said.life.Service, got, said.taken)
+		}{
+			{odd, false},
+			{sound, true},
+			{odd, false},
+			{other, false},
+			{sound, true},
+			{odd, false},
+			{odd, true},
+			{sound, false},
+			{sound, true},
+		} {
+			if got := a.runner.Heartbeat(t.Context(), said.state); got != said.taken {
+				t.Errorf("heartbeat %d of service %s: taken %v, want %v", i, said.state.Service, got, said.taken)
 			}
 		}
 		time.Sleep(time.Second)
@@ -35,7 +46,7 @@
 	})
 }
 
-// garbling is a worker of whose lists one part can't be read for a while.
+// garbling is a worker of whose lists one row can't be read for a while.
 type garbling struct {
 	*jobtest.Worker
 	mu   sync.Mutex
@@ -48,8 +59,10 @@
 	w.lost = lost
 }
 
-func (w *garbling) Sync(ctx context.Context, o runner.Order, until, seen int64, wait time.Duration) (runner.Listing, int64, error) {
-	l, clock, err := w.Worker.Sync(ctx, o, until, seen, wait)
+func (w *garbling) Sync(
+	ctx context.Context, o runner.Order, until, forget int64, wait time.Duration,
+) (runner.Listing, int64, error) {
+	l, clock, err := w.Worker.Sync(ctx, o, until, forget, wait)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.lost && err == nil && len(l.Runs) > 0 {
@@ -58,7 +71,7 @@
 	return l, clock, err
 }
 
-// TestUnreadableRow: a run whose row can't be read for a while counts as neither gone nor ended, and the others hold.
+// TestUnreadableRow: a run whose row can't be read for a while counts as neither gone nor ended.
 func TestUnreadableRow(t *testing.T) {
 	withRestarts(t, func(t *testing.T, a *restarting) {
 		worker := &garbling{Worker: a.worker}
--- a/jobs/runner/restarts_test.go
+++ b/jobs/runner/restarts_test.go
@@ -16,42 +16,44 @@
 	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
 
-// heldCall is one call of a recorder's Hold: what it said, and what came of it.
+// heldCall is one call of a recorder's Sync: what it brought, and how it ended.
 type heldCall struct {
-	at    time.Time
-	order runner.Order
-	seen  int64
-	err   error
+	at     time.Time
+	order  runner.Order
+	forget int64
+	err    error
 }
 
 // recorder is a worker that keeps what it was told.
 type recorder struct {
 	*jobtest.Worker
-	// garbles stands between the worker and the agent, if it is set.
+	// garbles, if set, stands between the worker and the agent.
 	garbles *garbling
-	// busy says that it answers each call that it does nothing.
+	// busy says that it is unavailable.
 	busy   bool
 	mu     sync.Mutex
 	holds  []heldCall
 	starts []time.Time
 }
 
-func (w *recorder) Sync(ctx context.Context, o runner.Order, until, seen int64, wait time.Duration) (runner.Listing, int64, error) {
+func (w *recorder) Sync(
+	ctx context.Context, o runner.Order, until, forget int64, wait time.Duration,
+) (runner.Listing, int64, error) {
 	at := time.Now()
 	w.mu.Lock()
-	hold := w.Worker.Sync
+	sync := w.Worker.Sync
 	if w.garbles != nil {
-		hold = w.garbles.Sync
+		sync = w.garbles.Sync
 	}
 	busy := w.busy
 	w.mu.Unlock()
 	if busy {
 		return runner.Listing{}, 0, runner.ErrUnavailable
 	}
-	listing, clock, err := hold(ctx, o, until, seen, wait)
+	listing, clock, err := sync(ctx, o, until, forget, wait)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.holds = append(w.holds, heldCall{at: at, order: o, seen: seen, err: err})
+	w.holds = append(w.holds, heldCall{at: at, order: o, forget: forget, err: err})
 	return listing, clock, err
 }
 
@@ -62,7 +64,7 @@
 	return w.Worker.Start(ctx, o, s, until)
 }
 
-// calls returns the calls of Hold since a moment, in the order in which they were sent.
+// calls returns the syncs since a time, in the order in which they were sent.
 func (w *recorder) calls(since time.Time) []heldCall {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -75,19 +77,20 @@
 	return calls
 }
 
-// restarting is an agent beside a recorder whose starts share one id.
+// restarting is an agent beside a recorder whose incarnations share one instance.
 type restarting struct {
 	*agent
 	recorder *recorder
 }
 
-// withRestarts runs a test with an agent that has been there for a second.
+// withRestarts runs a test with an agent that has been running for a second.
 func withRestarts(t *testing.T, f func(t *testing.T, a *restarting)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		workers := jobtest.NewWorkers(1)
 		workers.SameID = 1
-		workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{{Tasks: 9, Resources: job.Resources{Accelerators: 1}}}})
+		step := job.Step{Tasks: 9, Resources: job.Resources{Accelerators: 1}}
+		workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{step}})
 		a := &restarting{agent: &agent{workers: workers, leader: &leader{
 			answer: assignment.Answer{Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds(), ZoneOpen: true}, heard: true,
 		}}}
@@ -105,7 +108,7 @@
 	})
 }
 
-// beat lets the worker report, and returns what it says.
+// beat lets the worker report, and returns the report.
 func (a *restarting) beat(t *testing.T) assignment.WorkerState {
 	t.Helper()
 	said, _ := a.worker.Beat()
@@ -118,15 +121,15 @@
 	a.leader.set(func(answer *assignment.Answer) { answer.Start = runs })
 }
 
-// TestNumbersOfAFormerStart: what was read of a former start is never told to the next one, and the first call that the next one hears brings a
-// higher fence than all before.
+// TestNumbersOfAFormerStart: an incarnation is never told to forget the ends of a former one,
+// and the first call that it hears brings a higher fence than all before.
 func TestNumbersOfAFormerStart(t *testing.T) {
 	withRestarts(t, func(t *testing.T, a *restarting) {
 		a.workers.SetWork(200 * time.Millisecond)
 		a.want(assignment.Start{RunID: id(1)})
 		time.Sleep(time.Second)
 		a.want()
-		// The leader has kept the end, but the worker is gone before it can be told to forget it.
+		// The leader has stored the end, but the worker crashes before it is told to forget it.
 		a.worker.CrashProcess(500 * time.Millisecond)
 		a.leader.set(func(answer *assignment.Answer) { answer.AckedEnd = 1 })
 		crashed := time.Now()
@@ -139,8 +142,8 @@
 		}
 		answered := false
 		for _, c := range a.recorder.calls(crashed.Add(500 * time.Millisecond)) {
-			if c.seen != 0 {
-				t.Errorf("the new start was told to forget the ends up to %d", c.seen)
+			if c.forget != 0 {
+				t.Errorf("the new start was told to forget the ends up to %d", c.forget)
 			}
 			answered = answered || c.err == nil && c.order.Fence > highest
 		}
@@ -150,7 +153,8 @@
 	})
 }
 
-// TestEndIsToldBesideTheList: the end of a former start is told only in polls that say what the present one runs.
+// TestEndIsToldBesideTheList: the end of a former incarnation is reported only beside the list
+// of the present one.
 func TestEndIsToldBesideTheList(t *testing.T) {
 	withRestarts(t, func(t *testing.T, a *restarting) {
 		a.workers.SetWork(time.Minute)
@@ -172,7 +176,7 @@
 		if p := a.leader.last(); len(p.EndedIncarnations) != 1 || p.EndedIncarnations[0].ID != former.ID || !p.Complete {
 			t.Errorf("after it has listed, the ends %+v are told, listed %v", p.EndedIncarnations, p.Complete)
 		}
-		// A new leader's fence has to reach the worker first; the worker gives no answer meanwhile.
+		// A new leader's fence has to reach the worker first, which gives no answer meanwhile.
 		a.worker.SetUnreachable(true)
 		a.leader.set(func(answer *assignment.Answer) { answer.Term, answer.Fence = 2, 2 })
 		time.Sleep(time.Second)
@@ -187,7 +191,8 @@
 	})
 }
 
-// TestStartInDoubtIsNotSentOn: a run whose start crashes the worker is not started again on the next start under the same id: nobody would count that.
+// TestStartInDoubtIsNotSentOn: a run whose start crashes the worker is not started again on the
+// incarnation that follows: nobody would count that crash.
 func TestStartInDoubtIsNotSentOn(t *testing.T) {
 	withRestarts(t, func(t *testing.T, a *restarting) {
 		a.workers.CrashOn(task, 0, 300*time.Millisecond)
@@ -205,7 +210,8 @@
 	})
 }
 
-// TestReportsOfNoStart: reports of a former start, without the time of a start or with one that no list confirms, change nothing.
+// TestReportsOfNoStart: heartbeats of a former incarnation, and those without a start or with
+// one that no list confirms, change nothing.
 func TestReportsOfNoStart(t *testing.T) {
 	withRestarts(t, func(t *testing.T, a *restarting) {
 		former := a.beat(t)
@@ -216,22 +222,26 @@
 			t.Fatalf("the worker is %v after %v", present.ID, former.ID)
 		}
 		time.Sleep(500 * time.Millisecond)
-		unborn, madeUp, back := present, present, present
-		unborn.ID.StartMillis, madeUp.ID.StartMillis, back.ID.StartMillis = 0, present.ID.StartMillis+7, former.ID.StartMillis-7
-		for _, said := range []assignment.WorkerState{former, unborn, madeUp, back} {
+		withoutStart, later, earlier := present, present, present
+		withoutStart.ID.StartMillis = 0
+		later.ID.StartMillis = present.ID.StartMillis + 7
+		earlier.ID.StartMillis = former.ID.StartMillis - 7
+		for _, said := range []assignment.WorkerState{former, withoutStart, later, earlier} {
 			said.Capacity = job.Resources{Accelerators: 1}
 			if a.runner.Heartbeat(t.Context(), said) {
 				t.Errorf("a report of %v was taken", said.ID)
 			}
 		}
 		time.Sleep(500 * time.Millisecond)
-		if p := a.leader.last(); p.State == nil || p.State.ID != present.ID || p.State.Capacity != present.Capacity || !p.Complete {
+		p := a.leader.last()
+		if p.State == nil || p.State.ID != present.ID || p.State.Capacity != present.Capacity || !p.Complete {
 			t.Errorf("after them the agent says %+v", p)
 		}
 	})
 }
 
-// TestBusyStart: a refusal does not say which start has given it, so the report of a new start that does nothing yet is not taken for a late one for good.
+// TestBusyStart: a refusal does not say which incarnation it is from, so the heartbeat of a new
+// one that is unavailable at first is not taken for a late one for good.
 func TestBusyStart(t *testing.T) {
 	withRestarts(t, func(t *testing.T, a *restarting) {
 		setBusy := func(busy bool) {
@@ -251,14 +261,21 @@
 	})
 }
 
-// TestFirstReportOfAnother: an agent that has heard nothing before takes a report of a former start for the worker's, until the list says better.
+// TestFirstReportOfAnother: an agent that has heard nothing before takes a heartbeat of a
+// former incarnation for the worker's, until a list says otherwise.
 func TestFirstReportOfAnother(t *testing.T) {
 	withRestarts(t, func(t *testing.T, a *restarting) {
 		former := a.beat(t)
 		a.worker.CrashProcess(100 * time.Millisecond)
 		time.Sleep(300 * time.Millisecond)
-		fresh := runner.New(runner.Settings{Name: "w", Agent: "2", Lease: lease, Drift: 0.03, CordonWithin: jobtest.CordonBound},
-			runner.Dependencies{Worker: a.recorder, Leader: &leader{answer: assignment.Answer{Term: 1, Fence: 9, LeaseMillis: lease.Milliseconds(), ZoneOpen: true}}, Logger: zerolog.Nop(), Metrics: tally.NoopScope})
+		successor := granting()
+		successor.answer.Fence = 9
+		fresh := runner.New(agentSettings("2"), runner.Dependencies{
+			Worker:  a.recorder,
+			Leader:  successor,
+			Logger:  zerolog.Nop(),
+			Metrics: tally.NoopScope,
+		})
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go fresh.Run(ctx)
@@ -274,14 +291,15 @@
 	})
 }
 
-// TestGoneOfAFormerStart: a word that a worker ends is taken only of one that had said that it leaves: a former start's may come late.
+// TestGoneOfAFormerStart: a deregistration is believed only of a draining worker: that of a
+// former incarnation may come late.
 func TestGoneOfAFormerStart(t *testing.T) {
 	withRestarts(t, func(t *testing.T, a *restarting) {
 		present := a.beat(t)
 		a.runner.Deregister(present.ID.Instance)
 		time.Sleep(500 * time.Millisecond)
 		if p := a.leader.last(); p.State == nil || p.State.ID != present.ID || len(p.EndedIncarnations) != 0 {
-			t.Errorf("after a word of a former start the agent says life %+v, over %+v", p.State, p.EndedIncarnations)
+			t.Errorf("after a deregistration of a former incarnation the agent says state %+v, ended %+v", p.State, p.EndedIncarnations)
 		}
 		a.worker.Leave(time.Minute)
 		a.beat(t)
@@ -290,8 +308,12 @@
 		a.leader.mu.Unlock()
 		a.runner.Deregister(present.ID.Instance)
 		time.Sleep(500 * time.Millisecond)
-		if p := a.leader.last(); p.State != nil || len(p.EndedIncarnations) != 1 || !p.EndedIncarnations[0].Drained || p.EndedIncarnations[0].ID != present.ID {
-			t.Errorf("after it has left the agent says life %+v, over %+v", p.State, p.EndedIncarnations)
+		p := a.leader.last()
+		if p.State != nil || len(p.EndedIncarnations) != 1 {
+			t.Fatalf("after it has gone the agent says state %+v, ended %+v", p.State, p.EndedIncarnations)
+		}
+		if end := p.EndedIncarnations[0]; !end.Drained || end.ID != present.ID {
+			t.Errorf("after it has gone the agent says that it ended as %+v", end)
 		}
 	})
 }
--- a/jobs/runner/runner_test.go
+++ b/jobs/runner/runner_test.go
@@ -33,7 +33,8 @@
 	})
 }
 
-// TestLeaseEnds: without a leader what runs ends when the lease that it gave is over, and not before.
+// TestLeaseEnds: without a leader, runs end when the lease that it granted is over, and not
+// before.
 func TestLeaseEnds(t *testing.T) {
 	within(t, func(t *testing.T, a *agent) {
 		a.workers.Work = time.Minute
@@ -53,7 +54,8 @@
 	})
 }
 
-// TestSilentWorker: what a silent worker ran is given up once its lease is surely over, and told until that was heard.
+// TestSilentWorker: the runs of an unresponsive worker are given up once its lease is surely
+// over, and reported until the leader has heard it.
 func TestSilentWorker(t *testing.T) {
 	within(t, func(t *testing.T, a *agent) {
 		a.workers.Work = time.Minute
@@ -95,7 +97,8 @@
 	})
 }
 
-// TestSuspendedPoll: the answer to a poll that was under way while the machine was suspended gives no lease and no proof that is over.
+// TestSuspendedPoll: the answer to a poll that was under way while the machine was suspended
+// gives no lease that is over and no proof that is too old.
 func TestSuspendedPoll(t *testing.T) {
 	within(t, func(t *testing.T, a *agent) {
 		a.leader.mu.Lock()
--- a/jobs/runner/starts_test.go
+++ b/jobs/runner/starts_test.go
@@ -16,15 +16,20 @@
 	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
 
-// TestRefusals: a run that does not fit, or that is to stop before it came, is told as one that never starts.
+// TestRefusals: a run that does not fit, or that is stopped before its start came, is reported
+// as one that never starts.
 func TestRefusals(t *testing.T) {
 	tests := []struct {
 		name   string
 		room   job.Resources
 		answer func(a *assignment.Answer)
 	}{
-		{"no room", job.Resources{Accelerators: 9}, func(a *assignment.Answer) { a.Start = []assignment.Start{{RunID: id(1)}} }},
-		{"stopped before it came", job.Resources{Accelerators: 1}, func(a *assignment.Answer) { a.StopUnlisted = []assignment.RunID{id(1)} }},
+		{"no room", job.Resources{Accelerators: 9}, func(a *assignment.Answer) {
+			a.Start = []assignment.Start{{RunID: id(1)}}
+		}},
+		{"stopped before it came", job.Resources{Accelerators: 1}, func(a *assignment.Answer) {
+			a.StopUnlisted = []assignment.RunID{id(1)}
+		}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -47,8 +52,8 @@
 	}
 }
 
-// lossy is a worker whose answers are lost: that to the first start of a run, and those to syncs for two seconds from
-// then on.
+// lossy is a worker whose answers are lost: that to the first start of a run, and those to
+// syncs for two seconds from then on.
 type lossy struct {
 	*jobtest.Worker
 	// anonymous says that it does not say when it started.
@@ -74,8 +79,10 @@
 	return clock, err
 }
 
-func (l *lossy) Sync(ctx context.Context, o runner.Order, until, seen int64, wait time.Duration) (runner.Listing, int64, error) {
-	listing, clock, err := l.Worker.Sync(ctx, o, until, seen, wait)
+func (l *lossy) Sync(
+	ctx context.Context, o runner.Order, until, forget int64, wait time.Duration,
+) (runner.Listing, int64, error) {
+	listing, clock, err := l.Worker.Sync(ctx, o, until, forget, wait)
 	l.mu.Lock()
 	deaf := time.Now().Before(l.deaf)
 	l.mu.Unlock()
@@ -89,9 +96,10 @@
 	return listing, clock, err
 }
 
-// TestEndedBeforeItsAnswer: a run that ended before its start was answered was reported as one that did not start, and
-// the leader started its task once more. It must be reported as ended, whether the worker says when it started, so that
-// its list is asked for first, or does not, so that the start is sent again and refused.
+// TestEndedBeforeItsAnswer: a run that ended before its start was answered was reported as one
+// that did not start, and the leader started its task once more. It must be reported as ended,
+// whether the worker says when it started, so that its list is asked for first, or does not, so
+// that the start is sent again and refused.
 func TestEndedBeforeItsAnswer(t *testing.T) {
 	for name, anonymous := range map[string]bool{"incarnation is known": false, "instance only": true} {
 		t.Run(name, func(t *testing.T) {
@@ -107,22 +115,14 @@
 	step := job.Step{Tasks: 1, Resources: job.Resources{Accelerators: 1}}
 	workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{step}})
 	worker := workers.Add("w", "s", "z", "r", job.Resources{Accelerators: 2})
-	o := &leader{answer: assignment.Answer{
-		Term:        1,
-		Fence:       1,
-		LeaseMillis: lease.Milliseconds(),
-		ZoneOpen:    true,
-		Start:       []assignment.Start{{RunID: id(1)}},
-	}}
-	r := runner.New(
-		runner.Settings{Name: "w", Agent: "1", Lease: lease, Drift: 0.03, CordonWithin: jobtest.CordonBound},
-		runner.Dependencies{
-			Worker:  &lossy{Worker: worker, anonymous: anonymous, started: map[assignment.RunID]bool{}},
-			Leader:  o,
-			Logger:  zerolog.Nop(),
-			Metrics: tally.NoopScope,
-		},
-	)
+	o := granting()
+	o.answer.Start = []assignment.Start{{RunID: id(1)}}
+	r := runner.New(agentSettings("1"), runner.Dependencies{
+		Worker:  &lossy{Worker: worker, anonymous: anonymous, started: map[assignment.RunID]bool{}},
+		Leader:  o,
+		Logger:  zerolog.Nop(),
+		Metrics: tally.NoopScope,
+	})
 	go workers.Run(ctx)
 	go r.Run(ctx)
 	reported, _ := worker.Beat()
@@ -146,8 +146,9 @@
 	time.Sleep(20 * time.Second)
 }
 
-// TestStartWaitsForOpenZone: a start is sent only while the proof that the worker's zone is open is new enough, however old the proof
-// was when the leader sent it, and goes on by itself once there is a new one.
+// TestStartWaitsForOpenZone: a start is sent only while the proof that the worker's zone is not
+// cordoned is new enough, its age at the leader included, and is sent by itself once a new
+// proof has come.
 func TestStartWaitsForOpenZone(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -164,10 +165,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				a := startAgent(ctx, t, &leader{answer: assignment.Answer{
-					Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds(), ZoneOpen: test.open, ZoneProofMillis: test.age.Milliseconds(),
-					Start: []assignment.Start{{RunID: id(1)}},
-				}})
+				o := granting()
+				o.answer.ZoneOpen, o.answer.ZoneProofMillis = test.open, test.age.Milliseconds()
+				o.answer.Start = []assignment.Start{{RunID: id(1)}}
+				a := startAgent(ctx, t, o)
 				time.Sleep(time.Second)
 				if started := a.workers.Starts > 0; started != test.started {
 					t.Errorf("started is %v, want %v", started, test.started)
@@ -184,7 +185,8 @@
 	}
 }
 
-// takeOrderInHand leaves the agent with an order that it can't carry out, since its worker can't be reached, and without a leader.
+// takeOrderInHand leaves the agent without a leader, and with a start that it can't send since
+// its worker can't be reached.
 func (a *agent) takeOrderInHand() {
 	a.worker.SetUnreachable(true)
 	a.leader.set(func(answer *assignment.Answer) { answer.Start = []assignment.Start{{RunID: id(1)}} })
@@ -194,7 +196,8 @@
 	a.leader.down = true
 }
 
-// reachAgain lets the worker be reached, and report: with its room known anew, only the order's own bounds hold it back.
+// reachAgain lets the worker be reached, and report its capacity, so that only the bounds of
+// the order hold it back.
 func (a *agent) reachAgain(t *testing.T) {
 	t.Helper()
 	a.worker.SetUnreachable(false)
@@ -202,8 +205,8 @@
 	a.runner.Heartbeat(t.Context(), said)
 }
 
-// TestOrderInHand: an order that an agent could not carry out for a while is not carried out after the bound of a cordon that it cannot
-// have heard of, although its lease would still allow it.
+// TestOrderInHand: a start that could not be sent for a while is not sent any more once a
+// cordon that the agent can't have heard of may bind, although its lease would still allow it.
 func TestOrderInHand(t *testing.T) {
 	within(t, func(t *testing.T, a *agent) {
 		a.takeOrderInHand()
@@ -216,8 +219,9 @@
 	})
 }
 
-// TestSuspendedOrder: an order that an agent has in hand while its machine is suspended is not carried out once the lease that came with it is over, though
-// by the agent's steady clock it is not: the leader may have given the run up, and started it elsewhere.
+// TestSuspendedOrder: a start that waits while the machine is suspended is not sent once its
+// lease is over, though by the agent's monotonic clock it is not: the leader may have given the
+// run up and started it elsewhere.
 func TestSuspendedOrder(t *testing.T) {
 	within(t, func(t *testing.T, a *agent) {
 		a.takeOrderInHand()
@@ -230,27 +234,27 @@
 	})
 }
 
-// TestShrunkOrder: an order that an agent has in hand when its worker's room shrinks is carried out only once the leader has decided for the new room: it
-// may have been for the old one.
+// TestShrunkOrder: a start that waits when the worker's capacity shrinks is sent only once the
+// leader has decided for the new capacity.
 func TestShrunkOrder(t *testing.T) {
 	within(t, func(t *testing.T, a *agent) {
 		a.worker.SetUnreachable(true)
 		a.leader.set(func(answer *assignment.Answer) { answer.Start = []assignment.Start{{RunID: id(1)}} })
 		time.Sleep(500 * time.Millisecond)
 		a.worker.SetUnreachable(false)
-		life, _ := a.worker.Beat()
-		life.Capacity.Accelerators--
+		reported, _ := a.worker.Beat()
+		reported.Capacity.Accelerators--
 		for range 3 {
-			a.runner.Heartbeat(t.Context(), life)
+			a.runner.Heartbeat(t.Context(), reported)
 			time.Sleep(time.Second)
 		}
 		if a.workers.Starts > 0 {
-			t.Errorf("%d runs started before the leader has heard of the new room", a.workers.Starts)
+			t.Errorf("%d runs started before the leader has heard of the new capacity", a.workers.Starts)
 		}
 		a.leader.mu.Lock()
 		a.leader.heard = true
 		a.leader.mu.Unlock()
-		a.runner.Heartbeat(t.Context(), life)
+		a.runner.Heartbeat(t.Context(), reported)
 		time.Sleep(time.Second)
 		if a.workers.Starts != 1 {
 			t.Errorf("%d runs started once it has, want 1", a.workers.Starts)
--- a/jobs/runner/throttle_test.go
+++ b/jobs/runner/throttle_test.go
@@ -9,11 +9,12 @@
 	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
 
-// TestPace: what fills beside a task that serves is slowed down until that is within its target, and works at full pace
-// again once it is alone.
+// TestPace: best-effort runs beside one with a latency target are throttled until that is
+// within its target, and run at full speed again once they are alone.
 func TestPace(t *testing.T) {
 	within(t, func(t *testing.T, a *agent) {
-		serves := &job.Job{ID: "0000000000000011", Service: "s", Steps: []job.Step{{Tasks: 1, LongRunning: true, LatencyTarget: 100 * time.Millisecond}}}
+		targeted := job.Step{Tasks: 1, LongRunning: true, LatencyTarget: 100 * time.Millisecond}
+		serves := &job.Job{ID: "0000000000000011", Service: "s", Steps: []job.Step{targeted}}
 		fills := &job.Job{ID: "0000000000000012", Service: "s", Steps: []job.Step{{Tasks: 3, BestEffort: true}}}
 		a.workers.Work = time.Minute
 		a.workers.Expect(serves)
@@ -43,7 +44,7 @@
 	})
 }
 
-// TestPacer: the pace by the figures of the tasks that serve, look by look.
+// TestPacer: the speed by the latencies of the runs with a target, look by look.
 func TestPacer(t *testing.T) {
 	serving, filling := id(1), assignment.RunID{Task: job.TaskName{Job: "0000000000000012"}, Run: 1}
 	tests := []struct {
