--- a/jobs/assignment/golden_test.go
+++ b/jobs/assignment/golden_test.go
@@ -30,7 +30,7 @@
 		},
 		Complete:            true,
 		Runs:                []Run{{RunID: goldenRun, Percent: 41, AgeMillis: 5000, ListedMillis: 4500}},
-		Ends:                []End{{RunID: goldenRun, Number: 58, Reason: job.EndDone, Checkpoint: "ckpt-9", TookMillis: 61000}},
+		Ends:                []End{goldenEnd},
 		Refused:             []Refusal{{RunID: goldenRun, Reason: "room", Uncertain: true, Started: true}},
 		EndedIncarnations:   []IncarnationEnd{goldenLifeEnd},
 		ClosingIncarnations: []incarnation.ID{goldenLife, {Instance: "i-1"}},
@@ -40,6 +40,7 @@
 		Wait:                true,
 		Delta:               &Delta{Sequence: 6, Millis: 500, ListedMillis: 450, Percents: []int{43}},
 	}
+	goldenEnd     = End{RunID: goldenRun, Number: 58, Reason: job.EndDone, Checkpoint: "ckpt-9", TookMillis: 61000}
 	goldenLifeEnd = IncarnationEnd{
 		ID:          goldenLife,
 		Drained:     true,
@@ -99,7 +100,14 @@
 func TestGoldenEndings(t *testing.T) {
 	var ends []End
 	for _, how := range []job.EndReason{
-		job.EndDone, job.EndFailed, job.EndStopped, job.EndLeaseExpired, job.EndGangBroken, job.EndGangIncomplete, job.EndLost, job.EndRefused,
+		job.EndDone,
+		job.EndFailed,
+		job.EndStopped,
+		job.EndLeaseExpired,
+		job.EndGangBroken,
+		job.EndGangIncomplete,
+		job.EndLost,
+		job.EndRefused,
 	} {
 		ends = append(ends, End{RunID: goldenRun, Number: int64(len(ends) + 1), Reason: how, Checkpoint: "s", TookMillis: 1})
 	}
--- a/jobs/runner/golden_test.go
+++ b/jobs/runner/golden_test.go
@@ -175,7 +175,12 @@
 			},
 		)
 		go r.Run(ctx)
-		said := assignment.WorkerState{ID: incarnation.ID{Instance: "i-1"}, Service: "s", Zone: "z", Capacity: job.Resources{Accelerators: 8}}
+		said := assignment.WorkerState{
+			ID:       incarnation.ID{Instance: "i-1"},
+			Service:  "s",
+			Zone:     "z",
+			Capacity: job.Resources{Accelerators: 8},
+		}
 		beat := func(change func(l *assignment.WorkerState)) {
 			changed := said
 			change(&changed)
--- a/jobs/runner/restarts_test.go
+++ b/jobs/runner/restarts_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"slices"
 	"sync"
 	"testing"
 	"testing/synctest"
@@ -11,6 +12,7 @@
 	"github.com/uber-go/tally/v4"
 
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 	"yarrowgrade.example/yarrowgrade/jobs/runner"
@@ -96,7 +98,7 @@
 		}}}
 		a.worker = workers.Add("w", "s", "z", "r", job.Resources{Accelerators: 2})
 		a.recorder = &recorder{Worker: a.worker}
-		a.runner = runner.New(runner.Settings{Name: "w", Agent: "1", Lease: lease, Drift: 0.03, CordonWithin: jobtest.CordonBound},
+		a.runner = runner.New(agentSettings("1"),
 			runner.Dependencies{Worker: a.recorder, Leader: a.leader, Logger: zerolog.Nop(), Metrics: tally.NoopScope})
 		go workers.Run(ctx)
 		go a.runner.Run(ctx)
@@ -168,8 +170,9 @@
 		former := a.beat(t)
 		a.worker.CrashProcess(200 * time.Millisecond)
 		time.Sleep(500 * time.Millisecond)
-		if p := a.leader.last(); len(p.EndedIncarnations) != 0 || len(p.ClosingIncarnations) != 1 || p.ClosingIncarnations[0] != former.ID {
-			t.Errorf("before the next start reports, the ends %+v are told, and closing %v", p.EndedIncarnations, p.ClosingIncarnations)
+		p := a.leader.last()
+		if len(p.EndedIncarnations) != 0 || !slices.Equal(p.ClosingIncarnations, []incarnation.ID{former.ID}) {
+			t.Errorf("before the next heartbeat, ended are %+v, closing %v", p.EndedIncarnations, p.ClosingIncarnations)
 		}
 		a.beat(t)
 		time.Sleep(500 * time.Millisecond)
@@ -299,7 +302,7 @@
 		a.runner.Deregister(present.ID.Instance)
 		time.Sleep(500 * time.Millisecond)
 		if p := a.leader.last(); p.State == nil || p.State.ID != present.ID || len(p.EndedIncarnations) != 0 {
-			t.Errorf("after a deregistration of a former incarnation the agent says state %+v, ended %+v", p.State, p.EndedIncarnations)
+			t.Errorf("after a late deregistration the agent says state %+v, ended %+v", p.State, p.EndedIncarnations)
 		}
 		a.worker.Leave(time.Minute)
 		a.beat(t)
