--- a/jobs/runner/poll.go
+++ b/jobs/runner/poll.go
@@ -90,17 +90,3 @@
 	}
 	return r.shorten(p), r.generation
 }
-
-// report lists the runs for a poll.
-func (t *runTable) report(now time.Time) []assignment.Run {
-	var runs []assignment.Run
-	for id, k := range t.known {
-		runs = append(runs, assignment.Run{
-			RunID:        id,
-			Percent:      k.percent,
-			AgeMillis:    k.age(now).Milliseconds(),
-			ListedMillis: k.listedAge().Milliseconds(),
-		})
-	}
-	return runs
-}
--- a/jobs/runner/starts.go
+++ b/jobs/runner/starts.go
@@ -114,7 +114,8 @@
 	return now.Sub(r.monotonic(r.present.zoneOpenAt)) <= r.settings.zoneProofMaxAge()
 }
 
-// noteZoneWait logs and counts, once for each start, that it waits for a proof of the zone.
+// noteZoneWait logs and counts, once for each start, that it waits for a proof of the zone. The
+// lock must be held.
 func (r *Runner) noteZoneWait(s *pendingStart) {
 	if s.zoneLogged {
 		return
