--- a/jobs/admission/admission.go
+++ b/jobs/admission/admission.go
@@ -1,12 +1,12 @@
 // Package admission decides about callers' calls: which queue and team a call belongs to,
-// whether it may be taken now, and what a caller is told of a job. It knows no wire: package
-// platform translates.
+// whether it may be taken now, and what the caller learns about a job. It is independent of the
+// wire format, which package platform translates.
 //
 // A call is judged by the newest configuration only while it is proved that none newer is in
-// force, and a job is said to be unknown only while it is proved that all jobs are known here.
-// Without the proof the caller is told at once when to come back, and never that a key, a queue
-// or a job does not exist. A submission or a cancel is acknowledged once its record is stored,
-// and refused only if it surely was not.
+// force, and a job is reported as unknown only while it is proved that all jobs are known here.
+// Without the proof the caller is refused at once with a time to come back, and never learns
+// that a key, a queue or a job does not exist. A submission or a cancel is acknowledged once
+// its record is stored, and refused only if it surely was not.
 //
 // The package owns no state. It relies on catalog.Follower for the configuration, and on
 // jobstore's Replica and Writer for the jobs.
@@ -30,11 +30,11 @@
 )
 
 const (
-	// jobsMaxAge is how old the proof that all jobs are known may be when a job is said to be
+	// jobsMaxAge is how old the proof that all jobs are known may be when a job is reported as
 	// unknown.
 	jobsMaxAge = 2500 * time.Millisecond
-	// configMargin is taken off the age that the proof of the configuration may have, for what
-	// follows the look at it.
+	// configMargin is subtracted from the age that the proof of the configuration may have, for
+	// the time until the call is done.
 	configMargin = 500 * time.Millisecond
 	// defaultBodyBytes bounds a body while no configuration does.
 	defaultBodyBytes = 256 << 10
--- a/jobs/admission/calls.go
+++ b/jobs/admission/calls.go
@@ -15,7 +15,7 @@
 	// some three seconds.
 	storeTimeout = 2200 * time.Millisecond
 	// refreshTimeout bounds the read that a question about a job waits for. When the log is
-	// slow or away, the caller is told what is known.
+	// slow or away, the answer is what is known.
 	refreshTimeout = 150 * time.Millisecond
 )
 
--- a/jobs/admission/errors.go
+++ b/jobs/admission/errors.go
@@ -8,21 +8,22 @@
 
 // Refusals of calls. Any other error leaves open what became of the call.
 var (
-	// ErrNotReady says that nothing was done, and that the caller should come back. It is what
-	// each NotReady is.
+	// ErrNotReady is returned if nothing was done and the caller should come back. Each
+	// NotReady is one.
 	ErrNotReady = errors.New("not ready; come back")
-	// ErrUnknownQueue says that no queue in force has the host and path.
+	// ErrUnknownQueue is returned if no queue in force has the host and path.
 	ErrUnknownQueue = errors.New("no such queue")
-	// ErrUnknownKey says that no team in force has the key.
+	// ErrUnknownKey is returned if no team in force has the key.
 	ErrUnknownKey = errors.New("no such key")
-	// ErrUnknownJob says that there is no such job, or none any more.
+	// ErrUnknownJob is returned if there is no such job, or none any more.
 	ErrUnknownJob = errors.New("no such job")
-	// ErrUncertain says that the call may have been carried out, or may still be. The same call
-	// may be made again.
+	// ErrUncertain is returned if the call may have been carried out, or may still be. The same
+	// call may be made again.
 	ErrUncertain = errors.New("no answer from the log; the same call may be made again")
 )
 
-// NotReady says that nothing was done, why, and when to come back.
+// NotReady is the refusal of a call of which nothing was done, with the time after which to
+// come back.
 type NotReady struct {
 	Reason string
 	After  time.Duration
@@ -45,9 +46,9 @@
 // Is makes each NotReady an ErrNotReady.
 func (e *NotReady) Is(target error) bool { return target == ErrNotReady }
 
-// Bounds of the time after which a refused caller is to come back. It is told in whole seconds.
-// A caller gives up after some three seconds in all, so one that is sent away for longer than
-// maxRetryAfter has no second try.
+// Bounds of the time after which a refused caller is to come back, which is sent in whole
+// seconds. A caller gives up after some three seconds in all, so one that is sent away for
+// longer than maxRetryAfter has no second try.
 const (
 	minRetryAfter = time.Second
 	maxRetryAfter = 2 * time.Second
--- a/jobs/admission/metrics.go
+++ b/jobs/admission/metrics.go
@@ -10,7 +10,7 @@
 	"yarrowgrade.example/yarrowgrade/internal/telemetry"
 )
 
-// outcome is what a caller was told, as it is counted.
+// outcome is the outcome of a call, as it is counted.
 type outcome string
 
 const (
--- a/jobs/admission/operators.go
+++ b/jobs/admission/operators.go
@@ -58,7 +58,8 @@
 	r.GET("/v1/status", o.serveStatus)
 }
 
-// serveList lists the jobs. One whose submission can't be read is left out; serveOne says why.
+// serveList lists the jobs. One whose submission can't be read is left out; serveOne answers
+// with the error.
 func (o *Operators) serveList(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	list := []JobSummary{}
 	for _, id := range o.replica.IDs() {
--- a/jobs/assignment/answer.go
+++ b/jobs/assignment/answer.go
@@ -6,7 +6,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 )
 
-// Answer is what the leader says to a poll.
+// Answer is the leader's answer to a poll.
 type Answer struct {
 	Term int64 `json:"term"`
 	// Fence is what the agent's orders to its worker carry.
@@ -22,8 +22,8 @@
 	// StopUnlisted lists runs that the poll does not name and that are to stop all the same:
 	// their start may be under way, or the leader has missed their end and waits for it.
 	StopUnlisted []RunID `json:"settle,omitempty"`
-	// ZoneOpen says that no operator has cordoned the worker's zone, and ZoneProofMillis how
-	// old the proof of that is.
+	// ZoneOpen is set if no operator has cordoned the worker's zone, and ZoneProofMillis is the
+	// age of the proof of that.
 	ZoneOpen        bool  `json:"open,omitempty"`
 	ZoneProofMillis int64 `json:"open_ms,omitempty"`
 	// Roles lists those of the worker's runs that have a latency target or are best-effort.
@@ -32,7 +32,7 @@
 	Incarnation incarnation.ID `json:"life,omitzero"`
 	// AckedEnd is up to which end the leader has stored them.
 	AckedEnd int64 `json:"seen,omitempty"`
-	// AckedPoll is the number of the newest poll all of whose news are stored. Polls may
+	// AckedPoll is the number of the newest poll that the leader has stored all of. Polls may
 	// overtake one another; only the newest that has arrived is taken over.
 	AckedPoll int64 `json:"heard,omitempty"`
 	// BasePoll is the number of the newest poll that described the worker, on which a Delta may
@@ -56,7 +56,7 @@
 	// LatencyTargetMillis bounds the tail of the latencies of a run that serves users; zero if
 	// there is no bound.
 	LatencyTargetMillis int64 `json:"target_ms,omitempty"`
-	// BestEffort says that the run takes the processor time that others leave.
+	// BestEffort is set if the run takes the processor time that others leave.
 	BestEffort bool `json:"fills,omitempty"`
 }
 
--- a/jobs/assignment/assignment.go
+++ b/jobs/assignment/assignment.go
@@ -1,11 +1,11 @@
-// Package assignment holds the messages between an agent and the leader. The agent polls and
-// says what its worker runs; the answer says what the worker should run.
+// Package assignment holds the messages between an agent and the leader. The agent's poll
+// reports what its worker runs; the answer lists what the worker should run.
 //
-// The exchange is level-triggered: each answer is made from what is wanted and from what the
-// poll says, so a message that is lost needs no care of its own. An agent follows the leader of
-// the highest term that it has heard of. A lease counts from when the leader sent the answer:
-// an agent that sent its poll at t, and hears that it was held for h, may keep runs alive until
-// t + h + Lease at the latest.
+// The exchange is level-triggered: each answer is made from the desired state and the reported
+// one, so a lost message needs no recovery of its own. An agent follows the leader of the
+// highest term that it has seen. A lease counts from when the leader sent the answer: an agent
+// that sent its poll at t, and hears that it was held for h, may keep runs alive until t + h +
+// Lease at the latest.
 //
 // The package owns the form of these messages on the wire and decides nothing. It relies on
 // packages job and incarnation for what the messages name.
@@ -26,7 +26,7 @@
 const (
 	// Path is where a leader takes polls.
 	Path = "/internal/assignments"
-	// LeaderPath is where an entry says who the leader is.
+	// LeaderPath is where an entry names the leader.
 	LeaderPath = "/internal/leader"
 	// HandoverPath is where an entry is asked to take over from a leader.
 	HandoverPath = "/internal/leader/handover"
@@ -40,7 +40,7 @@
 	FailingMillis int64 `json:"failing_ms"`
 }
 
-// Redirect says where the leader is, as far as the entry knows.
+// Redirect names the leader, as far as the entry knows it.
 type Redirect struct {
 	Term    int64  `json:"term"`
 	Address string `json:"address"`
@@ -57,8 +57,8 @@
 	Rack     string         `json:"rack,omitempty"`
 	Labels   []string       `json:"labels,omitempty"`
 	Capacity job.Resources  `json:"room"`
-	// Draining says that the worker takes no new work, and DrainMillis for how long it stays at
-	// least.
+	// Draining is set if the worker takes no new work, and DrainMillis is for how long it stays
+	// at least.
 	Draining    bool  `json:"leaving,omitempty"`
 	DrainMillis int64 `json:"leaves_in,omitempty"`
 }
@@ -107,26 +107,26 @@
 type Refusal struct {
 	RunID
 	Reason string `json:"reason"`
-	// Uncertain says that the run may have started: the worker has given no answer until its
-	// lease was over.
+	// Uncertain is set if the run may have started: the worker gave no answer until its lease
+	// was over.
 	Uncertain bool `json:"silent,omitempty"`
-	// Started says of such a run that it had started.
+	// Started is set if such a run had started.
 	Started bool `json:"begun,omitempty"`
 }
 
-// IncarnationEnd says that nothing of an incarnation of the worker runs any more, and what was
-// running when it ended.
+// IncarnationEnd reports that nothing of an incarnation of the worker runs any more, and what
+// was running when it ended.
 type IncarnationEnd struct {
 	ID incarnation.ID `json:"id"`
-	// Drained says that the worker went as it had announced; otherwise it crashed.
+	// Drained is set if the worker stopped as it had announced; otherwise it crashed.
 	Drained bool `json:"left,omitempty"`
-	// Draining says of a worker that crashed that it was draining.
+	// Draining is set if a worker that crashed was draining.
 	Draining bool `json:"leaving,omitempty"`
 	// Runs are those that were running, or may have been.
 	Runs []InterruptedRun `json:"runs,omitempty"`
-	// Complete says that the worker had listed its runs, so Runs are all.
+	// Complete is set if the worker had listed its runs, so that Runs are all.
 	Complete bool `json:"listed,omitempty"`
-	// SinceMillis is how long before the poll the worker gave its last sign of life; zero if
+	// SinceMillis is how long before the poll the last contact with the worker was; zero if
 	// unknown.
 	SinceMillis int64 `json:"since_ms,omitempty"`
 }
@@ -137,7 +137,7 @@
 // InterruptedRun is a run that ended with the incarnation of its worker.
 type InterruptedRun struct {
 	RunID
-	// Started says that the worker had confirmed the run. Otherwise a start was under way, and
+	// Started is set if the worker had confirmed the run. Otherwise a start was under way, and
 	// it is not known whether it was carried out.
 	Started bool `json:"b,omitempty"`
 	// AgeMillis is for how long the run had been running at the worker's last answer; zero if
--- a/jobs/assignment/poll.go
+++ b/jobs/assignment/poll.go
@@ -4,7 +4,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 )
 
-// Poll is what an agent says of its worker.
+// Poll is an agent's report on its worker.
 type Poll struct {
 	// Worker is the name of the agent's box, Agent that of this start of the agent's process.
 	Worker string `json:"worker"`
@@ -15,8 +15,7 @@
 	Term int64 `json:"term"`
 	// State is the worker's; nil while no incarnation is known.
 	State *WorkerState `json:"life,omitempty"`
-	// Complete says that Runs and Ends are what the worker listed after it had heard the fence
-	// of this agent.
+	// Complete is set if Runs and Ends are what the worker listed under the newest fence.
 	Complete bool      `json:"listed,omitempty"`
 	Runs     []Run     `json:"runs,omitempty"`
 	Ends     []End     `json:"ends,omitempty"`
@@ -26,21 +25,21 @@
 	// ClosingIncarnations are over too, but orders for them may still have an effect, so their
 	// ends are reported later. Nothing is to be placed there.
 	ClosingIncarnations []incarnation.ID `json:"lives_closing,omitempty"`
-	// Unresponsive says that the worker gives no answer: nothing is to be placed on it, and
+	// Unresponsive is set if the worker gives no answer: nothing is to be placed on it, and
 	// nothing can be extended.
 	Unresponsive bool `json:"silent,omitempty"`
 	// FailingMillis is for how long the worker has given no answer; zero while it does.
 	FailingMillis int64 `json:"failing_ms,omitempty"`
-	// AckedEnd is up to which end the agent has heard that the leader has stored them.
+	// AckedEnd is up to which end the leader has acknowledged them to the agent.
 	AckedEnd int64 `json:"seen,omitempty"`
-	// Wait says that the answer may be held until there is something to say.
+	// Wait is set if the answer may be held until there is something to do.
 	Wait bool `json:"wait,omitempty"`
 	// Delta, if set, takes the place of all that describes the worker.
 	Delta *Delta `json:"since,omitempty"`
 }
 
-// Delta says how far the runs have come since an earlier poll of the same agent that described
-// the worker, and that all else is as it was.
+// Delta is the progress of the runs since an earlier poll of the same agent that described the
+// worker. All else is as it was.
 type Delta struct {
 	// Sequence is that poll's number, Millis how long ago it was made.
 	Sequence int64 `json:"seq"`
--- a/jobs/runner/answer.go
+++ b/jobs/runner/answer.go
@@ -10,7 +10,7 @@
 )
 
 // applyAnswer applies a leader's answer to a poll that was sent then and described that
-// generation. An answer of an earlier term than the highest heard is dropped.
+// generation. An answer of an earlier term than the highest seen is dropped.
 func (r *Runner) applyAnswer(ctx context.Context, a assignment.Answer, sent suspend.Instant, generation int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -18,7 +18,7 @@
 		return
 	}
 	r.applyTerm(a)
-	maps.DeleteFunc(r.former.unheard, func(_ incarnation.ID, e endedIncarnation) bool { return e.heardBy(a.AckedPoll) })
+	maps.DeleteFunc(r.former.unacked, func(_ incarnation.ID, e endedIncarnation) bool { return e.ackedBy(a.AckedPoll) })
 	r.applyLease(a, sent)
 	if generation == r.generation && a.ZoneOpen {
 		proof := sent.Add(a.ZoneProofAfter())
@@ -38,14 +38,14 @@
 	if a.Term > r.leader.term {
 		r.dependencies.Logger.Info().Str("step", "runner.obey").Int64("term", a.Term).Int64("fence", a.Fence).
 			Msg("new leader is followed")
-		// The new leader has heard none of the former one's polls.
+		// The new leader has received none of the polls.
 		r.leader.term, r.present.capacity.ackedPoll = a.Term, 0
 	}
 	r.present.capacity.ackedPoll = max(r.present.capacity.ackedPoll, a.AckedPoll)
 	r.polls.base = a.BasePoll
 	if a.Fence > r.leader.fence {
-		// Until the worker has heard the fence, what it listed may still be changed by a former
-		// leader's orders.
+		// Until the worker has seen the fence, a former leader's orders may still change what
+		// it runs.
 		r.leader.fence, r.present.complete = a.Fence, false
 		signal(r.extend)
 	}
@@ -61,7 +61,7 @@
 	}
 }
 
-// applyAcks drops what the leader has heard or stored. The lock must be held.
+// applyAcks drops refusals and ends that the leader has stored. The lock must be held.
 func (r *Runner) applyAcks(a assignment.Answer) {
 	maps.DeleteFunc(r.present.refusals, func(_ assignment.RunID, f refusal) bool { return f.since < a.AckedPoll })
 	if r.present.ends.ack(a.AckedEnd) {
--- a/jobs/runner/capacity.go
+++ b/jobs/runner/capacity.go
@@ -12,7 +12,7 @@
 // wake-up.
 const capacityMaxAge = 3 * time.Second
 
-// capacityReports says what the worker and the leader know of the worker's capacity.
+// capacityReports tracks the worker's reports of its capacity, and which of them the leader has.
 type capacityReports struct {
 	reportedAt time.Time
 	// shrunkPoll is the number of the first poll that reported the newest shrinking, ackedPoll
--- a/jobs/runner/contact.go
+++ b/jobs/runner/contact.go
@@ -16,7 +16,7 @@
 	expiryMargin = 300 * time.Millisecond
 )
 
-// contact says when a worker answered.
+// contact records when a worker answered.
 type contact struct {
 	lastAnswer time.Time
 	// failingSince is since when syncs get no answer; zero while they do.
@@ -45,18 +45,18 @@
 
 // workerClock relates the worker's clock to this process's.
 type workerClock struct {
-	// reading is what the worker's clock said at readAt, in milliseconds.
+	// reading is the worker's clock at readAt, in milliseconds.
 	reading int64
 	// readAt is zero before the first reading.
 	readAt time.Time
 }
 
-// at is what the worker's clock says at a time, in milliseconds.
+// at is the worker's clock at a time, in milliseconds.
 func (c workerClock) at(t time.Time) int64 { return c.reading + t.Sub(c.readAt).Milliseconds() }
 
-// noteAnswer takes over the clock that an answer to a call told. An answer of another
-// incarnation is no sign of life of the present one: it would make a worker that crashed before
-// it was to go seem to have drained. The lock must be held.
+// noteAnswer takes over the clock of an answer to a call. An answer of another incarnation
+// doesn't count as contact with the present one: a worker that crashed before its drain was
+// over would seem to have drained. The lock must be held.
 func (r *Runner) noteAnswer(clock int64, err error) {
 	if !errors.Is(err, ErrOtherIncarnation) {
 		r.noteClock(clock)
@@ -84,10 +84,10 @@
 		Int("runs", len(r.present.runs.known)).Err(err).Msg("worker gives no answer")
 }
 
-// abandonRuns gives up the runs of a worker that gives no answer once each lease that it may
-// have heard of is over, by the slowest clock it may have: none of them runs any more, and none
-// starts. What ended there before is listed when the worker answers again. The lock must be
-// held.
+// abandonRuns gives up the runs of an unresponsive worker once each lease that it may have
+// received is over, even by the slowest clock that it may have. Then none of them runs any
+// more, and none can start. Ends from before are listed when the worker answers again. The lock
+// must be held.
 func (r *Runner) abandonRuns(now time.Time) {
 	runs := &r.present.runs
 	if r.worker == nil || len(runs.known) == 0 || !r.present.contact.unresponsive(now) || !now.After(r.leaseExpiry()) {
@@ -108,7 +108,7 @@
 	}
 }
 
-// leaseExpiry is when each lease that the worker may have heard of is surely over. The lock
+// leaseExpiry is when each lease that the worker may have received is surely over. The lock
 // must be held.
 func (r *Runner) leaseExpiry() time.Time {
 	lastAnswer := r.present.contact.lastAnswer
--- a/jobs/runner/delta.go
+++ b/jobs/runner/delta.go
@@ -70,7 +70,7 @@
 }
 
 // sameButRuns reports whether two polls describe the same worker, but for its runs, and neither
-// reports anything that comes and goes: that is told in full.
+// reports an event: those are reported in full.
 func sameButRuns(a, b assignment.Poll) bool {
 	return a.State != nil && !a.State.Draining && reflect.DeepEqual(a.State, b.State) &&
 		a.Complete == b.Complete && a.AckedEnd == b.AckedEnd && uneventful(a) && uneventful(b)
--- a/jobs/runner/heartbeat.go
+++ b/jobs/runner/heartbeat.go
@@ -72,7 +72,7 @@
 	return Order{Incarnation: r.worker.ID, Fence: current.Fence}, true
 }
 
-// probe asks the worker whether it is still in an incarnation; nil says that it is.
+// probe asks the worker whether it is still in an incarnation, and returns nil if it is.
 func (r *Runner) probe(ctx context.Context, current Order) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -148,10 +148,10 @@
 	return (s.Service == "" || s.Service == w.Service) && (s.Zone == "" || s.Zone == w.Zone)
 }
 
-// Deregister takes note of a worker that says that it ends. It doesn't say which incarnation:
-// where several may share an instance, only a draining one is taken at its word. Otherwise a
-// late word of a former incarnation would end one that goes on, and its runs would be started
-// twice.
+// Deregister handles the deregistration of a worker that ends. It names only the instance:
+// where several incarnations may share one, it is believed only of a draining worker. Otherwise
+// the late deregistration of a former incarnation would end the present one, and its runs would
+// be started twice.
 func (r *Runner) Deregister(instance string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/jobs/runner/incarnations.go
+++ b/jobs/runner/incarnations.go
@@ -15,40 +15,42 @@
 // formerIncarnations are the incarnations of the worker that have ended.
 type formerIncarnations struct {
 	known map[incarnation.ID]bool
-	// unheard are those whose end the leader has not heard yet.
-	unheard map[incarnation.ID]endedIncarnation
+	// unacked are those whose end the leader has not acknowledged yet.
+	unacked map[incarnation.ID]endedIncarnation
 	// unregistered is the present incarnation after the end of one, if a list has named it and
 	// it has not reported yet.
 	unregistered incarnation.ID
 }
 
 func newFormerIncarnations() formerIncarnations {
-	return formerIncarnations{known: map[incarnation.ID]bool{}, unheard: map[incarnation.ID]endedIncarnation{}}
+	return formerIncarnations{known: map[incarnation.ID]bool{}, unacked: map[incarnation.ID]endedIncarnation{}}
 }
 
-// endedIncarnation is an incarnation whose end is reported until a poll with it has been heard.
+// endedIncarnation is an incarnation whose end is reported until the leader has acknowledged a
+// poll with it.
 type endedIncarnation struct {
 	assignment.IncarnationEnd
 	// since is the number of the poll since which all polls report it; zero if the newest did
 	// not.
 	since int64
-	// ordersVoid says that no order for it can have an effect any more. Until then its end is
+	// ordersVoid is set once no order for it can have an effect any more. Until then its end is
 	// not reported, since the leader would place its runs again.
 	ordersVoid bool
-	// lastContact is until when the worker was there; zero if this agent never heard it.
+	// lastContact is when the worker was last known to be running; zero if this agent had no
+	// contact with it.
 	lastContact time.Time
 }
 
-// heardBy reports whether the poll with a number reported it.
-func (e endedIncarnation) heardBy(poll int64) bool { return e.since != 0 && e.since <= poll }
+// ackedBy reports whether the end is acknowledged with the poll of a number.
+func (e endedIncarnation) ackedBy(poll int64) bool { return e.since != 0 && e.since <= poll }
 
 // noteDrained notes the end of an incarnation that is not the present one.
 func (f *formerIncarnations) noteDrained(id incarnation.ID) {
-	if _, ok := f.unheard[id]; ok {
+	if _, ok := f.unacked[id]; ok {
 		return
 	}
 	f.known[id] = true
-	f.unheard[id] = endedIncarnation{
+	f.unacked[id] = endedIncarnation{
 		IncarnationEnd: assignment.IncarnationEnd{ID: id, Drained: true},
 		ordersVoid:     true,
 	}
@@ -58,10 +60,10 @@
 // reports whether that is news.
 func (f *formerIncarnations) voidOrders() bool {
 	news := false
-	for id, e := range f.unheard {
+	for id, e := range f.unacked {
 		if !e.ordersVoid {
 			e.ordersVoid = true
-			f.unheard[id] = e
+			f.unacked[id] = e
 			news = true
 		}
 	}
@@ -71,7 +73,7 @@
 // closing lists the incarnations that are over and that the newest poll doesn't report as ended.
 func (f *formerIncarnations) closing() []incarnation.ID {
 	var ids []incarnation.ID
-	for id, e := range f.unheard {
+	for id, e := range f.unacked {
 		if e.since == 0 {
 			ids = append(ids, id)
 		}
@@ -86,15 +88,15 @@
 func (r *Runner) reportEnded() []assignment.IncarnationEnd {
 	var ends []assignment.IncarnationEnd
 	byName := func(a, b incarnation.ID) int { return cmp.Compare(a.String(), b.String()) }
-	for _, id := range slices.SortedFunc(maps.Keys(r.former.unheard), byName) {
-		e := r.former.unheard[id]
+	for _, id := range slices.SortedFunc(maps.Keys(r.former.unacked), byName) {
+		e := r.former.unacked[id]
 		if !e.ordersVoid || r.needsList(id) {
 			e.since = 0
-			r.former.unheard[id] = e
+			r.former.unacked[id] = e
 			continue
 		}
 		e.since = cmp.Or(e.since, r.polls.sequence)
-		r.former.unheard[id] = e
+		r.former.unacked[id] = e
 		if !e.lastContact.IsZero() {
 			e.SinceMillis = time.Since(e.lastContact).Milliseconds()
 		}
@@ -126,7 +128,7 @@
 	r.logEnd(end, why)
 	r.metrics.incarnations.Inc(endOutcomeOf(end))
 	r.former.known[end.ID] = true
-	r.former.unheard[end.ID] = endedIncarnation{
+	r.former.unacked[end.ID] = endedIncarnation{
 		IncarnationEnd: end,
 		lastContact:    lastContact,
 		ordersVoid:     r.ordersVoid(why),
@@ -168,7 +170,7 @@
 	}
 }
 
-// fenceUnregistered tells an incarnation that has not reported yet the present fence. Until it
+// fenceUnregistered sends the present fence to an incarnation that has not reported yet. Until it
 // has seen one, it would carry out orders for former incarnations that are still under way,
 // though their runs may be placed elsewhere by now.
 func (r *Runner) fenceUnregistered(ctx context.Context) {
@@ -188,7 +190,7 @@
 	switch {
 	case generation != r.generation || r.worker != nil:
 	case errors.As(err, &restarted):
-		// It has restarted once more, and the new incarnation has heard the fence by this call.
+		// It has restarted once more, and the new incarnation has seen the fence by this call.
 		r.former.unregistered = restarted.present
 	case errors.Is(err, ErrOtherIncarnation):
 		r.former.unregistered = incarnation.ID{}
--- a/jobs/runner/leader_client.go
+++ b/jobs/runner/leader_client.go
@@ -46,7 +46,7 @@
 	return &LeaderClient{directory: d, client: client}
 }
 
-// errNoLeader says that no leader is known.
+// errNoLeader is returned while no leader is known.
 var errNoLeader = errors.New("no leader is known")
 
 // Poll implements Leader. A poll that failed asks entries who the leader is, so that a later
--- a/jobs/runner/lease.go
+++ b/jobs/runner/lease.go
@@ -6,7 +6,7 @@
 	"yarrowgrade.example/yarrowgrade/internal/suspend"
 )
 
-// leadership is what the agent has heard from leaders.
+// leadership is what leaders have granted.
 type leadership struct {
 	term  int64
 	fence int64
@@ -37,7 +37,7 @@
 
 // leaseDeadline is the end of the lease by the worker's clock, in milliseconds, and false if
 // there is none: the leader has granted none, or the worker is unresponsive. In that case the
-// lease that it may have heard of must not grow, or it would never be over. The lock must be
+// lease that it may have received must not grow, or it would never be over. The lock must be
 // held.
 func (r *Runner) leaseDeadline(now time.Time) (int64, bool) {
 	until := r.monotonic(r.leader.leaseUntil)
--- a/jobs/runner/poll.go
+++ b/jobs/runner/poll.go
@@ -12,7 +12,7 @@
 	// pollTimeout bounds a poll; it must be well above the time for which a leader holds one.
 	pollTimeout = 1800 * time.Millisecond
 	// repeatPause holds back the next waiting poll after an answer that was held for less than
-	// heldAtLeast: it would only repeat what has just been said.
+	// heldAtLeast: it would only repeat what was just reported.
 	heldAtLeast = 5 * time.Millisecond
 	repeatPause = 30 * time.Millisecond
 )
--- a/jobs/runner/runner.go
+++ b/jobs/runner/runner.go
@@ -1,9 +1,9 @@
 // Package runner is the agent's side of jobs: it keeps one worker running what the leader wants.
 //
 // A Runner owns the agent's view of its worker: the present incarnation, the runs on it, the
-// ends that the leader has not stored yet, and the refusals that it has not heard. It keeps
-// nothing beyond the process: a new one learns all from the worker's list and the leader's
-// answers, and decides nothing by itself.
+// ends that the leader has not stored yet, and the refusals that it has not acknowledged. It
+// keeps nothing beyond the process: a new one learns all from the worker's list and the
+// leader's answers, and decides nothing by itself.
 //
 // Four loops and one goroutine for each start or stop share that view under one lock, which is
 // never held during a call. The loops poll the leader, synchronize with the worker, extend its
@@ -14,8 +14,8 @@
 // It relies on three things. Every order carries a fence, which rises with each term of a
 // leader and each incarnation, and a worker refuses orders below the highest that it has seen.
 // A worker ends by itself what runs beyond its lease, and the agent never extends that beyond
-// what the leader granted. A worker lists an end until it is told that the end is stored, which
-// the agent does only after the leader has said so.
+// what the leader granted. A worker lists an end until the agent confirms that it is stored,
+// which the agent does only after the leader has.
 //
 // # Usage
 //
@@ -95,11 +95,10 @@
 	polls  pollHistory
 	// doubtful is the identity that the newest heartbeat claimed, if it was rejected for it.
 	doubtful identity
-	// unreadableRows says that rows of the newest list could not be read.
+	// unreadableRows is set while the newest list has rows that can't be read.
 	unreadableRows bool
 
-	// report asks for a poll at once, extend for a sync at once, shared for a look at
-	// best-effort runs.
+	// report triggers a poll, extend a sync, and shared the throttling of best-effort runs.
 	report, extend, shared chan struct{}
 	// background are the goroutines of starts and stops.
 	background *conc.WaitGroup
--- a/jobs/runner/runs.go
+++ b/jobs/runner/runs.go
@@ -14,13 +14,13 @@
 
 // run is a run that the agent knows of.
 type run struct {
-	// running says that the worker has confirmed the run; before that a start or a stop is
+	// running is set once the worker has confirmed the run; before that a start or a stop is
 	// under way.
 	running bool
 	percent int
 	// latencyMillis is the worker's figure for the run; see assignment.Run.
 	latencyMillis int
-	// ordered says that a start was sent, or is being sent, and may have been carried out.
+	// ordered is set while a start was sent, or is being sent, and may have been carried out.
 	ordered bool
 	// uncertainAt is when a start ended without saying whether it was carried out; zero if none
 	// did.
@@ -32,7 +32,7 @@
 	listedAt time.Time
 }
 
-// newRun returns a run of which the worker has said nothing yet.
+// newRun returns a run that the worker has not confirmed yet.
 func newRun() *run { return &run{percent: percentUnknown} }
 
 // maybeRunning reports whether the run is on the worker as far as the agent can tell.
--- a/jobs/runner/starts.go
+++ b/jobs/runner/starts.go
@@ -10,8 +10,7 @@
 )
 
 const (
-	// maxUnavailable is how often a start is tried on a worker that is unavailable before the
-	// leader is told.
+	// maxUnavailable is how often a start is tried on an unavailable worker before it is refused.
 	maxUnavailable = 8
 	// wakeMargin is for how long this process may have to wait for a processor between looking
 	// at a clock and sending.
@@ -32,7 +31,7 @@
 	generation int
 	// unavailable counts the attempts at which the worker was unavailable.
 	unavailable int
-	// zoneLogged says that it was logged that the start waits for a proof of the zone.
+	// zoneLogged is set once it was logged that the start waits for a proof of the zone.
 	zoneLogged bool
 }
 
@@ -69,22 +68,22 @@
 	}
 }
 
-// startAttempt says whether a start may be sent now, and what it brings.
+// startAttempt is the decision whether a start may be sent now, with what it carries.
 type startAttempt struct {
-	// obsolete says that nothing is left to do: the run is running or stopping, or its
+	// obsolete is set if nothing is left to do: the run is running or stopping, or its
 	// incarnation is over.
 	obsolete bool
 	allowed  bool
 	order    Order
 	// until is the end of the lease by the worker's clock, in milliseconds.
 	until int64
-	// repeated says that an earlier attempt may have been carried out.
+	// repeated is set if an earlier attempt may have been carried out.
 	repeated bool
 }
 
-// prepareStart decides whether a start may be sent now. It takes a fence, a lease that is not
-// over, a new enough proof that the zone is not cordoned, a leader that knows the worker's
-// capacity, and that nothing is unknown of the last attempt.
+// prepareStart decides whether a start may be sent now. There must be a fence, a lease that is
+// not over, a recent enough proof that the zone is not cordoned, a leader that knows the
+// worker's capacity, and no earlier attempt whose outcome is open.
 func (r *Runner) prepareStart(s *pendingStart) startAttempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/jobs/runner/state.go
+++ b/jobs/runner/state.go
@@ -12,13 +12,13 @@
 	runs     runTable
 	ends     endLog
 	refusals map[assignment.RunID]refusal
-	// complete says that the worker has listed what it runs since it heard the newest fence.
+	// complete is set once the worker has listed what it runs under the newest fence.
 	complete bool
 	// listedAt is when the newest sync was sent whose list was taken over.
 	listedAt time.Time
 	contact  contact
 	clock    workerClock
-	// leaseSent is the latest end of a lease that the worker may have heard.
+	// leaseSent is the latest end of a lease that the worker may have received.
 	leaseSent time.Time
 	// drainsAt is the earliest time at which a draining worker goes.
 	drainsAt time.Time
@@ -37,8 +37,8 @@
 	}
 }
 
-// refusal is a run that will never start here. It is reported until a poll later than the one
-// numbered since has been heard.
+// refusal is a run that will never start here. It is reported until the leader has acknowledged
+// a poll later than the one numbered since.
 type refusal struct {
 	assignment.Refusal
 	since int64
--- a/jobs/runner/stops.go
+++ b/jobs/runner/stops.go
@@ -124,9 +124,9 @@
 	return true
 }
 
-// confirmStop asks the worker whether a run that was told to stop is there, and reports whether
-// the answer settles it. If the run is neither running nor among the ends, it never started,
-// and never will.
+// confirmStop asks the worker whether a run that was stopped is still there, and reports
+// whether the answer settles it. If the run is neither running nor among the ends, it never
+// started, and never will.
 func (r *Runner) confirmStop(ctx context.Context, s pendingStop) (done bool) {
 	r.mu.Lock()
 	order, ok := r.order()
--- a/jobs/runner/sync.go
+++ b/jobs/runner/sync.go
@@ -87,9 +87,9 @@
 	return syncSent{syncCall: call, at: now, generation: r.generation, running: r.present.runs.running()}, ok
 }
 
-// toForget is up to which end the worker is told to forget. It is zero once the worker has, and
-// while it gives no answer: an incarnation that has just followed would drop ends that nobody
-// has read. The lock must be held.
+// toForget is up to which end the worker may forget its ends. It is zero once the worker has
+// forgotten them, and while it gives no answer: an incarnation that has just followed would
+// drop ends that nobody has read. The lock must be held.
 func (r *Runner) toForget() int64 {
 	ends := &r.present.ends
 	if ends.acked == ends.forgotten || !r.present.contact.failingSince.IsZero() {
--- a/jobs/runner/throttle.go
+++ b/jobs/runner/throttle.go
@@ -9,8 +9,8 @@
 )
 
 // Best-effort runs are throttled while runs with a latency target share their worker. The
-// worker's latency figures are of the last half second, so a look each throttleInterval sees
-// the effect of the one before.
+// worker's latency figures are of the last half second, so each adjustment, one per
+// throttleInterval, sees the effect of the one before.
 const (
 	throttleInterval = 700 * time.Millisecond
 	// fullSpeed, in percent, is the speed of a run that is not throttled.
@@ -30,7 +30,7 @@
 	roles map[assignment.RunID]assignment.Role
 	// speed is that of all best-effort runs, in percent, while the worker is shared.
 	speed int
-	// applied is the speed that the worker was told for each run; none is fullSpeed.
+	// applied is the speed that the worker has for each run; none is fullSpeed.
 	applied map[assignment.RunID]int
 }
 
@@ -46,7 +46,7 @@
 	}
 }
 
-// shared reports whether runs with a latency target and best-effort runs are beside one another.
+// shared reports whether there are both runs with a latency target and best-effort runs.
 func (t *throttle) shared(runs map[assignment.RunID]*run) bool {
 	targeted, bestEffort := false, false
 	for id := range runs {
@@ -143,8 +143,8 @@
 	return shared || len(changes) > 0
 }
 
-// setSpeed tells the worker the speed of a run, in percent. If no answer comes, the next look
-// tells it again.
+// setSpeed sets the speed of a run on the worker, in percent. If no answer comes, the next
+// adjustment sends it again.
 func (r *Runner) setSpeed(ctx context.Context, order Order, id assignment.RunID, percent, generation int) {
 	attempt, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/jobs/runner/worker.go
+++ b/jobs/runner/worker.go
@@ -19,22 +19,22 @@
 	Fence       int64
 }
 
-// Listing is what a worker says of itself.
+// Listing is a worker's list of its runs and of the ends that are not forgotten.
 type Listing struct {
-	// StartMillis says which incarnation made the list; see incarnation.ID.
+	// StartMillis identifies the incarnation that made the list; see incarnation.ID.
 	StartMillis int64
 	Runs        []assignment.Run
 	Ends        []assignment.End
-	// Unreadable says which rows could not be read, and why. A run that is not listed may be in
-	// one of them.
+	// Unreadable has an error for each row that could not be read. A run that is not listed may
+	// be in one of them.
 	Unreadable []error
 }
 
 // whole reports whether what is not listed is not there.
 func (l Listing) whole() bool { return len(l.Unreadable) == 0 }
 
-// Worker is the worker beside the agent. Times are by its own clock, in milliseconds: each
-// answer tells the clock, and leases end by it.
+// Worker is the worker on the agent's box. Times are by its own clock, in milliseconds: each
+// answer carries the clock, and leases end by it.
 type Worker interface {
 	// Start starts a run, with a lease until then. After an error other than those below the
 	// run may have been started, or may still be.
@@ -49,22 +49,22 @@
 	Sync(ctx context.Context, o Order, until, forget int64, wait time.Duration) (list Listing, clock int64, err error)
 }
 
-// What a worker may answer to an order.
+// Refusals of a worker.
 var (
-	// ErrOtherIncarnation says that the worker has another instance, or has restarted under its
-	// instance.
+	// ErrOtherIncarnation is returned by a worker that has another instance, or has restarted
+	// under its instance.
 	ErrOtherIncarnation = errors.New("the worker is in another incarnation")
-	// ErrFenced says that the worker has heard of a higher fence.
-	ErrFenced = errors.New("the worker has heard of a higher fence")
-	// ErrAlreadyRan says that the run, or a later one of its task, has been there.
-	ErrAlreadyRan = errors.New("the run has already been there")
-	// ErrLeaseOver says that the lease of the order was over.
+	// ErrFenced is returned by a worker that has seen a higher fence.
+	ErrFenced = errors.New("the worker has seen a higher fence")
+	// ErrAlreadyRan is returned if the run, or a later one of its task, has been on the worker.
+	ErrAlreadyRan = errors.New("the run has already been on the worker")
+	// ErrLeaseOver is returned if the lease of the order was over.
 	ErrLeaseOver = errors.New("the lease of the order is over")
-	// ErrNoCapacity says that the run does not fit.
+	// ErrNoCapacity is returned if the run does not fit.
 	ErrNoCapacity = errors.New("the run does not fit")
-	// ErrUnavailable says that the worker carries out nothing at present.
+	// ErrUnavailable is returned by a worker that carries out nothing at present.
 	ErrUnavailable = errors.New("the worker is unavailable")
-	// ErrRejected says that the worker will never carry the order out as it is.
+	// ErrRejected is returned if the worker will never carry the order out as it is.
 	ErrRejected = errors.New("the worker rejects the order")
 )
 
@@ -79,7 +79,7 @@
 	return slices.ContainsFunc(targets, func(target error) bool { return errors.Is(err, target) })
 }
 
-// restartedError says that the worker has restarted under its instance, as its list says.
+// restartedError is returned if the worker's list shows that it has restarted under its instance.
 type restartedError struct{ present incarnation.ID }
 
 // Error implements error.
