--- a/jobs/jobtest/capacity.go
+++ b/jobs/jobtest/capacity.go
@@ -7,7 +7,8 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// ShrinkBound is how long after a worker has reported a smaller capacity a start may still rely on the former one.
+// ShrinkBound is how long after a worker has reported a smaller capacity a start may still rely on
+// the former one.
 const ShrinkBound = 4 * time.Second
 
 // formerCapacity is a capacity that a worker had until a time.
@@ -24,15 +25,15 @@
 	w.state.Capacity = capacity
 }
 
-// AllowOvercommit lets a worker start whatever it is told to, also beyond its capacity.
+// AllowOvercommit lets a worker start whatever it is told to, even beyond its capacity.
 func (w *Worker) AllowOvercommit() {
 	w.all.mu.Lock()
 	defer w.all.mu.Unlock()
 	w.overcommits = true
 }
 
-// checkCapacity checks a start on a worker that overcommits. Runs that are being stopped still count. The lock must be
-// held.
+// checkCapacity checks a start on a worker that overcommits. Runs that are being stopped still
+// count. The lock must be held.
 func (ws *Workers) checkCapacity(w *Worker, s assignment.Start, resources job.Resources) {
 	if resources.FitsIn(w.free()) || w.late || !time.Now().After(w.delaysUntil) {
 		return
--- a/jobs/jobtest/counted.go
+++ b/jobs/jobtest/counted.go
@@ -10,7 +10,7 @@
 // CountedLog counts the reads of a log.
 type CountedLog struct {
 	topic.Log
-	// Whole counts those that bring all there is, Brief those that find out whether the log answers.
+	// Whole counts full reads, Brief the probes that only find out whether the log answers.
 	Whole, Brief atomic.Int64
 }
 
@@ -24,5 +24,5 @@
 	return l.Log.Read(ctx, q)
 }
 
-// Reads is how many reads there were.
+// Reads returns the number of all reads.
 func (l *CountedLog) Reads() int64 { return l.Whole.Load() + l.Brief.Load() }
--- a/jobs/jobtest/crash.go
+++ b/jobs/jobtest/crash.go
@@ -12,37 +12,40 @@
 
 // Bounds on tasks that crash workers.
 const (
-	// blamedAfter is how many workers must have crashed under a task before its starts are counted, mostStarts how many starts from
-	// then on break the rule.
+	// blamedAfter is how many workers a task must have crashed before its further starts are counted,
+	// and mostStarts how many of those violate the rule.
 	blamedAfter = 3
 	mostStarts  = 3
-	// mayFailAfter is how many workers must have crashed under a task before its job may be given up.
+	// mayFailAfter is how many workers must have crashed with a task on them before its job may fail
+	// for it.
 	mayFailAfter = 2
 )
 
-// crasher is how a task crashes the workers that start it.
+// crasher says how long after its start a task crashes the worker, and how long the worker is away
+// then.
 type crasher struct {
 	after time.Duration
 	away  time.Duration
 }
 
-// crashes is what is known of the crashes under a task.
+// crashes counts the crashes of workers that had a task on them.
 type crashes struct {
-	// under counts the lives that crashed while it was there, for whatever cause; by those of them that it crashed itself.
+	// under counts the incarnations that crashed with it, for whatever cause; caused, those that it
+	// crashed itself.
 	under, caused int
-	// startsSince counts its starts after it had crashed blamedAfter of them.
+	// startsSince counts its starts since it has crashed blamedAfter workers.
 	startsSince int
 }
 
-// CrashOn makes a task crash each worker that starts it: so long after the start, and before the start is answered if that is zero. The
-// worker is back in a new life after a while.
-func (ws *Workers) CrashOn(name job.TaskName, after, back time.Duration) {
+// CrashOn makes a task crash each worker that starts it, a time after the start, or before the
+// start is answered if that is zero. The worker restarts after it was away.
+func (ws *Workers) CrashOn(name job.TaskName, after, away time.Duration) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
-	ws.crashers[name] = crasher{after: after, away: back}
+	ws.crashers[name] = crasher{after: after, away: away}
 }
 
-// crashesOf returns what is known of the crashes under a task. The lock must be held.
+// crashesOf returns the crashes with a task. The lock must be held.
 func (ws *Workers) crashesOf(name job.TaskName) *crashes {
 	if ws.crashes[name] == nil {
 		ws.crashes[name] = &crashes{}
@@ -50,14 +53,15 @@
 	return ws.crashes[name]
 }
 
-// CrashesBy counts the workers that a task has crashed.
+// CrashesBy returns how many workers a task has crashed.
 func (ws *Workers) CrashesBy(name job.TaskName) int {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
 	return ws.crashesOf(name).caused
 }
 
-// MayFail reports whether a job may be given up: a task of it has failed too often, or workers have crashed under it.
+// MayFail reports whether a job may fail: a task of it has failed too often, or workers have
+// crashed with it.
 func (ws *Workers) MayFail(id job.ID) bool {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
@@ -74,8 +78,8 @@
 	return false
 }
 
-// crashBy lets a run that has just started crash its worker, if its task does that. It returns an error if the start gets no answer for that. The
-// lock must be held.
+// crashBy lets a run that has just started crash its worker, if its task does that. It returns an
+// error if the start gets no answer. The lock must be held.
 func (w *Worker) crashBy(r *run) error {
 	c, ok := w.all.crashers[r.id.Task]
 	if !ok {
@@ -95,23 +99,25 @@
 	return nil
 }
 
-// crashUnder crashes the worker by a run. Its machine is well, so calls fail at once. The lock must be held.
-func (w *Worker) crashUnder(r *run, back time.Duration) {
+// crashUnder lets a run crash the worker. The machine stays up, so calls fail at once. The lock
+// must be held.
+func (w *Worker) crashUnder(r *run, away time.Duration) {
 	w.all.crashesOf(r.id.Task).caused++
 	w.refusing = true
-	w.crash(back)
+	w.crash(away)
 }
 
-// CrashProcess ends all that runs there as a crash of the worker does whose machine is well: calls fail at once.
-func (w *Worker) CrashProcess(back time.Duration) {
+// CrashProcess ends all runs as a crash of the worker's process does. The machine stays up, so
+// calls fail at once.
+func (w *Worker) CrashProcess(away time.Duration) {
 	w.all.mu.Lock()
 	defer w.all.mu.Unlock()
 	w.refusing = true
-	w.crash(back)
+	w.crash(away)
 }
 
-// crash ends all that runs there; the worker comes back in a new life after a while. The lock must be held.
-func (w *Worker) crash(back time.Duration) {
+// crash ends all runs; the worker restarts after the time. The lock must be held.
+func (w *Worker) crash(away time.Duration) {
 	w.up = false
 	for name := range w.runs {
 		w.all.crashesOf(name).under++
@@ -119,7 +125,7 @@
 	for _, r := range w.runs {
 		w.end(r, job.EndLeaseExpired, time.Now())
 	}
-	time.AfterFunc(back, func() {
+	time.AfterFunc(away, func() {
 		w.all.mu.Lock()
 		defer w.all.mu.Unlock()
 		if !w.up {
@@ -128,8 +134,8 @@
 	})
 }
 
-// unavailable is how a call ends to a worker that is not up: at once where its machine is, and else with the call's time. The lock must be held; it
-// is given up while that takes.
+// unavailable is how a call ends to a worker that is not up: at once if its machine is up, and
+// otherwise when the caller gives up. The lock must be held; it is released meanwhile.
 func (w *Worker) unavailable(ctx context.Context) error {
 	if w.refusing {
 		return fmt.Errorf("dial: %w", fault.ErrNotSent)
@@ -140,13 +146,15 @@
 	return ctx.Err()
 }
 
-// checkCrashes looks at a start of a task that has crashed workers: orders that come late are nobody's fault. The lock must be held.
+// checkCrashes checks a start of a task that has crashed workers. Orders that arrive late are
+// excused. The lock must be held.
 func (ws *Workers) checkCrashes(w *Worker, s assignment.Start) {
 	c := ws.crashes[s.Task]
 	if c == nil || c.caused < blamedAfter || w.late || !time.Now().After(w.delaysUntil) {
 		return
 	}
 	if c.startsSince++; c.startsSince >= mostStarts {
-		ws.violate("BUDGET: %v run %d starts on %s, %d times more after %d workers had crashed under it", s.Task, s.Run, w.name, c.startsSince, blamedAfter)
+		ws.violate("BUDGET: %v run %d starts on %s, %d times more after %d workers had crashed under it",
+			s.Task, s.Run, w.name, c.startsSince, blamedAfter)
 	}
 }
--- a/jobs/jobtest/log.go
+++ b/jobs/jobtest/log.go
@@ -1,11 +1,12 @@
-// Package jobtest holds stand-ins for tests of jobs: a keyed log that can be down, slow, and lose or delay what it was
-// asked, and workers that hold leases, count fences, keep gangs together and check the rules for what they are told.
+// Package jobtest holds fakes for tests of jobs: a keyed log that can be down, slow, and lose or delay appends, and
+// workers that hold leases, check fences, keep gangs together, and check the rules for what they are told to do.
 //
-// Both work on the runtime's clock, so that tests pause it.
+// Both work in memory and on the runtime's clock, which tests can pause. The tests of this package play days of drawn
+// jobs and faults against the real entries and agents.
 //
 // # Usage
 //
-//	log := jobtest.NewLog()
+//	log := jobtest.NewLog(1)
 //	replica := jobstore.NewReplica(log.Client("entry-1"), func() int { return 1 }, zerolog.Nop())
 //	log.SetFault("entry-1", jobtest.Fault{Silent: true})
 package jobtest
@@ -23,42 +24,53 @@
 
 // Fault is how the log treats a client.
 type Fault struct {
-	// Silent gives no answer and does nothing; Refuse answers at once that nothing was done; Reset fails at once, and
-	// the call may have been done.
+	// Silent calls have no effect and get no answer.
 	Silent bool
+	// Refuse lets calls fail at once, without an effect.
 	Refuse bool
-	Reset  bool
-	// Deaf gives no answer to reads that wait for news; all others are answered.
+	// Reset lets calls fail at once; half of the appends take effect all the same.
+	Reset bool
+	// Deaf reads, those that wait for new records, get no answer. All others do.
 	Deaf bool
 	// Delay is added to each answer.
 	Delay time.Duration
-	// Lost is the share of appends that are done and not answered; with Late they are done some seconds later.
+	// Lost is the share of appends that take effect and get no answer. With Late they take effect
+	// seconds later.
 	Lost float64
 	Late bool
 }
 
 // Log is a keyed topic in memory.
 type Log struct {
-	mu        sync.Mutex
-	records   []topic.Stored
-	first     int64
+	mu      sync.Mutex
+	records []topic.Stored
+	// first is the offset of the oldest record that reads can start from.
+	first int64
+	// epochs and sequences hold the newest of each producer, and answers the offset that each of its appends got.
 	epochs    map[string]int64
 	sequences map[string]int64
 	answers   map[string]map[int64]int64
-	faults    map[string]Fault
-	random    *rand.Rand
-	changed   chan struct{}
+	// faults are by the name of the client.
+	faults map[string]Fault
+	random *rand.Rand
+	// changed is closed and replaced at each append.
+	changed chan struct{}
 }
 
 // NewLog returns an empty topic without faults. The seed draws which answers are lost.
 func NewLog(seed uint64) *Log {
 	return &Log{
-		epochs: map[string]int64{}, sequences: map[string]int64{}, answers: map[string]map[int64]int64{},
-		faults: map[string]Fault{}, random: rand.New(rand.NewPCG(seed, 0)), changed: make(chan struct{}),
+		epochs:    map[string]int64{},
+		sequences: map[string]int64{},
+		answers:   map[string]map[int64]int64{},
+		faults:    map[string]Fault{},
+		random:    rand.New(rand.NewPCG(seed, 0)),
+		changed:   make(chan struct{}),
 	}
 }
 
-// SetFault sets how a client is treated. The empty name stands for all clients that have no fault of their own.
+// SetFault sets the fault of a client. The empty name stands for all clients without a fault of
+// their own.
 func (l *Log) SetFault(client string, f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,7 +91,7 @@
 	l.first = int64(len(l.records))
 }
 
-// Client returns the log as a process reaches it.
+// Client returns the log as the process of the name reaches it.
 func (l *Log) Client(name string) *LogClient { return &LogClient{log: l, name: name} }
 
 // LogClient is the log as one process reaches it. It implements topic.Log.
@@ -90,12 +102,13 @@
 
 var _ topic.Log = (*LogClient)(nil)
 
-// callDelay is what each call takes.
+// callDelay is how long each call takes.
 const callDelay = 4 * time.Millisecond
 
 var errReset = errors.New("connection reset")
 
-// applyFault lets the client's fault strike before a call. It returns the fault for what strikes after it.
+// applyFault applies the part of the client's fault that comes before a call, and returns it for
+// the rest.
 func (c *LogClient) applyFault(ctx context.Context) (Fault, error) {
 	c.log.mu.Lock()
 	fault, ok := c.log.faults[c.name]
@@ -146,8 +159,8 @@
 	return offset, err
 }
 
-// append carries an append out. As on the users' platform, a repeated number of a producer gets its first answer before
-// the other conditions are looked at.
+// append carries an append out. As on the users' platform, an append that repeats a sequence number
+// of its producer gets the first one's answer, before other conditions are checked.
 func (l *Log) append(records []topic.Record, condition topic.Condition) (int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -255,7 +268,7 @@
 	return batch, nil
 }
 
-// sleep waits, and returns the error of ctx if that has ended.
+// sleep waits, and returns the error of ctx if it has ended.
 func sleep(ctx context.Context, d time.Duration) error {
 	pause.For(ctx, d)
 	return ctx.Err()
--- a/jobs/jobtest/orders.go
+++ b/jobs/jobtest/orders.go
@@ -12,7 +12,7 @@
 
 var errLost = errors.New("the answer was lost")
 
-// order lets the worker's faults strike an order, and carries it out: at once, or late.
+// order applies the worker's faults to an order, and carries it out at once or late.
 func (w *Worker) order(ctx context.Context, o runner.Order, carry func() error) (int64, error) {
 	if err := sleep(ctx, time.Millisecond); err != nil {
 		return 0, err
@@ -40,7 +40,8 @@
 	return w.clock(time.Now()), w.carryOut(o, carry)
 }
 
-// carryOut checks the life and the fence. The lock must be held.
+// carryOut checks the incarnation and the fence, and then carries the order out. The lock must be
+// held.
 func (w *Worker) carryOut(o runner.Order, carry func() error) error {
 	if !o.Incarnation.SharesInstance(w.state.ID) {
 		return runner.ErrOtherIncarnation
@@ -54,7 +55,7 @@
 	return carry()
 }
 
-// extend reads the end of a lease.
+// extend extends the lease to a time of the worker's clock, in milliseconds.
 func (w *Worker) extend(until int64) {
 	w.leaseEnd = max(w.leaseEnd, min(until, w.clock(time.Now())+maxLease.Milliseconds()))
 }
@@ -84,7 +85,15 @@
 	}
 	w.all.checkStart(w, s)
 	w.all.checkCapacity(w, s, step.Reserved())
-	r := &run{id: s.RunID, resources: step.Reserved(), arrivedAt: now, speed: 100, lostUntil: now, work: w.all.workOf(s.Task), fails: w.all.random.Float64() < w.all.FailureShare}
+	r := &run{
+		id:        s.RunID,
+		resources: step.Reserved(),
+		arrivedAt: now,
+		work:      w.all.workOf(s.Task),
+		fails:     w.all.random.Float64() < w.all.FailureShare,
+		speed:     100,
+		lostUntil: now,
+	}
 	if r.resumedFrom, _ = time.ParseDuration(s.Checkpoint); !step.Gang {
 		r.startedAt = now
 	}
@@ -95,7 +104,8 @@
 	return w.crashBy(r)
 }
 
-// workOf is how long a task works: a second to three where nothing else is set, the same in each run.
+// workOf returns how long a task works: one to three seconds unless Work is set, the same in each
+// run.
 func (ws *Workers) workOf(name job.TaskName) time.Duration {
 	if ws.Work > 0 {
 		return ws.Work
@@ -105,9 +115,9 @@
 
 func (w *Worker) free() job.Resources { return w.freeOf(w.state.Capacity) }
 
-// freeOf is what of a room is not taken.
-func (w *Worker) freeOf(room job.Resources) job.Resources {
-	free := room
+// freeOf returns what of a capacity is not in use.
+func (w *Worker) freeOf(capacity job.Resources) job.Resources {
+	free := capacity
 	for _, r := range w.runs {
 		free = free.Plus(r.resources, -1)
 	}
@@ -171,7 +181,7 @@
 	}
 }
 
-// forget drops the ends that the scheduler has taken note of.
+// forget drops the ends that the leader has stored.
 func (w *Worker) forget(seen int64) {
 	var rest []assignment.End
 	for _, e := range w.ends {
@@ -179,7 +189,7 @@
 			rest = append(rest, e)
 			continue
 		}
-		// An end counts as taken note of only if the lease did not lapse in between.
+		// If the lease has ended since, the acknowledgement may be of an older leader and doesn't count.
 		if !w.leaseOverAt.After(w.endedAt[e.Number]) {
 			w.all.acknowledge(e)
 		}
@@ -195,7 +205,12 @@
 		if !r.startedAt.IsZero() {
 			percent = min(99, int(100*r.worked(time.Now())/r.work))
 		}
-		l.Runs = append(l.Runs, assignment.Run{RunID: r.id, Percent: percent, Checkpoint: w.saved(r), LatencyMillis: w.latencyMillis(r)})
+		l.Runs = append(l.Runs, assignment.Run{
+			RunID:         r.id,
+			Percent:       percent,
+			Checkpoint:    w.saved(r),
+			LatencyMillis: w.latencyMillis(r),
+		})
 	}
 	l.Ends = append(l.Ends, w.ends...)
 	return l
--- a/jobs/jobtest/rules.go
+++ b/jobs/jobtest/rules.go
@@ -9,13 +9,13 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// violate notes a broken rule. The lock must be held.
+// violate records a violation of a rule. The lock must be held.
 func (ws *Workers) violate(format string, args ...any) {
 	at := time.Since(ws.started).Round(time.Millisecond)
 	ws.Violations = append(ws.Violations, fmt.Sprintf("%v: ", at)+fmt.Sprintf(format, args...))
 }
 
-// checkStart looks at a start that a worker is about to carry out. The lock must be held.
+// checkStart checks a start that a worker is about to carry out. The lock must be held.
 func (ws *Workers) checkStart(w *Worker, s assignment.Start) {
 	broken := len(ws.Violations)
 	ws.checkRules(w, s)
@@ -60,13 +60,14 @@
 	}
 }
 
+// checkBound checks that no more tasks of a step are on the worker than the step allows.
 func (ws *Workers) checkBound(w *Worker, s assignment.Start, step job.Step) {
 	if step.MaxPerWorker == 0 {
 		return
 	}
 	there := 1
 	for name := range w.runs {
-		if name.Job == s.Task.Job && name.Round == s.Task.Round && name.Step == s.Task.Step {
+		if sameStep(name, s.Task) {
 			there++
 		}
 	}
@@ -75,10 +76,11 @@
 	}
 }
 
-// CordonBound is how long after operators were told that a zone is cordoned something may still start there.
+// CordonBound is how long after operators were told that an availability zone is cordoned a run may
+// still start there.
 const CordonBound = 5 * time.Second
 
-// Cordon notes that operators were told that a zone is cordoned, Uncordon that it is open again.
+// Cordon records that operators were told that an availability zone is cordoned.
 func (ws *Workers) Cordon(zone string) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
@@ -87,14 +89,15 @@
 	}
 }
 
-// Uncordon is the reverse of Cordon.
+// Uncordon ends a Cordon.
 func (ws *Workers) Uncordon(zone string) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
 	delete(ws.cordoned, zone)
 }
 
-// ExpectDelays notes that orders may arrive late for a while, because their sender or the way here stands still.
+// ExpectDelays says that orders may arrive late for a time, because their sender or the link to the
+// worker stands still.
 func (w *Worker) ExpectDelays(length time.Duration) {
 	w.all.mu.Lock()
 	defer w.all.mu.Unlock()
@@ -103,8 +106,8 @@
 	}
 }
 
-// checkCordon looks at a start in a zone that may be cordoned. An order that arrives late, or that the worker carries out late, is nobody's
-// fault.
+// checkCordon checks a start in an availability zone that may be cordoned. Orders that arrive late,
+// or that the worker carries out late, are excused.
 func (ws *Workers) checkCordon(w *Worker, s assignment.Start) {
 	at, ok := ws.cordoned[w.state.Zone]
 	if since := time.Since(at); ok && since > CordonBound && !w.late && time.Now().After(w.delaysUntil) {
@@ -112,7 +115,7 @@
 	}
 }
 
-// acknowledge notes that the scheduler has taken note of an end. The lock must be held.
+// acknowledge records that the leader has stored an end. The lock must be held.
 func (ws *Workers) acknowledge(e assignment.End) {
 	switch e.Reason {
 	case job.EndDone:
@@ -125,14 +128,14 @@
 	}
 }
 
-// Report returns the broken rules.
+// Report returns the violations.
 func (ws *Workers) Report() []string {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
 	return slices.Clone(ws.Violations)
 }
 
-// AllDone reports whether each task of a job has ended done at a worker.
+// AllDone reports whether each task of a job has succeeded.
 func (ws *Workers) AllDone(id job.ID) bool {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
@@ -149,10 +152,10 @@
 	return true
 }
 
-// AnyRun reports whether a task of a job runs somewhere.
+// AnyRun reports whether a task of a job is running.
 func (ws *Workers) AnyRun(id job.ID) bool { return ws.Running(id) > 0 }
 
-// Running counts the tasks of a job that run somewhere.
+// Running counts the running tasks of a job.
 func (ws *Workers) Running(id job.ID) int {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
@@ -167,14 +170,14 @@
 	return n
 }
 
-// StartsIn counts what was started in a zone.
+// StartsIn counts the runs that were started in an availability zone.
 func (ws *Workers) StartsIn(zone string) int {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
 	return ws.startsIn[zone]
 }
 
-// RunningIn counts the tasks that run in a zone.
+// RunningIn counts the running tasks in an availability zone.
 func (ws *Workers) RunningIn(zone string) int {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
@@ -187,7 +190,7 @@
 	return n
 }
 
-// Runs reports whether a task of a job runs on the worker.
+// Runs reports whether a task of a job is running on the worker.
 func (w *Worker) Runs(id job.ID) bool {
 	w.all.mu.Lock()
 	defer w.all.mu.Unlock()
@@ -199,7 +202,7 @@
 	return false
 }
 
-// EverRan reports whether a task of a job was ever started anywhere.
+// EverRan reports whether a task of a job was ever started.
 func (ws *Workers) EverRan(id job.ID) bool {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
--- a/jobs/jobtest/sharing.go
+++ b/jobs/jobtest/sharing.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// How tasks on a stand-in worker disturb one another.
+// How tasks on a worker slow one another down.
 const (
-	// baseLatency is the tail of a serving task's answers when nothing disturbs it, as a share of its target, fillTail what a
-	// task adds that fills at full pace, and serveTail what another serving task adds.
+	// baseLatency is the tail latency of a serving task by itself, as a share of its target.
+	// bestEffortLatency is what each best-effort task at full speed adds, and servingLatency what each
+	// other serving task adds.
 	baseLatency       = 0.4
 	bestEffortLatency = 0.5
 	servingLatency    = 0.1
-	// harmLimit is how long a task may be over its target by what fills beside it.
+	// harmLimit is how long a task may miss its target because of best-effort tasks.
 	harmLimit = 4 * time.Second
 )
 
-// latencyShare is the tail of a serving task's answers as a share of its target, with what fills beside it or without. The lock must
-// be held.
-func (w *Worker) latencyShare(r *run, filled bool) float64 {
+// latencyShare returns the tail latency of a serving task as a share of its target, with or without
+// the best-effort tasks beside it. The lock must be held.
+func (w *Worker) latencyShare(r *run, bestEffort bool) float64 {
 	sum := baseLatency
 	for _, other := range w.runs {
 		step := w.all.stepOf(other.id.Task)
@@ -26,34 +27,35 @@
 		case other == r:
 		case step.LatencyTarget > 0:
 			sum += servingLatency
-		case step.BestEffort && filled:
+		case step.BestEffort && bestEffort:
 			sum += bestEffortLatency * float64(other.speed) / 100
 		}
 	}
 	return sum
 }
 
-// latencyMillis is the worker's figure for a run: the tail of a serving task in milliseconds. The lock must be held.
+// latencyMillis returns the tail latency that the worker measures for a run. The lock must be held.
 func (w *Worker) latencyMillis(r *run) int {
 	target := w.all.stepOf(r.id.Task).LatencyTarget
 	return int(w.latencyShare(r, true) * float64(target.Milliseconds()))
 }
 
-// BestEffortSpeeds returns the paces of the tasks that fill, in percent and ascending.
+// BestEffortSpeeds returns the speeds of the best-effort tasks in percent, ascending.
 func (w *Worker) BestEffortSpeeds() []int {
 	w.all.mu.Lock()
 	defer w.all.mu.Unlock()
-	var paces []int
+	var speeds []int
 	for _, r := range w.runs {
 		if w.all.stepOf(r.id.Task).BestEffort {
-			paces = append(paces, r.speed)
+			speeds = append(speeds, r.speed)
 		}
 	}
-	slices.Sort(paces)
-	return paces
+	slices.Sort(speeds)
+	return speeds
 }
 
-// checkHarm notes a serving task that is over its target for too long because of what fills beside it. The lock must be held.
+// checkHarm records a violation if a serving task has missed its target for too long because of
+// best-effort tasks. The lock must be held.
 func (w *Worker) checkHarm(r *run, now time.Time) {
 	if w.all.stepOf(r.id.Task).LatencyTarget == 0 {
 		return
