--- a/cmd/soak/cluster.go
+++ b/cmd/soak/cluster.go
@@ -19,14 +19,14 @@
 	"yarrowgrade.example/yarrowgrade/platform/standin"
 )
 
-// Bounds that the processes are given, those of the users' sites.
+// Bounds that the processes are given, as on the users' sites.
 const (
 	lease  = 6 * time.Second
 	revoke = 5 * time.Second
 	grace  = 6 * time.Second
 )
 
-// Shape of a day's configuration.
+// The configuration of a day.
 const (
 	service  = "roster"
 	host     = "queues.example"
@@ -35,13 +35,13 @@
 	rackSize = 3
 )
 
-// room is what each worker has.
-var room = job.Resources{CPU: 16_000, Memory: 64_000, Accelerators: 8}
+// capacity is that of each worker.
+var capacity = job.Resources{CPU: 16_000, Memory: 64_000, Accelerators: 8}
 
-// queues are the priorities that jobs are handed in with; prefix is that of a queue's path.
+// queues is the number of queues, one for each priority.
 const queues = 3
 
-// zoneOf is the availability zone of a worker: each rack is one.
+// zoneOf returns the availability zone of a worker. Each rack is one.
 func zoneOf(worker int) string { return fmt.Sprintf("zone-%d", worker/rackSize) }
 
 func prefix(queue int) string { return fmt.Sprintf("/q%d/", queue) }
@@ -50,16 +50,16 @@
 type box struct {
 	name    string
 	process *loopback.Process
-	// inbound carries what agents and entries send to an entry; store carries what the process sends to the store, and
-	// worker what an agent sends to its worker.
+	// inbound is the link from agents and entries to an entry, store the one to the store, and worker
+	// the one from an agent to its worker.
 	inbound, store, worker *loopback.Link
-	// callers is where an entry takes callers' calls.
+	// callers is the address of an entry for callers.
 	callers string
-	// beside is the worker beside an agent, nil for an entry.
+	// beside is the worker beside an agent; nil for an entry.
 	beside *jobtest.Worker
 }
 
-// links are all links of the box.
+// links returns all links of the box.
 func (b *box) links() []*loopback.Link {
 	var all []*loopback.Link
 	for _, l := range []*loopback.Link{b.inbound, b.store, b.worker} {
@@ -70,7 +70,7 @@
 	return all
 }
 
-// cluster is the system of a day.
+// cluster is the system under test.
 type cluster struct {
 	settings settings
 	platform *standin.Platform
@@ -82,7 +82,7 @@
 	closers  []func()
 }
 
-// newCluster starts the platform and all processes. Close ends them also after an error.
+// newCluster starts the platform and all processes. close must be called even after an error.
 func newCluster(ctx context.Context, s settings, seed uint64, logs string) (*cluster, error) {
 	c := &cluster{settings: s, platform: standin.New(seed), logs: logs}
 	address, err := c.serve(c.platform.Store())
@@ -111,18 +111,23 @@
 	return c, nil
 }
 
-// config is a configuration with the keys.
+// config returns a configuration with the API keys.
 func config(version int64, keys ...string) standin.Config {
 	c := standin.Config{Version: version, Teams: []standin.Team{{Name: "team", Keys: keys, Guaranteed: 16}}}
 	for q := range queues {
 		c.Queues = append(c.Queues, standin.Queue{
-			Name: fmt.Sprintf("queue-%d", q), Host: host, Prefix: prefix(q), Service: service, Priority: q, Attempts: 4,
+			Name:     fmt.Sprintf("queue-%d", q),
+			Host:     host,
+			Prefix:   prefix(q),
+			Service:  service,
+			Priority: q,
+			Attempts: 4,
 		})
 	}
 	return c
 }
 
-// serve serves a handler on loopback until the cluster is closed.
+// serve serves a handler on loopback until close.
 func (c *cluster) serve(h http.Handler) (address string, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -134,7 +139,7 @@
 	return l.Addr().String(), nil
 }
 
-// link returns a link to an address that ends with the cluster.
+// link returns a link to an address. close ends it.
 func (c *cluster) link(to string) (*loopback.Link, error) {
 	l, err := loopback.NewLink()
 	if err != nil {
@@ -145,9 +150,9 @@
 	return l, nil
 }
 
-// Ports of a process at its own address.
+// Ports of a process, at an IP address of its own.
 const (
-	innerPort = 7000 + iota
+	internalPort = 7000 + iota
 	callersPort
 	readyPort
 	heartbeatsPort
@@ -156,8 +161,8 @@
 // boxes counts the boxes that this process has started.
 var boxes atomic.Int64
 
-// nextIP returns a loopback address of its own for a box, so that its ports can't be taken by anybody else: one network of
-// 127.0.0.0/8 for each process that plays days, and its addresses in turn.
+// nextIP returns a loopback address for a box, so that no other process takes its ports: a network
+// of 127.0.0.0/8 for each soak process, and in it one address after the other.
 func nextIP() string {
 	const perNetwork = 250
 	pid := os.Getpid()
@@ -169,13 +174,13 @@
 func (c *cluster) addEntry(i int) (err error) {
 	ip := nextIP()
 	b := &box{name: fmt.Sprintf("entry-%d", i), callers: at(ip, callersPort)}
-	if b.inbound, err = c.link(at(ip, innerPort)); err != nil {
+	if b.inbound, err = c.link(at(ip, internalPort)); err != nil {
 		return err
 	}
 	if b.store, err = c.link(c.store); err != nil {
 		return err
 	}
-	boot := standin.Boot{IP: ip, Port: innerPort, Callers: b.callers, Ready: at(ip, readyPort)}
+	boot := standin.Boot{IP: ip, Port: internalPort, Callers: b.callers, Ready: at(ip, readyPort)}
 	if err := c.launch(b, boot, "job-entry", "--advertise", b.inbound.Address()); err != nil {
 		return err
 	}
@@ -186,7 +191,7 @@
 func (c *cluster) addAgent(ctx context.Context, i int) error {
 	ip := nextIP()
 	name := fmt.Sprintf("worker-%d", i)
-	w := c.platform.Workers.Add(name, service, zoneOf(i), fmt.Sprintf("rack-%d", i/rackSize), room, "a")
+	w := c.platform.Workers.Add(name, service, zoneOf(i), fmt.Sprintf("rack-%d", i/rackSize), capacity, "a")
 	c.workers = append(c.workers, w)
 	served, err := c.serve(standin.Worker(w))
 	if err != nil {
@@ -199,7 +204,13 @@
 	if b.store, err = c.link(c.store); err != nil {
 		return err
 	}
-	boot := standin.Boot{IP: ip, Port: innerPort, Zone: zoneOf(i), Heartbeats: at(ip, heartbeatsPort), Worker: b.worker.Address()}
+	boot := standin.Boot{
+		IP:         ip,
+		Port:       internalPort,
+		Zone:       zoneOf(i),
+		Heartbeats: at(ip, heartbeatsPort),
+		Worker:     b.worker.Address(),
+	}
 	if err := c.launch(b, boot, "job-agent"); err != nil {
 		return err
 	}
@@ -221,15 +232,18 @@
 		return err
 	}
 	b.process = &loopback.Process{
-		Path: c.settings.Program, Args: args, Env: []string{standin.SettingsVariable + "=" + file}, Log: filepath.Join(c.logs, b.name+".log"),
+		Path: c.settings.Program,
+		Args: args,
+		Env:  []string{standin.SettingsVariable + "=" + file},
+		Log:  filepath.Join(c.logs, b.name+".log"),
 	}
 	return b.process.Start()
 }
 
-// all are all processes with their links.
+// all returns all boxes.
 func (c *cluster) all() []*box { return append(append([]*box{}, c.entries...), c.agents...) }
 
-// heal ends all faults: links, workers, the store, and processes that are paused or have ended.
+// heal ends all faults, and resumes or restarts processes that were paused or have ended.
 func (c *cluster) heal() error {
 	c.platform.SetFault(jobtest.Fault{})
 	for _, w := range c.workers {
@@ -249,7 +263,7 @@
 	return nil
 }
 
-// close ends all processes that the cluster has started, and what serves them.
+// close ends all processes, servers and links.
 func (c *cluster) close() {
 	for _, b := range c.all() {
 		b.process.Kill()
--- a/cmd/soak/day.go
+++ b/cmd/soak/day.go
@@ -18,28 +18,28 @@
 	faultPause    = 1500 * time.Millisecond
 	settleTimeout = 90 * time.Second
 	pollPause     = 200 * time.Millisecond
-	// revokeSlack is added to the time after which a key that was taken away must not work any more: the clock of this
-	// process says when a call was sent, not when it arrived.
+	// revokeSlack is added to the time after which a removed key must not work any more: the soak knows
+	// when it sent a call, not when it arrived.
 	revokeSlack = 100 * time.Millisecond
 	keyPause    = 250 * time.Millisecond
 )
 
-// report is what a day came to.
+// report is the result of a day.
 type report struct {
 	planned                    bool
 	accepted, refused, doubted int
 	starts                     int
-	struck, broken             []string
+	injected, violations       []string
 }
 
-// summary is the report in one line.
+// summary returns the report in one line.
 func (r report) summary() string {
 	kind := "faults"
 	if r.planned {
 		kind = "planned work"
 	}
-	return fmt.Sprintf("%d %s, %d jobs accepted, %d refused, %d in doubt, %d runs, %d broken",
-		len(r.struck), kind, r.accepted, r.refused, r.doubted, r.starts, len(r.broken))
+	return fmt.Sprintf("%d %s, %d jobs accepted, %d refused, %d in doubt, %d runs, %d violations",
+		len(r.injected), kind, r.accepted, r.refused, r.doubted, r.starts, len(r.violations))
 }
 
 // day is one day of the soak.
@@ -47,19 +47,19 @@
 	settings settings
 	cluster  *cluster
 	callers  *callers
-	striker  *striker
+	injector *injector
 	// troubles is nil on a day without them.
 	troubles *troubles
-	// starts is nil on a day on which each start has a new id.
-	starts *starts
-	random *rand.Rand
-	broken []string
+	// restarts is nil on a day on which each incarnation has an ID of its own.
+	restarts   *restarts
+	random     *rand.Rand
+	violations []string
 }
 
-// errNotUp says that the processes did not come up.
+// errNotUp means that the processes did not come up.
 var errNotUp = errors.New("the system does not serve after its start")
 
-// playDay plays one day. In every fourth one only planned work strikes, and then nothing may be cut or held.
+// playDay plays one day.
 func playDay(ctx context.Context, s settings, seed uint64, logs string) (report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -71,14 +71,14 @@
 	planned := seed%4 == 0
 	d := &day{
 		settings: s, cluster: c, random: rand.New(rand.NewPCG(seed, 1)),
-		callers: newCallers(c, rand.New(rand.NewPCG(seed, 2)), planned),
-		striker: &striker{cluster: c, random: rand.New(rand.NewPCG(seed, 3)), planned: planned},
+		callers:  newCallers(c, rand.New(rand.NewPCG(seed, 2)), planned),
+		injector: &injector{cluster: c, random: rand.New(rand.NewPCG(seed, 3)), planned: planned},
 	}
 	if s.Troubled && !planned {
 		d.troubles = newTroubles(c, seed)
 	}
 	if s.SameIDs && !planned {
-		d.starts = newStarts(c, seed)
+		d.restarts = newRestarts(c, seed)
 	}
 	if !d.servesWithin(ctx, startTimeout) {
 		return report{}, errNotUp
@@ -92,7 +92,7 @@
 	return d.report(), ctx.Err()
 }
 
-// servesWithin waits until all entries say that they know no job of some ID.
+// servesWithin waits until all entries answer that they don't know some job.
 func (d *day) servesWithin(ctx context.Context, limit time.Duration) bool {
 	for began := time.Now(); time.Since(began) < limit && ctx.Err() == nil; time.Sleep(pollPause) {
 		ready := true
@@ -108,16 +108,16 @@
 	return false
 }
 
-// play lets callers and faults go on for the length of the day, side by side.
+// play lets callers and faults go on, side by side, for the length of the day.
 func (d *day) play(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, d.settings.Length)
 	defer cancel()
-	activities := []func(context.Context){d.handIn, d.disturb, d.revoke}
+	activities := []func(context.Context){d.submitJobs, d.disturb, d.revoke}
 	if d.troubles != nil {
 		activities = append(activities, d.troubles.resize)
 	}
-	if d.starts != nil {
-		activities = append(activities, d.starts.strike)
+	if d.restarts != nil {
+		activities = append(activities, d.restarts.run)
 	}
 	done := make(chan struct{}, len(activities))
 	begin := func(f func(context.Context)) {
@@ -132,11 +132,11 @@
 	for range cap(done) {
 		<-done
 	}
-	d.striker.wait.Wait()
+	d.injector.wait.Wait()
 }
 
-// handIn hands jobs in, each by itself, and cancels some.
-func (d *day) handIn(ctx context.Context) {
+// submitJobs submits jobs, each in a goroutine, and cancels some.
+func (d *day) submitJobs(ctx context.Context) {
 	var open []chan struct{}
 	for ctx.Err() == nil {
 		j, queue := d.callers.drawJob()
@@ -148,7 +148,7 @@
 		open = append(open, done)
 		go func() {
 			defer close(done)
-			// A job that has been begun is seen through also when the day's time is over.
+			// A job that was begun is seen through even if the day's time is over.
 			whole := context.WithoutCancel(ctx)
 			d.callers.submit(whole, j, queue, first)
 			if cancelled {
@@ -164,18 +164,18 @@
 
 func (d *day) disturb(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause.For(ctx, time.Duration(d.striker.random.Int64N(int64(faultPause))))
+		pause.For(ctx, time.Duration(d.injector.random.Int64N(int64(faultPause))))
 		if ctx.Err() == nil {
-			d.striker.strike()
+			d.injector.inject()
 		}
 	}
 }
 
-// revoke takes a key away early in the day, and tries it on until the end.
+// revoke removes an API key early in the day, and tries it until the end.
 func (d *day) revoke(ctx context.Context) {
 	pause.For(ctx, d.settings.Length/8)
 	if err := d.cluster.platform.PutConfig(context.WithoutCancel(ctx), config(2, keptKey)); err != nil {
-		d.broken = append(d.broken, fmt.Sprintf("the configuration is not taken: %v", err))
+		d.violations = append(d.violations, fmt.Sprintf("the configuration is not taken: %v", err))
 		return
 	}
 	acknowledged := time.Now()
@@ -184,19 +184,19 @@
 		for i := range d.cluster.entries {
 			sent := time.Now()
 			_, a := d.callers.caller(i, takenKey).State(ctx, prefix(0), "ffffffffffffffff")
-			// A job that is not known is an answer under the key; a key that is not known is another one.
+			// An unknown job is an answer under the key; an unknown key is another one.
 			under := a.Accepted() || a.Status == statusUnknownJob
 			if late := sent.Sub(acknowledged); under && late > revoke+revokeSlack {
-				d.broken = append(d.broken, fmt.Sprintf("CONFIG: entry-%d takes a call under a key %v after it was taken away", i, late))
+				d.violations = append(d.violations, fmt.Sprintf("CONFIG: entry-%d takes a call under a key %v after it was taken away", i, late))
 			}
 		}
 	}
 }
 
-// statusUnknownJob is what an entry answers when it knows no such job.
+// statusUnknownJob is the status of an answer about an unknown job.
 const statusUnknownJob = 410
 
-// settle waits until all accepted jobs have ended, as every entry says.
+// settle waits until every entry says that all accepted jobs have ended.
 func (d *day) settle(ctx context.Context) {
 	for began := time.Now(); time.Since(began) < settleTimeout && ctx.Err() == nil; time.Sleep(pollPause) {
 		if len(d.unsettled(ctx)) == 0 {
@@ -205,7 +205,7 @@
 	}
 }
 
-// unsettled lists the accepted jobs that some entry does not say have ended.
+// unsettled returns a violation for each accepted job that some entry doesn't say has ended.
 func (d *day) unsettled(ctx context.Context) []string {
 	var open []string
 	for id := range d.callers.accepted {
@@ -225,12 +225,12 @@
 
 // check compares what callers were told with what the workers saw.
 func (d *day) check(ctx context.Context) {
-	d.broken = append(d.broken, d.unsettled(ctx)...)
+	d.violations = append(d.violations, d.unsettled(ctx)...)
 	workers := d.cluster.platform.Workers
-	d.broken = append(d.broken, workers.Report()...)
+	d.violations = append(d.violations, workers.Report()...)
 	for id, surely := range d.callers.refused {
 		if surely && workers.EverRan(id) {
-			d.broken = append(d.broken, fmt.Sprintf("REFUSED: %s ran, but every try to hand it in was refused", id))
+			d.violations = append(d.violations, fmt.Sprintf("REFUSED: %s ran, but every try to hand it in was refused", id))
 		}
 	}
 	for id := range d.callers.accepted {
@@ -243,21 +243,21 @@
 	state, _ := d.callers.caller(0, keptKey).State(ctx, prefix(d.callers.queueOf[id]), id)
 	switch {
 	case state == "completed" && !workers.AllDone(id):
-		d.broken = append(d.broken, fmt.Sprintf("MIXED: job %s is completed, and not all of its tasks have ended so", id))
+		d.violations = append(d.violations, fmt.Sprintf("MIXED: job %s is completed, and not all of its tasks have ended so", id))
 	case state == "failed" && !workers.MayFail(id):
-		d.broken = append(d.broken, fmt.Sprintf("LOST: job %s is failed, and no task of it has failed too often or crashed workers", id))
+		d.violations = append(d.violations, fmt.Sprintf("LOST: job %s is failed, and no task of it has failed too often or crashed workers", id))
 	case state == "cancelled" && !d.callers.cancelled[id]:
-		d.broken = append(d.broken, fmt.Sprintf("LOST: job %s is cancelled, and nobody asked for it", id))
+		d.violations = append(d.violations, fmt.Sprintf("LOST: job %s is cancelled, and nobody asked for it", id))
 	case ended(state) && !d.goneWithin(id, timeToStop(state)):
-		d.broken = append(d.broken, fmt.Sprintf("MIXED: job %s is %s and still runs", id, state))
+		d.violations = append(d.violations, fmt.Sprintf("MIXED: job %s is %s and still runs", id, state))
 	}
 }
 
-// stopLimit is how long what runs of a job may take to stop once the job is told to have failed or to be cancelled: the word goes to the agents after it is
-// kept, and a stop takes 0.3 s.
+// stopLimit is how long the runs of a job may take to stop after it was reported as failed or
+// cancelled: the agents are told after that is stored, and a stop takes 0.3 s.
 const stopLimit = time.Second
 
-// timeToStop is for how long something of a job in that state may still run: nothing of a completed one does.
+// timeToStop returns how long runs of a job in the state may go on. A completed job has none.
 func timeToStop(state string) time.Duration {
 	if state == "completed" {
 		return 0
@@ -265,7 +265,7 @@
 	return stopLimit
 }
 
-// goneWithin waits until nothing of a job runs, that long at the most.
+// goneWithin waits until nothing of a job runs, for at most the limit.
 func (d *day) goneWithin(id job.ID, limit time.Duration) bool {
 	for began := time.Now(); d.cluster.platform.Workers.AnyRun(id); time.Sleep(pollPause) {
 		if time.Since(began) >= limit {
@@ -277,7 +277,10 @@
 
 func (d *day) report() report {
 	r := report{
-		planned: d.striker.planned, accepted: len(d.callers.accepted), starts: d.cluster.platform.Workers.Starts, struck: d.striker.struck,
+		planned:  d.injector.planned,
+		accepted: len(d.callers.accepted),
+		starts:   d.cluster.platform.Workers.Starts,
+		injected: d.injector.injected,
 	}
 	for _, surely := range d.callers.refused {
 		if surely {
@@ -286,6 +289,6 @@
 			r.doubted++
 		}
 	}
-	r.broken = append(append(append(r.broken, d.broken...), d.striker.broken...), d.callers.broken...)
+	r.violations = append(append(append(r.violations, d.violations...), d.injector.violations...), d.callers.violations...)
 	return r
 }
--- a/cmd/soak/explain_test.go
+++ b/cmd/soak/explain_test.go
@@ -16,7 +16,7 @@
 	"yarrowgrade.example/yarrowgrade/platform/standin"
 )
 
-// provoked is a system of real processes in which a test provokes a failure.
+// provoked is a running system in which a test provokes a failure.
 type provoked struct {
 	t       *testing.T
 	logs    string
@@ -24,7 +24,7 @@
 	callers *callers
 }
 
-// provoke starts a system of two entries and three workers that serves.
+// provoke starts a system of two entries and three workers, and waits until it serves.
 func provoke(t *testing.T) *provoked {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -49,7 +49,7 @@
 	return p
 }
 
-// job is a job of one task that works for a while.
+// job returns a job of one task that works for the time.
 func (p *provoked) job(id job.ID, work time.Duration) *job.Job {
 	p.cluster.platform.Workers.SetWork(work)
 	j := &job.Job{ID: id, Spec: "spec", Service: service, MaxAttempts: 4, Priority: 1, Steps: []job.Step{
@@ -59,7 +59,7 @@
 	return j
 }
 
-// submit hands a job in at the first entry.
+// submit submits a job at the first entry.
 func (p *provoked) submit(j *job.Job) standin.Answer {
 	return p.callers.caller(0, keptKey).Submit(p.t.Context(), prefix(1), j)
 }
@@ -75,13 +75,14 @@
 	p.t.Fatalf("not within %v: %s", startTimeout, what)
 }
 
-// state is what the second entry says of a job.
+// state returns the state of a job, as the second entry says.
 func (p *provoked) state(id job.ID) string {
 	state, _ := p.callers.caller(1, keptKey).State(p.t.Context(), prefix(1), id)
 	return state
 }
 
-// trace runs the step of the page for operators: the lines of one id from the logs of all processes, in order.
+// trace runs the command that docs/OPERATIONS.md names: the lines about one ID from all logs, in
+// order.
 func (p *provoked) trace(id job.ID) string {
 	p.t.Helper()
 	files, err := filepath.Glob(filepath.Join(p.logs, "*.log"))
@@ -95,7 +96,7 @@
 	return string(out)
 }
 
-// log is the log of one process.
+// log returns the log of one process.
 func (p *provoked) log(name string) string {
 	p.t.Helper()
 	data, err := os.ReadFile(filepath.Join(p.logs, name+".log"))
@@ -119,8 +120,8 @@
 	}
 }
 
-// TestExplainRefused: a job that was refused while the store was away. Its line says so, and the entry's own line before it
-// says what was lost.
+// TestExplainRefused: a job that was refused while the store was down. The logs say so, and the
+// entry's line before says what failed.
 func TestExplainRefused(t *testing.T) {
 	t.Parallel()
 	p := provoke(t)
@@ -144,7 +145,7 @@
 	})
 }
 
-// TestExplainRanAgain: a job that ended late because its worker crashed while it ran.
+// TestExplainRanAgain: a job that ended late because its worker crashed.
 func TestExplainRanAgain(t *testing.T) {
 	t.Parallel()
 	p := provoke(t)
@@ -163,8 +164,8 @@
 		`how=lost`, `event="run is placed"`, `run=2`, `how=done`, `event="job ended".*phase=completed|phase=completed`)
 }
 
-// TestExplainNoAnswer: a caller that got no answer, because the entry lost power while it kept the job. The trace shows that
-// the job was kept and ran all the same.
+// TestExplainNoAnswer: a caller that got no answer, because the entry lost power while it stored
+// the job. The trace shows that the job was stored and ran all the same.
 func TestExplainNoAnswer(t *testing.T) {
 	t.Parallel()
 	p := provoke(t)
--- a/cmd/soak/faults.go
+++ b/cmd/soak/faults.go
@@ -12,38 +12,40 @@
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
-// striker draws faults and lets them strike a cluster. Faults overlap: each ends by itself after its time.
-type striker struct {
+// injector draws faults and injects them into a cluster. Faults overlap; each ends by itself.
+type injector struct {
 	cluster *cluster
 	random  *rand.Rand
 	// planned restricts the faults to what operators do on purpose.
 	planned bool
 
-	mu     sync.Mutex
-	struck []string
-	broken []string
-	wait   sync.WaitGroup
+	mu sync.Mutex
+	// injected describes the faults so far.
+	injected   []string
+	violations []string
+	wait       sync.WaitGroup
 }
 
 // Times of a fault.
 const (
 	shortestFault = time.Second
 	longestFault  = 7 * time.Second
-	// bounceFor is how long a process that was killed stays away at most.
+	// bounceFor is the longest time for which a killed process stays away.
 	bounceFor = 2 * time.Second
 	// stopSlack is added to the time that a planned stop may take.
 	stopSlack = time.Second
-	// cordonFor is added to the time for which a zone is cordoned, so that the bound of starts there is over for a while.
+	// cordonFor is added to the time for which an availability zone is cordoned, so that the bound on
+	// starts there has passed for a while.
 	cordonFor = jobtest.CordonBound
-	// settled is how long after a fault of a worker's way orders that were held up may still arrive, as on the users' sites.
-	settled = 3 * time.Second
+	// lateOrders is how long after a fault of a worker's link delayed orders may still arrive.
+	lateOrders = 3 * time.Second
 )
 
-// strike lets the next fault strike.
-func (s *striker) strike() {
+// inject injects the next fault.
+func (s *injector) inject() {
 	length := shortestFault + time.Duration(s.random.Int64N(int64(longestFault-shortestFault)))
 	if s.planned {
-		s.strikePlanned(length)
+		s.injectPlanned(length)
 		return
 	}
 	b := s.anyBox()
@@ -72,8 +74,8 @@
 	}
 }
 
-// strikePlanned is a stop, a reload, or a cordon.
-func (s *striker) strikePlanned(length time.Duration) {
+// injectPlanned stops a process, reloads its settings, or cordons an availability zone.
+func (s *injector) injectPlanned(length time.Duration) {
 	b := s.anyBox()
 	if s.random.IntN(4) == 0 {
 		s.cordonZone(cordonFor + length)
@@ -87,7 +89,7 @@
 	s.stopProcess(b)
 }
 
-func (s *striker) anyBox() *box {
+func (s *injector) anyBox() *box {
 	all := s.cluster.all()
 	if s.random.IntN(2) == 0 {
 		return s.cluster.entries[s.random.IntN(len(s.cluster.entries))]
@@ -95,20 +97,20 @@
 	return all[s.random.IntN(len(all))]
 }
 
-func (s *striker) note(format string, args ...any) {
+func (s *injector) note(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.struck = append(s.struck, fmt.Sprintf(format, args...))
+	s.injected = append(s.injected, fmt.Sprintf(format, args...))
 }
 
-func (s *striker) breaks(format string, args ...any) {
+func (s *injector) violate(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.broken = append(s.broken, fmt.Sprintf(format, args...))
+	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
-// later runs the end of a fault after its time. The day waits for it.
-func (s *striker) later(after time.Duration, end func()) {
+// later ends a fault after its time. The day waits for it.
+func (s *injector) later(after time.Duration, end func()) {
 	s.wait.Add(1)
 	time.AfterFunc(after, func() {
 		defer s.wait.Done()
@@ -117,12 +119,12 @@
 }
 
 // linkFault cuts, slows down or resets one of the links around a box.
-func (s *striker) linkFault(b *box, length time.Duration) {
+func (s *injector) linkFault(b *box, length time.Duration) {
 	links := b.links()
 	l := links[s.random.IntN(len(links))]
 	kinds := []struct {
 		name   string
-		strike func(*loopback.Link)
+		inject func(*loopback.Link)
 	}{
 		{"cut", (*loopback.Link).Cut},
 		{"cut one way", func(l *loopback.Link) { l.Forth.Shut() }},
@@ -134,14 +136,14 @@
 	kind := kinds[s.random.IntN(len(kinds))]
 	s.note("link of %s %s for %v", b.name, kind.name, length)
 	if l == b.worker {
-		b.beside.ExpectDelays(length + settled)
+		b.beside.ExpectDelays(length + lateOrders)
 	}
-	kind.strike(l)
+	kind.inject(l)
 	s.later(length, l.Heal)
 }
 
-// storeFault lets the store treat everybody badly.
-func (s *striker) storeFault(length time.Duration) {
+// storeFault lets the store fail for everybody.
+func (s *injector) storeFault(length time.Duration) {
 	faults := []jobtest.Fault{
 		{Silent: true}, {Refuse: true}, {Reset: true}, {Delay: 250 * time.Millisecond}, {Lost: 0.4}, {Lost: 0.4, Late: true},
 	}
@@ -151,17 +153,17 @@
 	s.later(length, func() { s.cluster.platform.SetFault(jobtest.Fault{}) })
 }
 
-func (s *striker) pauseProcess(b *box, length time.Duration) {
+func (s *injector) pauseProcess(b *box, length time.Duration) {
 	s.note("%s paused for %v", b.name, length)
 	if b.beside != nil {
-		b.beside.ExpectDelays(length + settled)
+		b.beside.ExpectDelays(length + lateOrders)
 	}
 	_ = b.process.Signal(syscall.SIGSTOP)
 	s.later(length, func() { _ = b.process.Signal(syscall.SIGCONT) })
 }
 
-// killProcess kills a process; it starts again a while later.
-func (s *striker) killProcess(b *box) {
+// killProcess kills a process and restarts it later.
+func (s *injector) killProcess(b *box) {
 	away := time.Duration(s.random.Int64N(int64(bounceFor)))
 	s.note("%s killed, back after %v", b.name, away)
 	b.process.Kill()
@@ -169,14 +171,14 @@
 }
 
 // start starts a process that has ended.
-func (s *striker) start(b *box) {
+func (s *injector) start(b *box) {
 	if err := b.process.StartAgain(); err != nil {
-		s.breaks("%s does not start: %v", b.name, err)
+		s.violate("%s does not start: %v", b.name, err)
 	}
 }
 
-// stopProcess stops a process as planned, and starts it again once it has ended. It must end by itself in time.
-func (s *striker) stopProcess(b *box) {
+// stopProcess stops a process as planned and restarts it after it has ended. It must end in time.
+func (s *injector) stopProcess(b *box) {
 	s.note("%s stopped as planned", b.name)
 	_ = b.process.Signal(syscall.SIGCONT)
 	done := b.process.Done()
@@ -189,7 +191,7 @@
 			s.start(b)
 		case <-time.After(grace + stopSlack):
 			if s.planned {
-				s.breaks("STOP: %s has not ended %v after SIGTERM", b.name, grace+stopSlack)
+				s.violate("STOP: %s has not ended %v after SIGTERM", b.name, grace+stopSlack)
 			}
 			b.process.Kill()
 			s.start(b)
@@ -197,8 +199,8 @@
 	}()
 }
 
-// flap kills a process three times in a row, as soon as it has started again.
-func (s *striker) flap(b *box) {
+// flap kills a process three times in a row, as soon as it is up.
+func (s *injector) flap(b *box) {
 	s.note("%s flaps", b.name)
 	s.wait.Add(1)
 	go func() {
@@ -211,8 +213,8 @@
 	}()
 }
 
-// killAll kills all processes of the system at once, as a loss of power does.
-func (s *striker) killAll() {
+// killAll kills all processes at once, like a loss of power.
+func (s *injector) killAll() {
 	away := time.Duration(s.random.Int64N(int64(bounceFor)))
 	s.note("all processes killed, back after %v", away)
 	for _, b := range s.cluster.all() {
@@ -225,31 +227,31 @@
 	}
 }
 
-// cordonZone cordons the zone of one of the workers, and takes that back later.
-func (s *striker) cordonZone(length time.Duration) {
+// cordonZone cordons the availability zone of one of the workers, and ends that later.
+func (s *injector) cordonZone(length time.Duration) {
 	zone := zoneOf(s.random.IntN(len(s.cluster.workers)))
 	s.note("%s cordoned for %v", zone, length)
 	platform := s.cluster.platform
 	if err := platform.PutCordon(context.Background(), zone, true); err != nil {
-		s.breaks("cordon of %s: %v", zone, err)
+		s.violate("cordon of %s: %v", zone, err)
 		return
 	}
 	platform.Workers.Cordon(zone)
 	s.later(length, func() {
 		platform.Workers.Uncordon(zone)
 		if err := platform.PutCordon(context.Background(), zone, false); err != nil {
-			s.breaks("cordon of %s is not taken away: %v", zone, err)
+			s.violate("cordon of %s is not taken away: %v", zone, err)
 		}
 	})
 }
 
-// workerFault strikes one of the workers.
-func (s *striker) workerFault(length time.Duration) {
+// workerFault injects a fault of one of the workers.
+func (s *injector) workerFault(length time.Duration) {
 	n := s.random.IntN(len(s.cluster.workers))
 	w := s.cluster.workers[n]
 	kinds := []struct {
 		name   string
-		strike func()
+		inject func()
 	}{
 		{"crashes", func() { w.Crash(length) }},
 		{"leaves", func() { w.Leave(length) }},
@@ -264,5 +266,5 @@
 	}
 	kind := kinds[s.random.IntN(len(kinds))]
 	s.note("worker %d %s for %v", n, kind.name, length)
-	kind.strike()
+	kind.inject()
 }
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,11 +1,14 @@
-// Command soak runs the real programs as separate processes on one machine and lets faults strike them from outside, while
-// callers hand in jobs. It checks what callers and workers see.
+// Command soak runs the real programs as separate processes on one machine under faults, while callers submit jobs, and
+// checks what callers and workers see.
 //
-// The users' platform is played by package platform/standin in this process. What the programs send to it and to each other
-// goes through links that are cut one way or both, slowed down and reset; processes are paused, killed, stopped and started
-// again by signals, in series and overlapping; the store goes down, is slow, and loses answers; workers crash, leave, go
-// silent and carry out orders late. On troubled days some tasks crash each worker that starts them, and workers' rooms shrink and grow. On days of same ids
-// workers start again under the ids that they had, all the time.
+// Package platform/standin plays the users' platform in this process. All traffic of the programs goes through links
+// that are cut in one or both directions, slowed down and reset. Processes are paused, killed, stopped and restarted.
+// The store goes down, is slow, and loses answers. Workers crash, drain, become unreachable and carry out orders late.
+// Faults overlap. On every fourth day (a run of one seed is called a day) only planned stops, reloads and cordons
+// happen, and no call may be cut or delayed by them.
+//
+// With --troubled some tasks also crash every worker that starts them, and the capacity of workers changes. With
+// --same-ids workers restart all the time, mostly under the ID that they had before.
 //
 // # Usage
 //
@@ -15,8 +18,8 @@
 //	bin/soak --program bin/yarrowgraded --seeds 10 --parallel 3 --same-ids
 //	bin/soak --program bin/yarrowgraded --seed 7            one day again, with its logs in --logs
 //
-// A line for each day says what was broken. The same seed draws the same jobs and faults, but processes are scheduled by the
-// machine, so a day does not repeat exactly. It exits with 1 if a day broke something.
+// It prints a line for each day, and a line for each violation. The same seed draws the same jobs and faults, but the
+// machine schedules the processes, so a day doesn't repeat exactly. The exit code is 1 if a day had a violation.
 package main
 
 import (
@@ -33,36 +36,38 @@
 	"github.com/sourcegraph/conc/pool"
 )
 
-const description = `Runs the real programs as separate processes, lets faults strike them, and checks what callers and workers see.
+const description = `Runs the real programs as separate processes under faults, and checks what callers and workers see.
 
 Examples:
 
   soak --program bin/yarrowgraded --seeds 10 --parallel 3
   soak --program bin/yarrowgraded --seed 7 --logs /tmp/seven`
 
-// settings are the soak's flags.
+// settings are the flags.
 type settings struct {
 	Program  string        `help:"Path of the daemon." default:"bin/yarrowgraded" type:"path"`
 	Seed     uint64        `help:"First seed." default:"1"`
 	Seeds    int           `help:"Number of days." default:"1"`
 	Parallel int           `help:"How many days run at once; each is a dozen processes." default:"1"`
-	Length   time.Duration `help:"How long faults strike in a day." default:"20s"`
+	Length   time.Duration `help:"How long faults are injected in a day." default:"20s"`
 	Entries  int           `help:"Entries of a day." default:"3"`
 	Workers  int           `help:"Workers of a day, each with its agent." default:"6"`
-	Troubled bool          `help:"Some tasks crash the workers that start them, and workers' rooms shrink and grow."`
-	SameIDs  bool          `help:"Workers start again under the ids that they had, all the time." name:"same-ids"`
-	Logs     string        `help:"Directory that keeps the logs of days that broke something." default:"soak-logs"`
+	Troubled bool          `help:"Let some tasks crash the workers that start them, and change the capacity of workers."`
+	SameIDs  bool          `help:"Restart workers all the time, mostly under the IDs that they had." name:"same-ids"`
+	Logs     string        `help:"Directory for the logs of days with violations." default:"soak-logs"`
 }
 
 // Validate implements kong.Validatable.
 func (s *settings) Validate() error {
-	for name, value := range map[string]int{"seeds": s.Seeds, "parallel": s.Parallel, "entries": s.Entries, "workers": s.Workers} {
+	least := map[string]int{"seeds": s.Seeds, "parallel": s.Parallel, "entries": s.Entries, "workers": s.Workers}
+	for name, value := range least {
 		if value < 1 {
 			return fmt.Errorf("%s: want 1 or more, got %d", name, value)
 		}
 	}
 	if s.Entries+s.Workers > maxProcesses {
-		return fmt.Errorf("entries and workers: want at most %d processes in a day, got %d", maxProcesses, s.Entries+s.Workers)
+		return fmt.Errorf("entries and workers: want at most %d processes in a day, got %d",
+			maxProcesses, s.Entries+s.Workers)
 	}
 	return nil
 }
@@ -70,8 +75,8 @@
 // maxProcesses bounds the processes of a day.
 const maxProcesses = 48
 
-// errBroken says that a day broke something.
-var errBroken = errors.New("something was broken")
+// errViolations means that a day had a violation.
+var errViolations = errors.New("rules were violated")
 
 func main() {
 	var s settings
@@ -84,7 +89,7 @@
 	}
 }
 
-// run plays all days and prints a line for each.
+// run plays all days and prints their results.
 func run(ctx context.Context, s settings) error {
 	days := pool.New().WithMaxGoroutines(s.Parallel).WithErrors()
 	for n := range s.Seeds {
@@ -99,7 +104,7 @@
 	return days.Wait()
 }
 
-// playOne plays a day and keeps its logs if it broke something.
+// playOne plays a day and keeps its logs if it had a violation.
 func playOne(ctx context.Context, s settings, seed uint64) error {
 	logs := filepath.Join(s.Logs, fmt.Sprint(seed))
 	if err := os.MkdirAll(logs, 0o700); err != nil {
@@ -111,11 +116,11 @@
 		return fmt.Errorf("seed %d: %w", seed, err)
 	}
 	fmt.Printf("seed %d: %s, %.0f s\n", seed, report.summary(), time.Since(began).Seconds())
-	for _, b := range report.broken {
-		fmt.Printf("seed %d: %s\n", seed, b)
+	for _, v := range report.violations {
+		fmt.Printf("seed %d: %s\n", seed, v)
 	}
-	if len(report.broken) > 0 {
-		return fmt.Errorf("seed %d: %w; logs in %s", seed, errBroken, logs)
+	if len(report.violations) > 0 {
+		return fmt.Errorf("seed %d: %w; logs in %s", seed, errViolations, logs)
 	}
 	return os.RemoveAll(logs)
 }
--- a/cmd/soak/soak_test.go
+++ b/cmd/soak/soak_test.go
@@ -15,13 +15,13 @@
 
 func TestMain(m *testing.M) { os.Exit(loopbacktest.Run(m, &binaries)) }
 
-// small are the settings of a day that a test plays.
+// small returns the settings of a short day.
 func small() settings {
 	return settings{Program: filepath.Join(binaries, "yarrowgraded"), Length: 8 * time.Second, Entries: 2, Workers: 3}
 }
 
-// TestSoak plays short days: one with faults and one with planned work only. Longer ones are played by hand; see
-// docs/OPERATIONS.md.
+// TestSoak plays short days: one with faults and one of planned work. docs/OPERATIONS.md says how
+// to play longer ones.
 func TestSoak(t *testing.T) {
 	for _, seed := range []uint64{1, 4} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -32,11 +32,11 @@
 				t.Fatal(err)
 			}
 			t.Log(report.summary())
-			for _, b := range report.broken {
-				t.Error(b)
+			for _, v := range report.violations {
+				t.Error(v)
 			}
-			if report.accepted < 3 || len(report.struck) < 3 {
-				t.Errorf("%d jobs were accepted and %d faults struck: the day proves nothing", report.accepted, len(report.struck))
+			if report.accepted < 3 || len(report.injected) < 3 {
+				t.Errorf("%d jobs were accepted and %d faults injected: the day proves nothing", report.accepted, len(report.injected))
 			}
 			if t.Failed() {
 				printLogs(t, logs)
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestTroubledSoak plays a short day on which, beside all other faults, tasks crash their workers and rooms shrink, and one on which workers start
-// again under their ids as well.
+// TestTroubledSoak plays a short day with tasks that crash their workers and changing capacities,
+// and one on which workers also restart under their IDs.
 func TestTroubledSoak(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -66,8 +66,8 @@
 				t.Fatal(err)
 			}
 			t.Log(report.summary())
-			for _, b := range report.broken {
-				t.Error(b)
+			for _, v := range report.violations {
+				t.Error(v)
 			}
 			if t.Failed() {
 				printLogs(t, logs)
@@ -76,7 +76,7 @@
 	}
 }
 
-// printLogs prints the logs of all processes of a day.
+// printLogs logs the logs of all processes of a day.
 func printLogs(t *testing.T, dir string) {
 	files, _ := filepath.Glob(filepath.Join(dir, "*.log"))
 	for _, file := range files {
