--- a/internal/loopback/link.go
+++ b/internal/loopback/link.go
@@ -1,11 +1,11 @@
-// Package loopback holds what tests of real processes on one machine need: links between them that can be cut, slowed down and
-// reset from outside, and the processes themselves, which are stopped, paused and killed by signals.
+// Package loopback is for tests that run real processes on one machine. It has links between processes, which can be cut,
+// slowed down and reset, and the processes themselves, which are stopped, paused and killed by signals.
 //
 // # Usage
 //
 //	l, err := loopback.NewLink()
-//	l.Lead("127.0.0.1:7000")           // others are given l.Address() in place of it
-//	l.Forth.Shut()                     // nothing gets there any more; what comes back still does
+//	l.Lead("127.0.0.1:7000")           // clients connect to l.Address() instead
+//	l.Forth.Shut()                     // requests don't arrive any more; answers still do
 //	p := &loopback.Process{Path: "bin/yarrowgraded", Args: []string{"job-agent"}, Log: "agent.log"}
 //	err = p.Start()
 package loopback
@@ -18,10 +18,11 @@
 	"time"
 )
 
-// Link forwards TCP connections to an address, and can be cut. While a direction is cut its bytes wait, as they do on a
-// real network, where they are sent again; no connection is reset. A connection made meanwhile is taken and then silent.
+// Link forwards TCP connections to an address, and can be cut. While a direction is cut its bytes
+// wait, as on a real network, where they would be retransmitted; no connection is reset.
+// Connections made meanwhile are accepted and stay silent. It is safe for concurrent use.
 type Link struct {
-	// Forth holds what goes to the address, Back what comes from there.
+	// Forth is the direction to the address, Back the one from it.
 	Forth, Back Gate
 
 	listener net.Listener
@@ -29,17 +30,17 @@
 	mu   sync.Mutex
 	to   string
 	open map[net.Conn]bool
-	// pairs are the connections that are forwarded.
+	// pairs are the forwarded connections.
 	pairs map[*pair]bool
 }
 
-// pair is a connection to the link and its continuation.
+// pair is a client's connection to the link and the one from the link to the address.
 type pair struct {
-	// silent says that nothing is forwarded any more, neither bytes nor the end of either side.
+	// silent means that neither bytes nor the end of either side are forwarded any more.
 	silent atomic.Bool
 }
 
-// NewLink returns a link that listens already. Where it leads is set before it is used.
+// NewLink returns a link that listens, and forwards after Lead. Close ends it.
 func NewLink() (*Link, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -48,7 +49,7 @@
 	return &Link{listener: l, open: map[net.Conn]bool{}, pairs: map[*pair]bool{}}, nil
 }
 
-// Lead sets where the link goes, and opens it.
+// Lead sets the address that the link forwards to, and starts it. It is called once.
 func (l *Link) Lead(to string) {
 	l.mu.Lock()
 	l.to = to
@@ -56,13 +57,13 @@
 	go l.accept()
 }
 
-// Address is where the link listens, such as 127.0.0.1:40123; URL is the same as a base URL.
+// Address returns where the link listens, such as 127.0.0.1:40123.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
-// URL is Address as a base URL.
+// URL returns the base URL of the link.
 func (l *Link) URL() string { return "http://" + l.Address() }
 
-// Cut holds both directions, Heal lets both go, without delay.
+// Cut cuts both directions. Heal ends it.
 func (l *Link) Cut() {
 	l.Forth.Shut()
 	l.Back.Shut()
@@ -88,8 +89,8 @@
 	}
 }
 
-// Silence makes all open connections silent for good: nothing is forwarded on them any more, and neither end hears of the other's. New
-// connections work. It returns how many there were.
+// Silence makes all open connections silent for good: nothing is forwarded, and neither end notices
+// the other's close. New connections work. It returns how many connections there were.
 func (l *Link) Silence() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,8 +117,8 @@
 	}
 }
 
-// hold keeps a connection among the open ones until the returned function is called.
-func (l *Link) hold(c net.Conn) (release func()) {
+// track adds an open connection until the returned function, which closes it, is called.
+func (l *Link) track(c net.Conn) (release func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open[c] = true
@@ -130,7 +131,7 @@
 }
 
 func (l *Link) serve(c net.Conn) {
-	defer l.hold(c)()
+	defer l.track(c)()
 	l.Forth.pass()
 	l.mu.Lock()
 	to := l.to
@@ -141,18 +142,18 @@
 	}
 	defer s.Close()
 	pair := &pair{}
-	defer l.forward(pair)()
+	defer l.trackPair(pair)()
 	ended := make(chan struct{}, 2)
-	go pair.carry(s, c, &l.Forth, ended)
-	go pair.carry(c, s, &l.Back, ended)
+	go pair.copy(s, c, &l.Forth, ended)
+	go pair.copy(c, s, &l.Back, ended)
 	<-ended
 	if pair.silent.Load() {
 		<-ended
 	}
 }
 
-// forward keeps a pair among those that are forwarded until the returned function is called.
-func (l *Link) forward(p *pair) (release func()) {
+// trackPair adds a forwarded pair until the returned function is called.
+func (l *Link) trackPair(p *pair) (release func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pairs[p] = true
@@ -163,8 +164,9 @@
 	}
 }
 
-// carry copies what comes from one connection to the other whenever the gate is open. Once the pair is silent it swallows it.
-func (p *pair) carry(to io.Writer, from io.Reader, g *Gate, ended chan<- struct{}) {
+// copy copies from one connection to the other, as the gate allows. Once the pair is silent it
+// discards what it reads.
+func (p *pair) copy(to io.Writer, from io.Reader, g *Gate, ended chan<- struct{}) {
 	defer func() { ended <- struct{}{} }()
 	buffer := make([]byte, 32<<10)
 	for {
@@ -181,14 +183,15 @@
 	}
 }
 
-// Gate holds those who pass while it is shut, and lets each wait a while when it is slow.
+// Gate holds those who pass while it is shut, and delays them while it is slow. The zero value is
+// open.
 type Gate struct {
 	mu     sync.Mutex
 	opened chan struct{}
 	delay  time.Duration
 }
 
-// Shut holds all who pass from now on.
+// Shut holds all who pass from now on, until Open.
 func (g *Gate) Shut() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -197,7 +200,7 @@
 	}
 }
 
-// Open lets all go.
+// Open lets all pass.
 func (g *Gate) Open() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -207,7 +210,7 @@
 	}
 }
 
-// Slow delays each who passes.
+// Slow delays each who passes; zero ends it.
 func (g *Gate) Slow(delay time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/loopback/link_test.go
+++ b/internal/loopback/link_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// echo answers each connection with what it sends, and counts those that have ended.
+// echo returns the address of a server that sends back what it gets, and a channel that gets a
+// value for each connection that ended.
 func echo(t *testing.T) (address string, ended chan struct{}) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,7 +44,8 @@
 	return err == nil
 }
 
-// TestSilence: an open connection gets nothing any more, and its other end does not hear that it was closed; a new one works.
+// TestSilence: a silent connection gets no answer, and the other end doesn't notice that it is
+// closed. New connections work.
 func TestSilence(t *testing.T) {
 	const long, moment = 10 * time.Second, 100 * time.Millisecond
 	to, ended := echo(t)
--- a/internal/loopback/loopbacktest/binaries.go
+++ b/internal/loopback/loopbacktest/binaries.go
@@ -14,7 +14,8 @@
 	"testing"
 )
 
-// Run builds all programs into a directory of its own, names that, and runs the tests. It returns their exit code.
+// Run builds all programs into a temporary directory, stores its path in directory, and runs the
+// tests. It returns their exit code.
 func Run(m *testing.M, directory *string) int {
 	flag.Parse()
 	dir, err := os.MkdirTemp("", "yarrowgrade-")
@@ -22,7 +23,8 @@
 		panic(err)
 	}
 	defer os.RemoveAll(dir)
-	build := exec.Command("go", "build", "-o", dir+string(filepath.Separator), "yarrowgrade.example/yarrowgrade/cmd/...")
+	const programs = "yarrowgrade.example/yarrowgrade/cmd/..."
+	build := exec.Command("go", "build", "-o", dir+string(filepath.Separator), programs)
 	if out, err := build.CombinedOutput(); err != nil {
 		panic(fmt.Sprintf("%v\n%s", err, out))
 	}
--- a/internal/loopback/process.go
+++ b/internal/loopback/process.go
@@ -10,17 +10,19 @@
 	"syscall"
 )
 
-// Process is a program in a process of its own, which can be started again after it has ended. Only the process that it has
-// started itself is ever sent a signal, by its id.
+// Process is a program in a process of its own, which can be restarted after it has ended. Signals
+// are sent only to the process that it has started itself, by its ID. It is safe for concurrent use
+// after Start.
 type Process struct {
 	Path string
 	Args []string
-	// Env is added to the environment, in the form NAME=value.
+	// Env is added to the environment, as NAME=value.
 	Env []string
-	// Log is the file to which both outputs are appended.
+	// Log is the file that both outputs are appended to.
 	Log string
 
-	// starting is held while the process starts: two that both saw it end must not both start it.
+	// starting is held while the process starts: of two callers that saw it end, only one may restart
+	// it.
 	starting sync.Mutex
 
 	mu   sync.Mutex
@@ -28,7 +30,7 @@
 	done chan struct{}
 }
 
-// Start runs the program, again if it ran before.
+// Start runs the program, also after it has ended.
 func (p *Process) Start() error {
 	file, err := os.OpenFile(p.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -52,7 +54,7 @@
 	return nil
 }
 
-// StartAgain runs the program again if it has ended; otherwise it does nothing.
+// StartAgain restarts the program if it has ended.
 func (p *Process) StartAgain() error {
 	p.starting.Lock()
 	defer p.starting.Unlock()
@@ -64,21 +66,21 @@
 	}
 }
 
-// ID is the process's id.
+// ID returns the process ID.
 func (p *Process) ID() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.Process.Pid
 }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has ended.
 func (p *Process) Done() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.done
 }
 
-// Signal sends the process a signal. One that has ended is passed over.
+// Signal sends a signal, unless the process has ended.
 func (p *Process) Signal(s syscall.Signal) error {
 	p.mu.Lock()
 	cmd, done := p.cmd, p.done
@@ -91,19 +93,19 @@
 	if err := cmd.Process.Signal(s); !errors.Is(err, os.ErrProcessDone) {
 		return err
 	}
-	// It has ended, and is only not waited for yet.
+	// It has ended, and was not waited for yet.
 	return nil
 }
 
-// Kill ends the process at once, also if it is paused, and waits until it is gone.
+// Kill ends the process at once, even if it is paused, and waits for its end.
 func (p *Process) Kill() {
-	// Another goroutine may start it again as soon as it has ended.
+	// Another goroutine may restart it as soon as it has ended.
 	done := p.Done()
 	_ = p.Signal(syscall.SIGKILL)
 	<-done
 }
 
-// ExitCode is that of the process, which must have ended.
+// ExitCode returns the exit code of a process that has ended.
 func (p *Process) ExitCode() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/loopback/process_test.go
+++ b/internal/loopback/process_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// helper is set for the process that TestStartAgainOnce runs: this test's own program.
+// helper is set for the process that TestStartAgainOnce runs, which is this test's program.
 const helper = "LOOPBACK_HELPER"
 
-// TestHelper is that process: it says that it has started and stays for a while.
+// TestHelper is that process: it prints that it has started, and stays for a while.
 func TestHelper(t *testing.T) {
 	if os.Getenv(helper) == "" {
 		return
@@ -22,10 +22,16 @@
 	time.Sleep(time.Second)
 }
 
-// TestStartAgainOnce: of several that saw a process end, one starts it again and the others do not.
+// TestStartAgainOnce: of several callers that saw a process end, one restarts it and the others
+// don't.
 func TestStartAgainOnce(t *testing.T) {
 	log := filepath.Join(t.TempDir(), "log")
-	p := &Process{Path: os.Args[0], Args: []string{"-test.run", "^TestHelper$", "-test.v"}, Env: []string{helper + "=1"}, Log: log}
+	p := &Process{
+		Path: os.Args[0],
+		Args: []string{"-test.run", "^TestHelper$", "-test.v"},
+		Env:  []string{helper + "=1"},
+		Log:  log,
+	}
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -45,18 +51,18 @@
 	}
 	<-p.Done()
 	if got := starts(t, log); got != rounds+1 && got != rounds {
-		// The first may have been killed before it said so.
+		// The first may have been killed before it printed.
 		t.Errorf("%d starts, want %d", got, rounds+1)
 	}
 }
 
-// waitForStart waits until the running process has said that it has started, and a moment longer for any other.
+// waitForStart waits until the running process has printed that it has started, and a moment longer
+// for any other.
 func waitForStart(t *testing.T, log string) {
 	t.Helper()
-	for before, began := starts(t, log), time.Now(); time.Since(began) < 500*time.Millisecond; time.Sleep(10 * time.Millisecond) {
-		if starts(t, log) > before {
-			break
-		}
+	before, began := starts(t, log), time.Now()
+	for starts(t, log) == before && time.Since(began) < 500*time.Millisecond {
+		time.Sleep(10 * time.Millisecond)
 	}
 	time.Sleep(50 * time.Millisecond)
 }
