--- a/jobs/dispatch/desired_test.go
+++ b/jobs/dispatch/desired_test.go
@@ -46,20 +46,20 @@
 		told := map[string]DesiredState{}
 		born := int64(1)
 		for range rapid.IntRange(3, 25).Draw(rt, "events") {
-			w := b.control.workers[fmt.Sprintf(
-				"w%d-%d", rapid.IntRange(0, 1).Draw(rt, "rack"), rapid.IntRange(0, 2).Draw(rt, "worker"),
-			)]
+			rack, number := rapid.IntRange(0, 1).Draw(rt, "rack"), rapid.IntRange(0, 2).Draw(rt, "worker")
+			w := b.control.workers[fmt.Sprintf("w%d-%d", rack, number)]
 			switch rapid.IntRange(0, 6).Draw(rt, "event") {
 			case 0, 1:
 				b.job(rapid.IntRange(0, 2).Draw(rt, "priority"), "other", job.Step{
-					Tasks: rapid.IntRange(1, 4).Draw(
-						rt, "tasks",
-					), Gang: rapid.Bool().Draw(rt, "gang"), BestEffort: rapid.IntRange(0, 4).Draw(rt, "fills") == 0,
+					Tasks:      rapid.IntRange(1, 4).Draw(rt, "tasks"),
+					Gang:       rapid.Bool().Draw(rt, "gang"),
+					BestEffort: rapid.IntRange(0, 4).Draw(rt, "fills") == 0,
 					Resources: job.Resources{
 						CPU:          8000,
 						Memory:       1000,
 						Accelerators: rapid.IntRange(1, 8).Draw(rt, "accelerators"),
-					}, Checkpoint: rapid.Bool().Draw(rt, "checkpoint"),
+					},
+					Checkpoint: rapid.Bool().Draw(rt, "checkpoint"),
 				})
 			case 2:
 				b.endOne(rt, w)
--- a/jobs/dispatch/fixture_test.go
+++ b/jobs/dispatch/fixture_test.go
@@ -29,13 +29,32 @@
 }
 
 func newFixture(t testing.TB, racks, perRack int) *fixture {
+	follower := fixtureCatalog(t)
+	b := &fixture{t: t, now: time.Now()}
+	b.control = New(DefaultSettings(), Dependencies{
+		Catalog: follower,
+		Logger:  zerolog.Nop(),
+		Metrics: NewMetrics(tally.NoopScope),
+	})
+	b.control.desired.all = true
+	for r := range racks {
+		for w := range perRack {
+			b.addWorker(fmt.Sprintf("w%d-%d", r, w), fmt.Sprintf("r%d", r))
+		}
+	}
+	return b
+}
+
+// fixtureCatalog follows a configuration with two teams, of which one has a guarantee.
+func fixtureCatalog(t testing.TB) *catalog.Follower {
 	log := jobtest.NewLog(1)
-	follower := catalog.NewFollower(log.Client("c"), catalog.Format{ConfigKey: "config", Config: func(
-		[]byte,
-	) (*catalog.Catalog, error) {
-		c := catalog.Catalog{Version: 1, Teams: []catalog.Team{{Name: "sure", GuaranteedAccelerators: 16}, {Name: "other"}}}
-		return c.WithIndex(), nil
-	}}, zerolog.Nop())
+	follower := catalog.NewFollower(log.Client("c"), catalog.Format{
+		ConfigKey: "config",
+		Config: func([]byte) (*catalog.Catalog, error) {
+			teams := []catalog.Team{{Name: "sure", GuaranteedAccelerators: 16}, {Name: "other"}}
+			return catalog.Catalog{Version: 1, Teams: teams}.WithIndex(), nil
+		},
+	}, zerolog.Nop())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	config := []topic.Record{{Key: "config", Value: []byte("1")}}
@@ -46,28 +65,23 @@
 	for c, _ := follower.Current(); c == nil; c, _ = follower.Current() {
 		time.Sleep(time.Millisecond)
 	}
-	b := &fixture{t: t, now: time.Now()}
-	b.control = New(
-		DefaultSettings(),
-		Dependencies{Catalog: follower, Logger: zerolog.Nop(), Metrics: NewMetrics(tally.NoopScope)},
-	)
-	b.control.desired.all = true
-	for r := range racks {
-		for w := range perRack {
-			name := fmt.Sprintf("w%d-%d", r, w)
-			b.control.workers[name] = &worker{
-				name: name, heardAt: b.now, runs: map[assignment.RunID]observedRun{},
-				state: &assignment.WorkerState{
-					ID: incarnation.ID{
-						Instance:    name,
-						StartMillis: 1,
-					}, Service: service, Rack: fmt.Sprintf("r%d", r), Labels: []string{"a", fmt.Sprintf("r%d", r)},
-					Capacity: job.Resources{CPU: 64_000, Memory: 128_000, Accelerators: 8},
-				},
-			}
-		}
+	return follower
+}
+
+// addWorker adds a worker that was heard just now.
+func (b *fixture) addWorker(name, rack string) {
+	b.control.workers[name] = &worker{
+		name:    name,
+		heardAt: b.now,
+		runs:    map[assignment.RunID]observedRun{},
+		state: &assignment.WorkerState{
+			ID:       incarnation.ID{Instance: name, StartMillis: 1},
+			Service:  service,
+			Rack:     rack,
+			Labels:   []string{"a", rack},
+			Capacity: job.Resources{CPU: 64_000, Memory: 128_000, Accelerators: 8},
+		},
 	}
-	return b
 }
 
 // job adds a job of one step.
@@ -88,7 +102,8 @@
 		MaxAttempts:     3,
 		ObjectiveFactor: 3,
 		ObjectiveSlack:  time.Second,
-		Accepted:        b.now.Add(time.Duration(b.number) * time.Millisecond), Steps: []job.Step{s},
+		Accepted:        b.now.Add(time.Duration(b.number) * time.Millisecond),
+		Steps:           []job.Step{s},
 	})
 	b.control.add(t)
 	return t
--- a/jobs/dispatch/golden_test.go
+++ b/jobs/dispatch/golden_test.go
@@ -231,8 +231,8 @@
 type goldenIssuer struct{ err error }
 
 // Issue implements PermitIssuer.
-func (a goldenIssuer) Issue(_ context.Context, _ string, lives []incarnation.ID) ([]Permit, time.Duration, error) {
-	return []Permit{{Incarnation: lives[0], Token: "ticket"}}, time.Minute, a.err
+func (a goldenIssuer) Issue(_ context.Context, _ string, on []incarnation.ID) ([]Permit, time.Duration, error) {
+	return []Permit{{Incarnation: on[0], Token: "ticket"}}, time.Minute, a.err
 }
 
 // TestGoldenAdvice: the lines of a call to the permit issuer that failed, and of one that did not.
--- a/jobs/dispatch/plan_test.go
+++ b/jobs/dispatch/plan_test.go
@@ -211,9 +211,9 @@
 		for range rapid.IntRange(1, 12).Draw(rt, "events") {
 			for range rapid.IntRange(0, 2).Draw(rt, "jobs") {
 				gang := rapid.Bool().Draw(rt, "gang")
-				b.job(rapid.IntRange(0, 2).Draw(rt, "priority"), rapid.SampledFrom([]string{
-					"sure", "other",
-				}).Draw(rt, "team"), job.Step{
+				priority := rapid.IntRange(0, 2).Draw(rt, "priority")
+				team := rapid.SampledFrom([]string{"sure", "other"}).Draw(rt, "team")
+				b.job(priority, team, job.Step{
 					Tasks: rapid.IntRange(1, 6).Draw(rt, "tasks"), Gang: gang, SameRack: gang && rapid.Bool().Draw(rt, "same rack"),
 					Resources:  job.Resources{CPU: 8000, Memory: 1000, Accelerators: rapid.IntRange(1, 8).Draw(rt, "accelerators")},
 					Checkpoint: rapid.Bool().Draw(rt, "checkpoint"), MaxPerWorker: rapid.IntRange(0, 2).Draw(rt, "bound"),
