--- a/jobs/leader/fleet_test.go
+++ b/jobs/leader/fleet_test.go
@@ -95,16 +95,25 @@
 	}
 }
 
+// environment is what a leader reads besides polls.
+type environment struct {
+	// cordons are those in force, and syncedAt is when it was known that there are no others.
+	cordons  catalog.Cordons
+	syncedAt time.Time
+	// suspended is how long the leader's machine was suspended.
+	suspended time.Duration
+}
+
 // withLeases runs a test with the workers of a leader, in a bubble.
-func withLeases(t *testing.T, f func(t *testing.T, fl *fleet)) {
+func withLeases(t *testing.T, f func(t *testing.T, fl *fleet, env *environment)) {
 	synctest.Test(t, func(t *testing.T) {
-		clock := suspend.Clock(func() time.Duration { return suspended })
-		inForce := func() (catalog.Cordons, time.Time) { return cordons, cordonsSyncedAt }
+		env := &environment{syncedAt: time.Now()}
+		clock := suspend.Clock(func() time.Duration { return env.suspended })
+		inForce := func() (catalog.Cordons, time.Time) { return env.cordons, env.syncedAt }
 		fl := newFleet(DefaultTiming(6*time.Second), clock, inForce, tally.NoopScope.Counter("answers"))
-		cordons, cordonsSyncedAt = nil, time.Now()
 		fl.open(3)
 		fl.prove(fl.clock.Now())
-		f(t, fl)
+		f(t, fl, env)
 	})
 }
 
@@ -134,12 +143,3 @@
 	}
 	return a
 }
-
-// cordons are those in force, and cordonsSyncedAt is when it was known that there are no others.
-var (
-	cordons         catalog.Cordons
-	cordonsSyncedAt time.Time
-)
-
-// suspended is how long the leader's machine was suspended.
-var suspended time.Duration
--- a/jobs/leader/golden_test.go
+++ b/jobs/leader/golden_test.go
@@ -134,8 +134,8 @@
 
 // withCandidate runs a test with a candidate that leads in term 3, though no goroutine of it
 // runs.
-func withCandidate(t *testing.T, f func(t *testing.T, c *Candidate, log *bytes.Buffer)) {
-	withLeases(t, func(t *testing.T, fl *fleet) {
+func withCandidate(t *testing.T, f func(t *testing.T, c *Candidate, env *environment, log *bytes.Buffer)) {
+	withLeases(t, func(t *testing.T, fl *fleet, env *environment) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); time.Sleep(10 * time.Second) }()
 		var out bytes.Buffer
@@ -158,7 +158,7 @@
 		})
 		c.fleet = fl
 		time.Sleep(time.Second)
-		f(t, c, &out)
+		f(t, c, env, &out)
 	})
 }
 
@@ -186,7 +186,7 @@
 
 // TestGoldenServePoll holds a poll as it stands in the file, and what the leader answers.
 func TestGoldenServePoll(t *testing.T) {
-	withCandidate(t, func(t *testing.T, c *Candidate, _ *bytes.Buffer) {
+	withCandidate(t, func(t *testing.T, c *Candidate, env *environment, _ *bytes.Buffer) {
 		described := goldenPoll()
 		described.Delta, described.Unresponsive, described.Wait = nil, false, false
 		body, err := json.Marshal(described)
@@ -194,7 +194,7 @@
 			t.Fatal(err)
 		}
 		goldentest.Bytes(t, "poll-described.json", body)
-		cordonsSyncedAt = time.Now()
+		env.syncedAt = time.Now()
 		first := served(c.ServePoll, http.MethodPost, assignment.Path, string(goldentest.Read(t, "poll-described.json")))
 		goldentest.Bytes(t, "served-first.txt", first)
 		if got := c.fleet.take()["worker-1"].poll; !sameJSON(t, got, described) {
@@ -236,7 +236,7 @@
 // TestGoldenServeHandover holds an offer as it stands in the file, the answers to it, and the log
 // line.
 func TestGoldenServeHandover(t *testing.T) {
-	withCandidate(t, func(t *testing.T, c *Candidate, log *bytes.Buffer) {
+	withCandidate(t, func(t *testing.T, c *Candidate, _ *environment, log *bytes.Buffer) {
 		recordLeader(t, c, 3)
 		time.Sleep(2 * time.Second)
 		offer := `{"term":3,"holder":"entry-2/5","failing_ms":450}`
@@ -250,7 +250,7 @@
 
 // TestGoldenServeWorkers holds the list that operators read.
 func TestGoldenServeWorkers(t *testing.T) {
-	withCandidate(t, func(t *testing.T, c *Candidate, _ *bytes.Buffer) {
+	withCandidate(t, func(t *testing.T, c *Candidate, env *environment, _ *bytes.Buffer) {
 		goldentest.Bytes(t, "served-workers-none.txt", served(c.ServeWorkers, http.MethodGet, WorkersPath, ""))
 		described := goldenPoll()
 		described.Delta = nil
@@ -260,7 +260,7 @@
 		described.Sequence, described.State = 13, &next
 		ask(t, c.fleet, described)
 		since := time.Date(2026, 3, 4, 5, 6, 7, 0, time.UTC)
-		cordons = catalog.Cordons{}.With(catalog.Cordon{Zone: "zone-1", Revision: 7, Since: since})
+		env.cordons = catalog.Cordons{}.With(catalog.Cordon{Zone: "zone-1", Revision: 7, Since: since})
 		goldentest.Bytes(t, "served-workers.txt", served(c.ServeWorkers, http.MethodGet, WorkersPath, ""))
 		c.fleet.close()
 		goldentest.Bytes(t, "served-workers-elsewhere.txt", served(c.ServeWorkers, http.MethodGet, WorkersPath, ""))
@@ -275,7 +275,7 @@
 // TestGoldenLeadership holds the log lines of an entry that claims leadership, leads and gives it
 // up.
 func TestGoldenLeadership(t *testing.T) {
-	withCandidate(t, func(t *testing.T, c *Candidate, log *bytes.Buffer) {
+	withCandidate(t, func(t *testing.T, c *Candidate, _ *environment, log *bytes.Buffer) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); time.Sleep(10 * time.Second) }()
 		c.deps.DirectoryLog = jobtest.NewLog(3).Client("e")
@@ -290,7 +290,7 @@
 
 // TestGoldenClaim holds the record that claims a term, as it stands in the log, and the log line.
 func TestGoldenClaim(t *testing.T) {
-	withCandidate(t, func(t *testing.T, c *Candidate, log *bytes.Buffer) {
+	withCandidate(t, func(t *testing.T, c *Candidate, _ *environment, log *bytes.Buffer) {
 		if err := c.claim(t.Context(), 4, 0); err != nil {
 			t.Fatal(err)
 		}
@@ -301,7 +301,7 @@
 
 // TestGoldenTerm holds the records of a term that is given up.
 func TestGoldenTerm(t *testing.T) {
-	withCandidate(t, func(t *testing.T, c *Candidate, _ *bytes.Buffer) {
+	withCandidate(t, func(t *testing.T, c *Candidate, _ *environment, _ *bytes.Buffer) {
 		if err := c.claim(t.Context(), 4, 0); err != nil {
 			t.Fatal(err)
 		}
--- a/jobs/leader/lease_test.go
+++ b/jobs/leader/lease_test.go
@@ -11,7 +11,7 @@
 
 // TestLeasesProof: with an old proof of leadership nothing is leased and nothing started.
 func TestLeasesProof(t *testing.T) {
-	withLeases(t, func(t *testing.T, fl *fleet) {
+	withLeases(t, func(t *testing.T, fl *fleet, _ *environment) {
 		ask(t, fl, poll(1))
 		publishOne(fl)
 		time.Sleep(fl.timing.MaxProofAge + time.Millisecond)
@@ -29,19 +29,19 @@
 // from before it, however young that seems by the monotonic clock: a successor may lead by now,
 // and count on no lease being left.
 func TestLeasesSuspended(t *testing.T) {
-	withLeases(t, func(t *testing.T, fl *fleet) {
+	withLeases(t, func(t *testing.T, fl *fleet, env *environment) {
 		ask(t, fl, poll(1))
 		publishOne(fl)
-		suspended += fl.timing.MaxProofAge
+		env.suspended += fl.timing.MaxProofAge
 		if a := ask(t, fl, poll(2)); a.LeaseMillis == 0 {
 			t.Errorf("with a proof that is just good enough: %+v", a)
 		}
 		written := fl.clock.Now()
-		suspended += time.Second
+		env.suspended += time.Second
 		if a := ask(t, fl, poll(3)); a.LeaseMillis != 0 || len(a.Start) != 0 {
 			t.Errorf("after a suspension: %+v", a)
 		}
-		suspended += fl.timing.MaxProofAge
+		env.suspended += fl.timing.MaxProofAge
 		fl.prove(written)
 		if a := ask(t, fl, poll(4)); a.LeaseMillis != 0 {
 			t.Errorf("with a write that was under way while the machine was suspended: %+v", a)
@@ -56,7 +56,7 @@
 // TestLeasesExpire: an agent that comes back between the decision that its worker's lease has
 // ended and the publication of what follows must get neither a lease nor an order.
 func TestLeasesExpire(t *testing.T) {
-	withLeases(t, func(t *testing.T, fl *fleet) {
+	withLeases(t, func(t *testing.T, fl *fleet, _ *environment) {
 		ask(t, fl, poll(1))
 		publishOne(fl)
 		time.Sleep(fl.timing.leaseEnd() + time.Millisecond)
@@ -81,7 +81,7 @@
 // TestLeasesUnreached: an agent that does not reach its worker gets no lease, so that the
 // worker's lease ends.
 func TestLeasesUnreached(t *testing.T) {
-	withLeases(t, func(t *testing.T, fl *fleet) {
+	withLeases(t, func(t *testing.T, fl *fleet, _ *environment) {
 		publishOne(fl)
 		silent, none := poll(1), poll(2)
 		silent.Unresponsive, none.State = true, nil
@@ -111,12 +111,12 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			withLeases(t, func(t *testing.T, fl *fleet) {
+			withLeases(t, func(t *testing.T, fl *fleet, env *environment) {
 				p := poll(1)
 				p.State = &inZone
 				ask(t, fl, p)
 				publishOne(fl)
-				cordons = test.cordons
+				env.cordons = test.cordons
 				time.Sleep(test.age)
 				p.Sequence = 2
 				a := ask(t, fl, p)
@@ -124,7 +124,7 @@
 					t.Errorf("open is %v with a proof of %d ms, want %v with at least %v",
 						a.ZoneOpen, a.ZoneProofMillis, test.open, test.age)
 				}
-				cordonsSyncedAt = time.Time{}
+				env.syncedAt = time.Time{}
 				p.Sequence = 3
 				if a := ask(t, fl, p); a.ZoneOpen {
 					t.Error("the zone is said to be open without a proof")
--- a/jobs/leader/poll_test.go
+++ b/jobs/leader/poll_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestLeasesStarts(t *testing.T) {
-	withLeases(t, func(t *testing.T, fl *fleet) {
+	withLeases(t, func(t *testing.T, fl *fleet, _ *environment) {
 		if a := ask(t, fl, poll(1)); a.LeaseMillis == 0 || len(a.Start) != 0 {
 			t.Errorf("before anything is published: %+v", a)
 		}
@@ -45,7 +45,7 @@
 // TestLeasesOvertaken: a poll that arrives after a newer one is not taken, and its sender is not
 // told that it was.
 func TestLeasesOvertaken(t *testing.T) {
-	withLeases(t, func(t *testing.T, fl *fleet) {
+	withLeases(t, func(t *testing.T, fl *fleet, _ *environment) {
 		ask(t, fl, poll(1))
 		ask(t, fl, poll(3))
 		older := poll(2)
@@ -69,7 +69,7 @@
 // acknowledged. Were a delta to an unknown poll acknowledged, from which the leader takes
 // nothing, the refusal would be lost.
 func TestLeasesOvertakenOnUnknownBase(t *testing.T) {
-	withLeases(t, func(t *testing.T, fl *fleet) {
+	withLeases(t, func(t *testing.T, fl *fleet, _ *environment) {
 		ask(t, fl, poll(1))
 		unknown := assignment.Poll{Worker: "w", Agent: "a", Sequence: 2, Term: 3, Delta: &assignment.Delta{Sequence: 99}}
 		unknown.Refused = []assignment.Refusal{{RunID: desiredRun}}
@@ -90,7 +90,7 @@
 // TestLeasesAgents: another incarnation of an agent gets a higher fence, and the former one is
 // not listened to any more.
 func TestLeasesAgents(t *testing.T) {
-	withLeases(t, func(t *testing.T, fl *fleet) {
+	withLeases(t, func(t *testing.T, fl *fleet, _ *environment) {
 		first := ask(t, fl, poll(1))
 		p := poll(1)
 		p.Agent = "b"
@@ -116,7 +116,7 @@
 // TestLeasesHolds: a poll with nothing to answer is held, and answered as soon as there is
 // something.
 func TestLeasesHolds(t *testing.T) {
-	withLeases(t, func(t *testing.T, fl *fleet) {
+	withLeases(t, func(t *testing.T, fl *fleet, _ *environment) {
 		ask(t, fl, poll(1))
 		fl.publish(map[string]dispatch.DesiredState{"w": {Incarnation: present.ID}})
 		p := poll(2)
--- a/jobs/leader/workers_test.go
+++ b/jobs/leader/workers_test.go
@@ -10,13 +10,13 @@
 // TestWorkerList: operators see each worker that has reported, what its agent lists, and the
 // cordon of its zone.
 func TestWorkerList(t *testing.T) {
-	withLeases(t, func(t *testing.T, fl *fleet) {
+	withLeases(t, func(t *testing.T, fl *fleet, env *environment) {
 		inZone := present
 		inZone.Zone = "zone-1"
 		p := poll(1)
 		p.State, p.Runs = &inZone, []assignment.Run{{RunID: desiredRun}}
 		ask(t, fl, p)
-		cordons = catalog.Cordons{}.With(catalog.Cordon{Zone: "zone-1", Revision: 7})
+		env.cordons = catalog.Cordons{}.With(catalog.Cordon{Zone: "zone-1", Revision: 7})
 		list, ok := fl.status()
 		if !ok || len(list) != 1 {
 			t.Fatalf("got %+v, %v", list, ok)
