--- a/jobs/jobtest/recovery_test.go
+++ b/jobs/jobtest/recovery_test.go
@@ -186,7 +186,7 @@
 		j := s.simpleJob(2, 2*time.Second)
 		s.submit(j, 1)
 		time.Sleep(500 * time.Millisecond)
-		lost := s.leader().life
+		lost := s.leader().incarnation
 		s.loseAll()
 		time.Sleep(300 * time.Millisecond)
 		if leader, _, _ := s.entries[0].replica.Leader(); leader.Term != 2 || lost != 1 {
--- /dev/null
+++ b/jobs/jobtest/rig_test.go
@@ -0,0 +1,350 @@
+package jobtest_test
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/julienschmidt/httprouter"
+	"github.com/rs/zerolog"
+	"github.com/uber-go/tally/v4"
+
+	"yarrowgrade.example/yarrowgrade/internal/memnet"
+	"yarrowgrade.example/yarrowgrade/jobs/admission"
+	"yarrowgrade.example/yarrowgrade/jobs/assignment"
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
+	"yarrowgrade.example/yarrowgrade/jobs/directory"
+	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+	"yarrowgrade.example/yarrowgrade/jobs/jobstore"
+	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
+	"yarrowgrade.example/yarrowgrade/jobs/leader"
+	"yarrowgrade.example/yarrowgrade/jobs/runner"
+	"yarrowgrade.example/yarrowgrade/jobs/topic"
+)
+
+// The system under test.
+const (
+	entryCount  = 3
+	workerCount = 6
+	rackSize    = 3
+	service     = "roster"
+	host        = "queues.example"
+	lease       = 6 * time.Second
+)
+
+var (
+	firstSeed = flag.Uint64("jobtest.seed", 1, "first seed of TestSystem")
+	seeds     = flag.Int("jobtest.seeds", 30, "number of seeds of TestSystem")
+)
+
+// process is an entry or an agent. It can be killed and restarted.
+type process struct {
+	name        string
+	incarnation int
+	cancel      context.CancelFunc
+	// cores is the processor time of the entries, if they report it.
+	cores     float64
+	admission *admission.Service
+	runner    *runner.Runner
+	// replica and candidate are an entry's.
+	replica   *jobstore.Replica
+	candidate *leader.Candidate
+}
+
+// system is the real entries and agents on an in-memory network, log and workers.
+type system struct {
+	t         *testing.T
+	ctx       context.Context
+	logger    zerolog.Logger
+	random    *rand.Rand
+	log       *jobtest.Log
+	config    *jobtest.Log
+	directory *jobtest.Log
+	network   *memnet.Network
+	workers   *jobtest.Workers
+	worker    []*jobtest.Worker
+	entries   []*process
+	agents    []*process
+	// accepted, refused and cancelled hold what callers were told. refused is true if every attempt
+	// certainly was.
+	accepted  map[job.ID]bool
+	refused   map[job.ID]bool
+	cancelled map[job.ID]bool
+	// lasting are the long-running jobs, which run until they are cancelled.
+	lasting []*job.Job
+	number  int
+	// readers is the number of entries by which reads of the log are paced.
+	readers int
+}
+
+// shape is how a system differs from an ordinary one.
+type shape struct {
+	// readers is how many entries there are as far as the pace of reads goes; zero is as many as there are.
+	readers int
+	// cores is the processor time of the entries, if they are to tell it.
+	cores []float64
+	// sameID and unborn are how workers name their incarnations; see jobtest.Workers.
+	sameID float64
+	unborn bool
+	// logger gets the log lines of all processes, if it is set.
+	logger *zerolog.Logger
+}
+
+// newSystem starts entries, agents and workers.
+func newSystem(ctx context.Context, t *testing.T, seed uint64, sh shape) *system {
+	s := &system{
+		t:         t,
+		ctx:       ctx,
+		logger:    zerolog.Nop(),
+		random:    rand.New(rand.NewPCG(seed, 2)),
+		log:       jobtest.NewLog(seed),
+		config:    jobtest.NewLog(seed + 1),
+		directory: jobtest.NewLog(seed + 2),
+		network:   memnet.New(),
+		workers:   jobtest.NewWorkers(seed),
+		accepted:  map[job.ID]bool{},
+		refused:   map[job.ID]bool{},
+		cancelled: map[job.ID]bool{},
+		readers:   cmp.Or(sh.readers, entryCount),
+	}
+	if testing.Verbose() {
+		zerolog.TimeFieldFormat = time.RFC3339Nano
+		s.logger = zerolog.New(zerolog.NewTestWriter(t)).With().Timestamp().Logger()
+	}
+	if sh.logger != nil {
+		s.logger = *sh.logger
+	}
+	s.workers.FailureShare = 0.03
+	s.workers.SameIDShare, s.workers.NoStartTimes = sh.sameID, sh.unborn
+	record := []topic.Record{{Key: "config", Value: []byte("1")}}
+	if _, err := s.config.Client("operator").Append(ctx, record, topic.Condition{}); err != nil {
+		t.Fatal(err)
+	}
+	for i := range workerCount {
+		name, rack := fmt.Sprintf("worker-%d", i), fmt.Sprintf("rack-%d", i/rackSize)
+		capacity := job.Resources{CPU: 16_000, Memory: 64_000, Accelerators: 8}
+		s.worker = append(s.worker, s.workers.Add(name, service, zoneOf(i), rack, capacity, "a"))
+		s.agents = append(s.agents, &process{name: name})
+	}
+	for i := range entryCount {
+		s.entries = append(s.entries, &process{name: fmt.Sprintf("entry-%d", i)})
+		if i < len(sh.cores) {
+			s.entries[i].cores = sh.cores[i]
+		}
+	}
+	s.start()
+	return s
+}
+
+// start starts the workers and all processes.
+func (s *system) start() {
+	go s.workers.Run(s.ctx)
+	for i := range s.entries {
+		s.startEntry(i)
+	}
+	for i := range s.agents {
+		s.startAgent(i)
+	}
+}
+
+// zoneOf returns the availability zone of a worker. Each rack is one.
+func zoneOf(worker int) string { return fmt.Sprintf("zone-%d", worker/rackSize) }
+
+// cordonPrefix begins the keys of records that cordon an availability zone.
+const cordonPrefix = "cordon/"
+
+// operatorFormat decodes operators' records in tests.
+var operatorFormat = catalog.Format{
+	ConfigKey: "config", Config: decodeCatalog,
+	CordonedZone: func(key string) (string, bool) { return strings.CutPrefix(key, cordonPrefix) },
+	CheckCordon:  func([]byte) error { return nil },
+}
+
+// cordon cordons an availability zone. It counts from the answer of the log.
+func (s *system) cordon(zone string) {
+	s.putCordon(zone, []byte("{}"))
+	s.workers.Cordon(zone)
+}
+
+// uncordon ends a cordon. From before the record is written nothing is judged by it.
+func (s *system) uncordon(zone string) {
+	s.workers.Uncordon(zone)
+	s.putCordon(zone, nil)
+}
+
+func (s *system) putCordon(zone string, value []byte) {
+	record := []topic.Record{{Key: cordonPrefix + zone, Value: value}}
+	if _, err := s.config.Client("operator").Append(s.ctx, record, topic.Condition{}); err != nil {
+		s.t.Error(err)
+	}
+}
+
+// setFault sets how the store fails for a process, or for all.
+func (s *system) setFault(name string, f jobtest.Fault) {
+	s.log.SetFault(name, f)
+	s.config.SetFault(name, f)
+	s.config.SetFault("operator", jobtest.Fault{})
+}
+
+// decodeCatalog returns the configuration of the tests: queues of priorities 0 to 2, and a team.
+func decodeCatalog([]byte) (*catalog.Catalog, error) {
+	teams := []catalog.Team{{Name: "team", Keys: []string{"key"}, GuaranteedAccelerators: 16}}
+	c := catalog.Catalog{Version: 1, Teams: teams}
+	for p := range 3 {
+		c.Queues = append(c.Queues, catalog.Queue{
+			Name:        fmt.Sprintf("queue-%d", p),
+			Host:        host,
+			Prefix:      fmt.Sprintf("/q%d/", p),
+			Service:     service,
+			Priority:    p,
+			MaxAttempts: 4, ObjectiveFactor: 3, ObjectiveSlack: time.Second,
+		})
+	}
+	return c.WithIndex(), nil
+}
+
+func (s *system) startEntry(i int) {
+	p := s.entries[i]
+	ctx, cancel := context.WithCancel(s.ctx)
+	p.cancel, p.incarnation = cancel, p.incarnation+1
+	client := s.network.Client("http://" + p.name)
+	log, announced := s.log.Client(p.name), s.directory.Client(p.name)
+	logger := s.logger.With().Str("entry", p.name).Logger()
+	directory := directory.NewDirectory(announced, zerolog.Nop())
+	inLine := func() bool { return directory.IsStandby(p.name) }
+	replica := jobstore.NewReplica(log, func() int { return s.readers }, logger).WithStandby(inLine)
+	p.replica = replica
+	follower := catalog.NewFollower(s.config.Client(p.name), operatorFormat, logger)
+	latency := replica.Latency()
+	writer := jobstore.NewWriter(log, latency, replica, directory.Addresses, p.name, client, logger)
+	p.admission = admission.New(admission.Settings{KeyProof: 5 * time.Second}, admission.Dependencies{
+		Writer:  writer,
+		Replica: replica,
+		Catalog: follower,
+		Logger:  logger,
+		Metrics: tally.NoopScope,
+	})
+	candidate := leader.New(
+		leader.Settings{
+			Entry:       p.name,
+			Incarnation: fmt.Sprintf("%s/%d", p.name, p.incarnation),
+			Address:     p.name,
+			Cores:       p.cores,
+			Timing:      leader.DefaultTiming(lease),
+			Dispatch:    dispatch.DefaultSettings(),
+		},
+		leader.Dependencies{
+			Log:          log,
+			Replica:      replica,
+			Catalog:      follower,
+			DirectoryLog: announced,
+			Directory:    directory,
+			Latency:      latency,
+			Client:       client,
+			Logger:       logger,
+			Metrics:      tally.NoopScope,
+		},
+	)
+	p.candidate = candidate
+	r := httprouter.New()
+	r.HandlerFunc(http.MethodPost, assignment.Path, candidate.ServePoll)
+	r.HandlerFunc(http.MethodGet, assignment.LeaderPath, candidate.ServeLeader)
+	r.HandlerFunc(http.MethodPost, assignment.HandoverPath, candidate.ServeHandover)
+	r.HandlerFunc(http.MethodPost, jobstore.RecordsPath, writer.ServeWrite)
+	s.network.Attach("http://"+p.name, r)
+	go replica.Run(ctx)
+	go follower.Run(ctx)
+	go directory.Run(ctx)
+	go candidate.Run(ctx)
+	go directory.KeepRegistered(ctx, announced, p.name, p.name, p.cores)
+}
+
+func (s *system) startAgent(i int) {
+	p := s.agents[i]
+	ctx, cancel := context.WithCancel(s.ctx)
+	p.cancel, p.incarnation = cancel, p.incarnation+1
+	client := s.network.Client("http://" + p.name)
+	directory := directory.NewDirectory(s.directory.Client(p.name), zerolog.Nop())
+	s.network.Attach("http://"+p.name, http.NotFoundHandler())
+	p.runner = runner.New(
+		runner.Settings{
+			Name:         p.name,
+			Agent:        fmt.Sprintf("%s/%d", p.name, p.incarnation),
+			Lease:        lease,
+			Drift:        0.03,
+			CordonWithin: jobtest.CordonBound,
+		},
+		runner.Dependencies{
+			Worker:  s.worker[i],
+			Leader:  runner.NewLeaderClient(directory, client),
+			Logger:  s.logger.With().Str("agent", p.name).Logger(),
+			Metrics: tally.NoopScope,
+		},
+	)
+	go directory.Run(ctx)
+	go p.runner.Run(ctx)
+	go func(r *runner.Runner) {
+		for ctx.Err() == nil {
+			if state, ok := s.worker[i].Beat(); ok {
+				r.Heartbeat(ctx, state)
+			}
+			time.Sleep(time.Second)
+		}
+	}(p.runner)
+}
+
+// restart kills a process and restarts it later.
+func (s *system) restart(p *process, start func(), away time.Duration) {
+	s.network.Kill("http://" + p.name)
+	p.cancel()
+	time.Sleep(away)
+	start()
+}
+
+// submit submits a job, at up to three entries, and records what the caller was told.
+func (s *system) submit(j *job.Job, queue int) {
+	s.workers.Expect(j)
+	path := fmt.Sprintf("/q%d/%s", queue, j.ID)
+	doubt := false
+	for try := range 3 {
+		in := s.entries[(s.number+1+try)%entryCount].admission
+		ctx, cancel := context.WithTimeout(s.ctx, 3*time.Second)
+		a, err := in.Admit(host, path, "key")
+		if err == nil {
+			copied := *j
+			err = in.Submit(ctx, a, &copied)
+			j.Service, j.MaxAttempts = copied.Service, copied.MaxAttempts
+		}
+		cancel()
+		switch {
+		case err == nil:
+			s.accepted[j.ID] = true
+			return
+		case !errors.Is(err, admission.ErrNotReady):
+			doubt = true
+		}
+		time.Sleep(300 * time.Millisecond)
+	}
+	s.refused[j.ID] = !doubt
+}
+
+// cancel cancels a job at some entry.
+func (s *system) cancel(id job.ID, queue int) {
+	in := s.entries[s.random.IntN(entryCount)].admission
+	ctx, done := context.WithTimeout(s.ctx, 3*time.Second)
+	defer done()
+	a, err := in.Admit(host, fmt.Sprintf("/q%d/%s", queue, id), "key")
+	if err == nil {
+		_ = in.Cancel(ctx, a)
+		// The job may be cancelled even if no answer says so.
+		s.cancelled[id] = true
+	}
+}
