--- a/sessions/hosting/standin/handler.go
+++ b/sessions/hosting/standin/handler.go
@@ -17,7 +17,7 @@
 // maxRecordBytes bounds one record of the log.
 const maxRecordBytes = 1 << 20
 
-// Handler serves p over HTTP in the form that hosting.Client speaks.
+// Handler serves p over HTTP, in the form that hosting.Client speaks.
 func Handler(p *Platform) http.Handler {
 	r := httprouter.New()
 	r.POST("/log/:stream", p.serveAppend)
@@ -62,7 +62,8 @@
 func (p *Platform) serveRead(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
 	query := r.URL.Query()
 	wait := time.Duration(number(query.Get("wait_ms"))) * time.Millisecond
-	batch, err := p.Read(r.Context(), ps.ByName("stream"), number(query.Get("offset")), int(number(query.Get("limit"))), wait)
+	offset, limit := number(query.Get("offset")), int(number(query.Get("limit")))
+	batch, err := p.Read(r.Context(), ps.ByName("stream"), offset, limit, wait)
 	answer(w, batch, err)
 }
 
@@ -75,7 +76,7 @@
 	answer(w, struct{}{}, p.StartTask(r.Context(), spec))
 }
 
-// number reads a decimal number; anything else is zero, which every call refuses or treats as none.
+// number parses a decimal number. Anything else is zero, which all calls refuse or treat as unset.
 func number(text string) int64 {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
--- a/sessions/hosting/standin/standin.go
+++ b/sessions/hosting/standin/standin.go
@@ -1,8 +1,7 @@
-// Package standin is a small in-memory platform for tests and for `yarrowgraded dev`.
+// Package standin is a small in-memory platform for sessions, for tests and for `yarrowgraded dev`.
 //
-// It keeps streams, boxes and workers in one struct and can be told to fail: be down, be slow, lose the answer of an
-// append that took effect, drop old records, and show an old list of boxes. It is no simulator of a cluster: it has no
-// network, no timing of its own and no load.
+// It keeps streams, boxes and workers, and can be told to fail: to be down or slow, to lose the answer of an append that
+// took effect, to drop old records, and to list boxes that are not there. It simulates no network, no timing and no load.
 //
 // # Usage
 //
@@ -24,21 +23,21 @@
 
 // Errors of the faults.
 var (
-	// ErrDown is returned by every log call while the log is down.
+	// ErrDown is returned by all calls to the log while it is down.
 	ErrDown = errors.New("the log is down")
 	// ErrLost is returned by an append that took effect but whose answer was lost.
 	ErrLost = errors.New("the answer was lost")
 )
 
-// Faults says how the platform misbehaves. The zero value is a healthy platform.
+// Faults are the faults of a platform. The zero value is a healthy one.
 type Faults struct {
 	// Down makes every call to the log fail.
 	Down bool
-	// LoseAnswers is the number of appends to come that take effect and then fail.
+	// LoseAnswers is the number of next appends that take effect and return ErrLost.
 	LoseAnswers int
-	// Delay is added to each append, in front of its effect.
+	// Delay is added to each append, before it takes effect.
 	Delay time.Duration
-	// Retention keeps only this many records of a stream; zero keeps all.
+	// Retention is how many records of a stream are kept. Zero keeps all.
 	Retention int
 }
 
@@ -90,21 +89,21 @@
 	p.wake()
 }
 
-// SetBox adds or replaces a line of the list of boxes.
+// SetBox adds or replaces a box of the list.
 func (p *Platform) SetBox(b hosting.Box) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.boxes[b.Name] = b
 }
 
-// RemoveBox removes a line of the list of boxes.
+// RemoveBox removes a box from the list.
 func (p *Platform) RemoveBox(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.boxes, name)
 }
 
-// LoseWorker ends a worker's tasks and declares it gone.
+// LoseWorker ends a worker's tasks and declares the worker gone.
 func (p *Platform) LoseWorker(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,7 +112,7 @@
 	w.tasks = make(map[int64]*task)
 }
 
-// wake lets readers that wait look again. The caller holds the lock.
+// wake lets waiting readers look again. The lock must be held.
 func (p *Platform) wake() {
 	close(p.changed)
 	p.changed = make(chan struct{})
--- a/sessions/hosting/standin/workers.go
+++ b/sessions/hosting/standin/workers.go
@@ -18,7 +18,7 @@
 	return w
 }
 
-// settle moves a task whose work is done or whose lease ran out to its end state.
+// settle ends a task whose work is done or whose lease has expired.
 func (t *task) settle(now time.Time) {
 	if t.State != hosting.TaskRunning {
 		return
@@ -70,7 +70,8 @@
 		}
 	}
 	for _, t := range w.tasks {
-		if t.State == hosting.TaskRunning && slices.ContainsFunc(t.Accelerators, func(a int) bool { return slices.Contains(spec.Accelerators, a) }) {
+		wanted := func(a int) bool { return slices.Contains(spec.Accelerators, a) }
+		if t.State == hosting.TaskRunning && slices.ContainsFunc(t.Accelerators, wanted) {
 			return hosting.ErrBusy
 		}
 	}
@@ -79,7 +80,12 @@
 	}
 	now := time.Now()
 	w.tasks[spec.Token] = &task{
-		Task:       hosting.Task{Session: spec.Session, Token: spec.Token, Accelerators: spec.Accelerators, State: hosting.TaskRunning},
+		Task: hosting.Task{
+			Session:      spec.Session,
+			Token:        spec.Token,
+			Accelerators: spec.Accelerators,
+			State:        hosting.TaskRunning,
+		},
 		spec:       spec,
 		started:    now,
 		expires:    now.Add(spec.Lease),
--- a/sessions/oracle/plan_test.go
+++ b/sessions/oracle/plan_test.go
@@ -132,64 +132,54 @@
 	return x.number
 }
 
-// do starts one action. It does not wait for answers.
-func (x *execution) do(st step) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	entryOf := st.A % entryCount
-	switch st.Do {
-	case "create", "urgent":
-		x.create(st, st.Do == "urgent")
-	case "cancel":
-		x.cancelOne(st)
-	case "request":
-		x.send(&sent{body: fmt.Sprintf("request %d", x.next())}, entryOf)
-	case "pay":
-		x.pay(entryOf)
-	case "payTwice":
-		x.pay(0, 1)
-	case "payAgain":
-		x.payAgain(st)
-	case "put":
-		x.put(st)
-	case "killEntry":
-		x.killEntry(entryOf)
-		x.during(st.For, func() { x.restartEntry(entryOf) })
-	case "killAgent":
+// entry is the index of the entry that the step names.
+func (st step) entry() int { return st.A % entryCount }
+
+// actions are what a step can do. They don't wait for answers.
+var actions = map[string]func(x *execution, st step){
+	"create":   func(x *execution, st step) { x.create(st, false) },
+	"urgent":   func(x *execution, st step) { x.create(st, true) },
+	"cancel":   func(x *execution, st step) { x.cancelOne(st) },
+	"request":  func(x *execution, st step) { x.send(&sent{body: fmt.Sprintf("request %d", x.next())}, st.entry()) },
+	"pay":      func(x *execution, st step) { x.pay(st.entry()) },
+	"payTwice": func(x *execution, _ step) { x.pay(0, 1) },
+	"payAgain": func(x *execution, st step) { x.payAgain(st) },
+	"put":      func(x *execution, st step) { x.put(st) },
+	"killEntry": func(x *execution, st step) {
+		x.killEntry(st.entry())
+		x.during(st.For, func() { x.restartEntry(st.entry()) })
+	},
+	"killAgent": func(x *execution, st step) {
 		x.killAgent(st.A)
 		x.during(st.For, func() { x.restartAgent(st.A) })
-	case "freezeEntry":
-		x.freeze(entryAddress(entryOf), st.For)
-	case "freezeAgent":
-		x.freeze(agentAddress(st.A), st.For)
-	case "cut":
+	},
+	"freezeEntry": func(x *execution, st step) { x.freeze(entryAddress(st.entry()), st.For) },
+	"freezeAgent": func(x *execution, st step) { x.freeze(agentAddress(st.A), st.For) },
+	"cut": func(x *execution, st step) {
 		x.cut(agentAddress(st.A), agentAddress(st.B), st.For)
 		x.cut(agentAddress(st.A), entryAddress(st.B%entryCount), st.For)
-	case "cutAnswers":
-		x.cut(entryAddress(entryOf), agentAddress(st.B), st.For)
-	case "cutLog":
-		x.cut(entryAddress(entryOf), platformAddress, st.For)
-	case "killZone":
-		x.killZone(entryOf, st.For)
-	case "cutZone":
-		x.cutZone(entryOf, st.For)
-	case "lieBoxes":
-		x.lieBoxes(st)
-	case "logDown":
-		x.fault(standin.Faults{Down: true}, st.For)
-	case "logSlow":
+	},
+	"cutAnswers": func(x *execution, st step) { x.cut(entryAddress(st.entry()), agentAddress(st.B), st.For) },
+	"cutLog":     func(x *execution, st step) { x.cut(entryAddress(st.entry()), platformAddress, st.For) },
+	"killZone":   func(x *execution, st step) { x.killZone(st.entry(), st.For) },
+	"cutZone":    func(x *execution, st step) { x.cutZone(st.entry(), st.For) },
+	"lieBoxes":   func(x *execution, st step) { x.lieBoxes(st) },
+	"logDown":    func(x *execution, st step) { x.fault(standin.Faults{Down: true}, st.For) },
+	"logSlow": func(x *execution, st step) {
 		x.fault(standin.Faults{Delay: time.Duration(st.B) * 300 * time.Millisecond}, st.For)
-	case "loseAnswers":
-		x.fault(standin.Faults{LoseAnswers: 1 + st.B}, st.For)
-	case "expire":
-		x.fault(standin.Faults{Retention: 40}, st.For)
-	case "targetFault":
-		x.targets[st.A].set(targetFault(st.B % int(targetFaults)))
-	case "loseWorker":
-		x.loseWorker(st)
-	case "leave":
-		x.leave(st)
-	}
+	},
+	"loseAnswers": func(x *execution, st step) { x.fault(standin.Faults{LoseAnswers: 1 + st.B}, st.For) },
+	"expire":      func(x *execution, st step) { x.fault(standin.Faults{Retention: 40}, st.For) },
+	"targetFault": func(x *execution, st step) { x.targets[st.A].set(targetFault(st.B % int(targetFaults))) },
+	"loseWorker":  func(x *execution, st step) { x.loseWorker(st) },
+	"leave":       func(x *execution, st step) { x.leave(st) },
+}
+
+// do starts the action of a step.
+func (x *execution) do(st step) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	actions[st.Do](x, st)
 }
 
 func (x *execution) restartEntry(i int) {
