--- a/sessions/agent/agent.go
+++ b/sessions/agent/agent.go
@@ -72,12 +72,12 @@
 	// config is what is in force here; the poll goroutine replaces it.
 	config atomic.Pointer[config]
 	// gangs is what the control goroutine last published.
-	gangs   atomic.Pointer[gangs]
-	views   chan membership.View
-	nudge   chan struct{}
-	dirty   chan struct{}
-	leaving atomic.Bool
-	joined  atomic.Int64
+	gangs       atomic.Pointer[gangs]
+	views       chan membership.View
+	wakeControl chan struct{}
+	wakePoll    chan struct{}
+	leaving     atomic.Bool
+	joined      atomic.Int64
 	// lastView is when an entry last answered a poll, in nanoseconds since 1970, for the status
 	// page.
 	lastView atomic.Int64
@@ -88,7 +88,7 @@
 func New(s Settings, p Parts) *Agent {
 	a := &Agent{
 		settings: s, parts: p,
-		views: make(chan membership.View), nudge: make(chan struct{}, 1), dirty: make(chan struct{}, 1),
+		views: make(chan membership.View), wakeControl: make(chan struct{}, 1), wakePoll: make(chan struct{}, 1),
 		entries: newEntryList(s.Worker, s.Entries),
 	}
 	a.config.Store(newConfig())
@@ -117,14 +117,14 @@
 func (a *Agent) Leave(ctx context.Context) error {
 	a.leaving.Store(true)
 	a.admission.Leave()
-	a.signalDirty()
-	a.tellEntries(ctx)
+	a.notifyPoll()
+	a.notifyEntries(ctx)
 	select {
 	case <-a.admission.Idle():
 	case <-ctx.Done():
 		return fault.New("agent.Leave", "", ctx.Err())
 	}
-	for !a.gangs.Load().gone() {
+	for !a.gangs.Load().empty() {
 		select {
 		case <-time.After(leavePoll):
 		case <-ctx.Done():
@@ -134,12 +134,12 @@
 	return nil
 }
 
-// tellEntries says to every known entry that the agent is leaving. The poll says it too, but to
+// notifyEntries says to every known entry that the agent is leaving. The poll says it too, but to
 // one entry only.
-func (a *Agent) tellEntries(ctx context.Context) {
+func (a *Agent) notifyEntries(ctx context.Context) {
 	var wg conc.WaitGroup
-	for _, e := range a.entries.all() {
-		wg.Go(func() { a.sayLeaving(ctx, e.Address) })
+	for _, e := range a.entries.known() {
+		wg.Go(func() { a.notifyLeaving(ctx, e.Address) })
 	}
 	wg.Wait()
 }
--- a/sessions/agent/config.go
+++ b/sessions/agent/config.go
@@ -31,14 +31,14 @@
 	}
 	next := &config{revision: v.ConfigRevision, limits: c.limits, shares: maps.Clone(c.shares)}
 	for _, item := range v.Config {
-		next.take(item)
+		next.apply(item)
 	}
 	return next
 }
 
-// take reads one value. The ledger has validated it; what this version can't read keeps its
+// apply reads one value. The ledger has validated it; what this version can't read keeps its
 // earlier value.
-func (c *config) take(item membership.ConfigItem) {
+func (c *config) apply(item membership.ConfigItem) {
 	switch {
 	case item.Key == ledger.LimitsKey:
 		limits := ledger.DefaultLimits()
--- a/sessions/agent/control.go
+++ b/sessions/agent/control.go
@@ -20,12 +20,12 @@
 type gangs struct {
 	members map[int64]*gang.Member
 	leaders map[int64]*gang.Leader
-	// listed has the tokens that the newest view assigns to this worker.
-	listed map[int64]bool
+	// assigned has the tokens that the newest view assigns to this worker.
+	assigned map[int64]bool
 }
 
-// gone reports whether the worker has no assignment left.
-func (g *gangs) gone() bool { return len(g.listed) == 0 }
+// empty reports whether the worker has no assignment left.
+func (g *gangs) empty() bool { return len(g.assigned) == 0 }
 
 // reports returns what the leaders know, and which listed members have stopped.
 func (g *gangs) reports() ([]gang.Report, []membership.Stopped) {
@@ -35,7 +35,7 @@
 	}
 	var stopped []membership.Stopped
 	for token, m := range g.members {
-		if status, progress := m.Status(); status == gang.Stopped && g.listed[token] {
+		if status, progress := m.Status(); status == gang.Stopped && g.assigned[token] {
 			stopped = append(stopped, membership.Stopped{Token: token, Progress: progress})
 		}
 	}
@@ -53,20 +53,20 @@
 		case v := <-a.views:
 			g = a.reconcile(ctx, &wg, g, v)
 			a.gangs.Store(g)
-		case <-a.nudge:
+		case <-a.wakeControl:
 		case <-ctx.Done():
 			return
 		}
-		a.signalDirty()
+		a.notifyPoll()
 	}
 }
 
 // reconcile returns the gangs after a view: it starts members for new assignments and stops
 // those that are to stop or are listed no more.
 func (a *Agent) reconcile(ctx context.Context, wg *conc.WaitGroup, old *gangs, v membership.View) *gangs {
-	g := &gangs{members: map[int64]*gang.Member{}, leaders: map[int64]*gang.Leader{}, listed: map[int64]bool{}}
+	g := &gangs{members: map[int64]*gang.Member{}, leaders: map[int64]*gang.Leader{}, assigned: map[int64]bool{}}
 	for _, as := range v.Assignments {
-		g.listed[as.Token] = true
+		g.assigned[as.Token] = true
 		m, found := old.members[as.Token]
 		if !found {
 			m = a.newMember(ctx, wg, as)
@@ -82,7 +82,7 @@
 		}
 	}
 	for token, m := range old.members {
-		if !g.listed[token] {
+		if !g.assigned[token] {
 			m.Stop()
 		}
 	}
@@ -95,7 +95,7 @@
 		Accelerators: as.Accelerators, Work: as.Work, Checkpoint: as.Checkpoint,
 	}
 	inTrace := func(ctx context.Context) context.Context { return a.parts.Telemetry.WithTrace(ctx, as.Trace) }
-	m := gang.NewMember(spec, a.link(as), a.parts.Platform, a.settings.Timing, a.signalNudge, inTrace)
+	m := gang.NewMember(spec, a.link(as), a.parts.Platform, a.settings.Timing, a.notifyControl, inTrace)
 	a.parts.Telemetry.Log.Info().Str("step", "gang.assigned").Str("session", as.Session).Int64("token", as.Token).Msg("member prepares")
 	wg.Go(func() { m.Run(ctx) })
 	return m
@@ -114,7 +114,7 @@
 			names = append(names, m.Worker)
 		}
 		l = gang.NewLeader(as.Token, names, a.settings.Timing)
-		wg.Go(func() { a.watch(ctx, l) })
+		wg.Go(func() { a.watchLeader(ctx, l) })
 	}
 	if as.Phase == ledger.Running {
 		l.SetRunning()
@@ -122,12 +122,12 @@
 	return l
 }
 
-// watch lets the poll go again whenever the leader's report may have changed.
-func (a *Agent) watch(ctx context.Context, l *gang.Leader) {
+// watchLeader lets the poll go again whenever the leader's report may have changed.
+func (a *Agent) watchLeader(ctx context.Context, l *gang.Leader) {
 	for ctx.Err() == nil {
 		changed := l.Changed()
 		// Signal after taking the channel: a change in between is then seen by whoever looks.
-		a.signalNudge()
+		a.notifyControl()
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -135,8 +135,8 @@
 	}
 }
 
-func (a *Agent) signalNudge() { signal(a.nudge) }
-func (a *Agent) signalDirty() { signal(a.dirty) }
+func (a *Agent) notifyControl() { signal(a.wakeControl) }
+func (a *Agent) notifyPoll()    { signal(a.wakePoll) }
 
 // signal makes sure that the receiver looks again. Any number of signals are collapsed into one.
 func signal(c chan struct{}) {
@@ -152,13 +152,13 @@
 // localLink reaches a leader in this agent.
 type localLink struct{ agent *Agent }
 
-// Beat implements gang.Link.
-func (l localLink) Beat(ctx context.Context, b gang.Beat) (gang.Grant, error) {
+// Heartbeat implements gang.Link.
+func (l localLink) Heartbeat(ctx context.Context, b gang.Heartbeat) (gang.Grant, error) {
 	leader, found := l.agent.gangs.Load().leaders[b.Token]
 	if !found {
 		return gang.Grant{}, errNoLeader
 	}
-	return leader.Beat(ctx, b), nil
+	return leader.Heartbeat(ctx, b), nil
 }
 
 // remoteLink reaches a leader in another agent.
@@ -167,8 +167,8 @@
 	address string
 }
 
-// Beat implements gang.Link.
-func (l remoteLink) Beat(ctx context.Context, b gang.Beat) (gang.Grant, error) {
+// Heartbeat implements gang.Link.
+func (l remoteLink) Heartbeat(ctx context.Context, b gang.Heartbeat) (gang.Grant, error) {
 	var grant gang.Grant
 	err := jsonhttp.Call(ctx, l.client, "gang.Beat", http.MethodPost, l.address, "/internal/beat", b, &grant)
 	return grant, err
--- a/sessions/agent/entries.go
+++ b/sessions/agent/entries.go
@@ -12,12 +12,12 @@
 
 // Settings of an entryList.
 const (
-	// silentRest is how long an entry that said nothing is left aside while another one
+	// silentAvoidance is how long an entry that said nothing is left aside while another one
 	// answers: to find out again takes 6 s. After that the agent returns to it if it comes
 	// first, so that agents spread over the entries again.
-	silentRest = 30 * time.Second
-	// failedRest is the same for one that can be tried at no cost: it refused, reset or broke off.
-	failedRest = 2 * time.Second
+	silentAvoidance = 30 * time.Second
+	// failedAvoidance is the same for one that can be tried at no cost: it refused, reset or broke off.
+	failedAvoidance = 2 * time.Second
 )
 
 // entryList knows the entries and which of them failed lately. It is safe for concurrent use.
@@ -29,13 +29,13 @@
 	// order has those that the newest view names, in this agent's order, and then the others of
 	// the settings.
 	order []membership.EntryInfo
-	// resting has until when an entry that failed is left aside.
-	resting map[string]time.Time
+	// avoidedUntil has until when an entry that failed is left aside.
+	avoidedUntil map[string]time.Time
 }
 
 // newEntryList returns a list of the entries of the settings.
 func newEntryList(worker ledger.Worker, settings []string) *entryList {
-	l := &entryList{worker: worker, settings: settings, resting: make(map[string]time.Time)}
+	l := &entryList{worker: worker, settings: settings, avoidedUntil: make(map[string]time.Time)}
 	l.set(nil)
 	return l
 }
@@ -60,8 +60,8 @@
 	return membership.EntryOrder(l.worker.Name, l.worker.Region, l.worker.Zone, entries)
 }
 
-// all returns the known entries.
-func (l *entryList) all() []membership.EntryInfo {
+// known returns the known entries.
+func (l *entryList) known() []membership.EntryInfo {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.order
@@ -75,11 +75,11 @@
 	defer l.mu.Unlock()
 	soonest := l.order[0].Address
 	for _, e := range l.order {
-		until := l.resting[e.Address]
+		until := l.avoidedUntil[e.Address]
 		if !time.Now().Before(until) {
 			return e.Address
 		}
-		if until.Before(l.resting[soonest]) {
+		if until.Before(l.avoidedUntil[soonest]) {
 			soonest = e.Address
 		}
 	}
@@ -88,11 +88,11 @@
 
 // fail leaves an entry aside that did not answer, or answered that it can't serve.
 func (l *entryList) fail(address string, err error) {
-	rest := failedRest
+	rest := failedAvoidance
 	if jsonhttp.IsSilent(err) {
-		rest = silentRest
+		rest = silentAvoidance
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.resting[address] = time.Now().Add(rest)
+	l.avoidedUntil[address] = time.Now().Add(rest)
 }
--- a/sessions/agent/entries_test.go
+++ b/sessions/agent/entries_test.go
@@ -18,7 +18,7 @@
 	l := newEntryList(ledger.Worker{Name: "worker-1", Zone: "z"}, []string{"http://a", "http://b"})
 	l.set([]membership.EntryInfo{{Name: "b", Zone: "z", Address: "http://b"}, {Name: "c", Zone: "z", Address: "http://c"}})
 	known := map[string]bool{}
-	for _, e := range l.all() {
+	for _, e := range l.known() {
 		known[e.Address] = true
 	}
 	if len(known) != 3 || !known["http://a"] || !known["http://b"] || !known["http://c"] {
@@ -55,14 +55,14 @@
 			t.Errorf("after both failed it chose %s, want %s, whose failure is older", got, first)
 		}
 		l.fail(first, fault.New("agent.poll", first, &jsonhttp.StatusError{Status: 503}))
-		time.Sleep(failedRest)
+		time.Sleep(failedAvoidance)
 		if got := l.choose(); got != first {
 			t.Errorf("it chose %s, want %s, which only said that it was not ready yet", got, first)
 		}
-		time.Sleep(silentRest)
+		time.Sleep(silentAvoidance)
 		l.set([]membership.EntryInfo{a, b})
 		if got := l.choose(); got != first {
-			t.Errorf("after %v it chose %s, want its first choice %s again", silentRest, got, first)
+			t.Errorf("after %v it chose %s, want its first choice %s again", silentAvoidance, got, first)
 		}
 	})
 }
--- a/sessions/agent/fuzz_test.go
+++ b/sessions/agent/fuzz_test.go
@@ -81,7 +81,7 @@
 			before := a.ConfigRevision()
 			var wg conc.WaitGroup
 			wg.Go(func() { a.control(ctx) })
-			(&poller{agent: a}).take(ctx, v)
+			(&poller{agent: a}).apply(ctx, v)
 			time.Sleep(20 * time.Second)
 			if a.ConfigRevision() < before {
 				t.Errorf("the configuration went from %d to %d", before, a.ConfigRevision())
--- a/sessions/agent/handler.go
+++ b/sessions/agent/handler.go
@@ -16,7 +16,7 @@
 func (a *Agent) Handler() http.Handler {
 	r := httprouter.New()
 	r.POST("/internal/requests", a.serveRequest)
-	r.POST("/internal/beat", a.serveBeat)
+	r.POST("/internal/beat", a.serveHeartbeat)
 	r.GET("/status", a.serveStatus)
 	r.GET("/health", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		jsonhttp.Write(w, http.StatusOK, membership.Health{Healthy: true})
@@ -39,8 +39,8 @@
 	jsonhttp.Write(w, http.StatusOK, answer)
 }
 
-func (a *Agent) serveBeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	var b gang.Beat
+func (a *Agent) serveHeartbeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+	var b gang.Heartbeat
 	if err := jsonhttp.Read(w, r, &b); err != nil {
 		jsonhttp.WriteError(w, err)
 		return
@@ -50,7 +50,7 @@
 		jsonhttp.WriteError(w, &jsonhttp.StatusError{Status: http.StatusNotFound, Message: errNoLeader.Error()})
 		return
 	}
-	jsonhttp.Write(w, http.StatusOK, leader.Beat(r.Context(), b))
+	jsonhttp.Write(w, http.StatusOK, leader.Heartbeat(r.Context(), b))
 }
 
 func (a *Agent) serveReady(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
--- a/sessions/agent/poll.go
+++ b/sessions/agent/poll.go
@@ -14,9 +14,9 @@
 const (
 	// pollTimeout is how long the whole answer to a poll may take; an entry holds it for
 	// membership.PollWait.
-	pollTimeout = membership.PollWait + membership.PollIdle
-	joinTimeout = 10 * time.Second
-	sayTimeout  = 2 * time.Second
+	pollTimeout    = membership.PollWait + membership.PollIdle
+	joinTimeout    = 10 * time.Second
+	leavingTimeout = 2 * time.Second
 	// firstBackoff and maxBackoff bound the pause after failures; it doubles, with full jitter.
 	firstBackoff = 100 * time.Millisecond
 	maxBackoff   = 2 * time.Second
@@ -41,16 +41,16 @@
 		if a.joined.Load() == 0 {
 			err = p.join(ctx)
 		} else {
-			err = p.once(ctx)
+			err = p.pollOnce(ctx)
 		}
 		if ctx.Err() == nil {
-			p.settle(ctx, err)
+			p.handleResult(ctx, err)
 		}
 	}
 }
 
-// settle goes on at once after a good answer, and with another entry and a pause after a failure.
-func (p *poller) settle(ctx context.Context, err error) {
+// handleResult goes on at once after a good answer, and with another entry and a pause after a failure.
+func (p *poller) handleResult(ctx context.Context, err error) {
 	if err == nil {
 		p.backoff = 0
 		return
@@ -81,12 +81,12 @@
 	return nil
 }
 
-// once holds one poll until it is answered, or until the agent has something new to say.
-func (p *poller) once(ctx context.Context) error {
+// pollOnce holds one poll until it is answered, or until the agent has something new to say.
+func (p *poller) pollOnce(ctx context.Context) error {
 	a := p.agent
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	drain(a.dirty)
+	clearSignal(a.wakePoll)
 	reports, stopped := a.gangs.Load().reports()
 	in := membership.PollRequest{
 		Worker: a.settings.Worker.Name, Incarnation: a.settings.Worker.Incarnation,
@@ -98,7 +98,7 @@
 	interrupted := make(chan struct{})
 	go func() {
 		select {
-		case <-a.dirty:
+		case <-a.wakePoll:
 			close(interrupted)
 			cancel()
 		case <-done:
@@ -114,7 +114,7 @@
 		}
 		return p.failed(err)
 	}
-	p.take(ctx, v)
+	p.apply(ctx, v)
 	return nil
 }
 
@@ -128,8 +128,8 @@
 	return err
 }
 
-// take puts a view into force, unless it is older than what is in force.
-func (p *poller) take(ctx context.Context, v membership.View) {
+// apply puts a view into force, unless it is older than what is in force.
+func (p *poller) apply(ctx context.Context, v membership.View) {
 	a := p.agent
 	a.lastView.Store(time.Now().UnixNano())
 	next := a.config.Load().with(v)
@@ -148,16 +148,16 @@
 	}
 }
 
-func drain(c chan struct{}) {
+func clearSignal(c chan struct{}) {
 	select {
 	case <-c:
 	default:
 	}
 }
 
-// sayLeaving tells one entry that the agent takes no new work. A failure is left to the poll.
-func (a *Agent) sayLeaving(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, sayTimeout)
+// notifyLeaving tells one entry that the agent takes no new work. A failure is left to the poll.
+func (a *Agent) notifyLeaving(ctx context.Context, address string) {
+	ctx, cancel := context.WithTimeout(ctx, leavingTimeout)
 	defer cancel()
 	in := membership.LeavingNotice{Worker: a.settings.Worker.Name, Incarnation: a.settings.Worker.Incarnation}
 	err := jsonhttp.Call(ctx, a.parts.Client, "agent.leaving", http.MethodPost, address, "/internal/leaving", in, nil)
--- a/sessions/entry/avoidance.go
+++ b/sessions/entry/avoidance.go
@@ -15,12 +15,12 @@
 	suspectFor = time.Second
 	// maxDoublings bounds that to 8 s, about as long as an agent takes to be replaced.
 	maxDoublings = 3
-	// droppedFor is how long an agent's word that it leaves counts while the ledger does not
+	// leavingFor is how long an agent's word that it leaves counts while the ledger does not
 	// show it.
-	droppedFor = time.Minute
-	// maxAvoid is how many marks are kept before those that are over are dropped: 1,400 workers
+	leavingFor = time.Minute
+	// maxMarks is how many marks are kept before those that are over are dropped: 1,400 workers
 	// and some teams each.
-	maxAvoid = 10_000
+	maxMarks = 10_000
 )
 
 // incarnation names one life of a worker's agent.
@@ -62,7 +62,7 @@
 func (a *avoidance) leave(agent incarnation) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	mark(a.left, agent, time.Now().Add(droppedFor))
+	mark(a.left, agent, time.Now().Add(leavingFor))
 }
 
 // refuse notes that an agent has no room for a team for a while. It may have for others.
@@ -84,8 +84,8 @@
 	s.until = time.Now().Add(suspectFor << min(s.failures, maxDoublings))
 	s.failures++
 	a.suspects[agent] = s
-	if len(a.suspects) > maxAvoid {
-		maps.DeleteFunc(a.suspects, func(_ incarnation, s suspicion) bool { return time.Since(s.until) > droppedFor })
+	if len(a.suspects) > maxMarks {
+		maps.DeleteFunc(a.suspects, func(_ incarnation, s suspicion) bool { return time.Since(s.until) > leavingFor })
 	}
 }
 
@@ -115,7 +115,7 @@
 	if until.After(marks[key]) {
 		marks[key] = until
 	}
-	if len(marks) > maxAvoid {
+	if len(marks) > maxMarks {
 		now := time.Now()
 		maps.DeleteFunc(marks, func(_ K, until time.Time) bool { return until.Before(now) })
 	}
--- a/sessions/entry/avoidance_test.go
+++ b/sessions/entry/avoidance_test.go
@@ -35,7 +35,7 @@
 		time.Sleep(suspectFor)
 		want("a while after the refusal", "a", 0, true, false)
 		a.leave(agent)
-		time.Sleep(droppedFor - time.Nanosecond)
+		time.Sleep(leavingFor - time.Nanosecond)
 		want("after it left", "a", 0, false, false)
 	})
 }
--- a/sessions/entry/callers.go
+++ b/sessions/entry/callers.go
@@ -34,7 +34,7 @@
 		jsonhttp.WriteError(w, fault.BadField("service", "must not be empty"))
 		return
 	}
-	key, found := e.router.mint(in.Service)
+	key, found := e.router.newKey(in.Service)
 	if !found {
 		jsonhttp.WriteError(w, errors.New("no target of the service can take work"))
 		return
--- a/sessions/entry/control.go
+++ b/sessions/entry/control.go
@@ -18,10 +18,10 @@
 const (
 	// controlPeriod is how often wants are looked at that time may bring due.
 	controlPeriod = 200 * time.Millisecond
-	// decideRest is how many times longer than a decision takes the next one waits. A burst of
+	// decidePauseFactor is how many times longer than a decision takes the next one waits. A burst of
 	// sessions makes decisions long and changes the state all the time; without a rest nothing
 	// else would be done.
-	decideRest = 10
+	decidePauseFactor = 10
 	// stagger is how much longer each entry behind the preferred one waits before it proposes.
 	stagger = 700 * time.Millisecond
 	// proposeTimeout bounds one proposal.
@@ -33,8 +33,8 @@
 	decidePeriod = 5 * time.Second
 )
 
-// heardAgent is what an agent last said in a poll.
-type heardAgent struct {
+// agentReport is what an agent last said in a poll.
+type agentReport struct {
 	membership.PollRequest
 	at time.Time
 }
@@ -43,7 +43,7 @@
 // reads it.
 type agentTable struct {
 	mu     sync.Mutex
-	agents map[string]heardAgent
+	agents map[string]agentReport
 }
 
 // set takes in a poll and reports whether it says anything new.
@@ -51,7 +51,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old, found := t.agents[p.Worker]
-	t.agents[p.Worker] = heardAgent{PollRequest: p, at: time.Now()}
+	t.agents[p.Worker] = agentReport{PollRequest: p, at: time.Now()}
 	// The revisions that an agent has are for the status page and make no work.
 	p.Revision, p.ConfigRevision = old.Revision, old.ConfigRevision
 	return !found || !reflect.DeepEqual(p, old.PollRequest)
@@ -64,10 +64,10 @@
 }
 
 // list returns the agents in no order.
-func (t *agentTable) list() []heardAgent {
+func (t *agentTable) list() []agentReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	list := make([]heardAgent, 0, len(t.agents))
+	list := make([]agentReport, 0, len(t.agents))
 	for _, a := range t.agents {
 		list = append(list, a)
 	}
@@ -82,33 +82,33 @@
 	// although nothing has.
 	dirty bool
 	dueIn time.Duration
-	// since has when each want was first seen, and each preparing placement.
-	since map[string]time.Time
-	// resting has until when a want is left alone; a zero time means that its proposal is under
+	// firstSeenAt has when each want was first seen, and each preparing placement.
+	firstSeenAt map[string]time.Time
+	// pausedUntil has until when a want is left alone; a zero time means that its proposal is under
 	// way.
-	resting map[string]time.Time
-	results chan result
+	pausedUntil map[string]time.Time
+	results     chan proposalResult
 	// decided are the wants of the last decision, made at decidedAt for decidedRevision.
-	decided    []want
-	decidedAt  time.Time
-	decideTook time.Duration
-	// putOff says that the last decision is out of date, and that the next one has to wait its
+	decided        []proposal
+	decidedAt      time.Time
+	decideDuration time.Duration
+	// deferred says that the last decision is out of date, and that the next one has to wait its
 	// turn.
-	putOff          bool
+	deferred        bool
 	decidedRevision int64
 }
 
-// result is the end of a proposal.
-type result struct {
-	want    want
-	verdict ledger.Verdict
-	err     error
+// proposalResult is the end of a proposal.
+type proposalResult struct {
+	proposal proposal
+	verdict  ledger.Verdict
+	err      error
 }
 
 func newControl(e *Entry) *control {
 	return &control{
 		entry: e, gone: make(map[string]bool),
-		since: make(map[string]time.Time), resting: make(map[string]time.Time), results: make(chan result),
+		firstSeenAt: make(map[string]time.Time), pausedUntil: make(map[string]time.Time), results: make(chan proposalResult),
 	}
 }
 
@@ -131,7 +131,7 @@
 			return
 		}
 		if c.dirty {
-			c.pass(ctx)
+			c.reconcile(ctx)
 			timer.Reset(c.dueIn)
 		}
 	}
@@ -144,14 +144,14 @@
 		if old.reachable {
 			e.parts.Telemetry.Log.Warn().Str("step", "entry.follow").Err(u.Err).Msg("log does not answer")
 		}
-		e.log.Store(&logHealth{good: old.good})
+		e.log.Store(&logHealth{lastRead: old.lastRead})
 		return
 	}
 	c.dirty = c.dirty || u.State != nil || len(u.Records) > 0 || !e.ready.Load()
 	if u.State != nil {
 		e.replica.Replace(*u.State)
 	} else {
-		e.log.Store(&logHealth{reachable: true, good: time.Now()})
+		e.log.Store(&logHealth{reachable: true, lastRead: time.Now()})
 		for _, v := range e.replica.Apply(u.Records) {
 			c.logVerdict(v)
 		}
@@ -216,34 +216,34 @@
 	c.gone = gone
 }
 
-func (c *control) takeResult(r result) {
+func (c *control) takeResult(r proposalResult) {
 	c.dirty = true
-	delete(c.resting, r.want.key)
+	delete(c.pausedUntil, r.proposal.key)
 	log := c.entry.parts.Telemetry.Log
 	if r.err != nil || r.verdict.Status != ledger.Accepted {
-		c.resting[r.want.key] = time.Now().Add(rejectedPause)
+		c.pausedUntil[r.proposal.key] = time.Now().Add(rejectedPause)
 		c.entry.parts.Telemetry.Metrics.Counter("proposals_without_effect").Inc(1)
-		log.Info().Str("step", "entry.propose").Str("want", r.want.key).Str("reason", r.verdict.Reason).Err(r.err).Msg("proposal has no effect")
+		log.Info().Str("step", "entry.propose").Str("want", r.proposal.key).Str("reason", r.verdict.Reason).Err(r.err).Msg("proposal has no effect")
 		return
 	}
-	log.Info().Str("step", "entry.propose").Str("want", r.want.key).Int64("offset", r.verdict.Offset).Msg("accepted")
+	log.Info().Str("step", "entry.propose").Str("want", r.proposal.key).Int64("offset", r.verdict.Offset).Msg("accepted")
 }
 
-// pass compares what is with what should be, and proposes the difference.
-func (c *control) pass(ctx context.Context) {
+// reconcile compares what is with what should be, and proposes the difference.
+func (c *control) reconcile(ctx context.Context) {
 	c.dirty, c.dueIn = false, decidePeriod
 	if !c.entry.ready.Load() {
 		return
 	}
 	state := c.entry.replica.State()
-	wants := append(c.reported(state), c.shared(state)...)
-	wants = append(wants, c.decisions(state)...)
-	c.forget(wants, state)
-	c.dueIn = c.nextDue(state, len(wants) > 0)
+	proposals := append(c.reportedProposals(state), c.sharedProposals(state)...)
+	proposals = append(proposals, c.decisions(state)...)
+	c.forgetStale(proposals, state)
+	c.dueIn = c.nextDue(state, len(proposals) > 0)
 	patience := time.Duration(c.entry.peers.rank()) * stagger
-	for _, w := range wants {
-		if c.due(w, patience) {
-			c.propose(ctx, w)
+	for _, p := range proposals {
+		if c.due(p, patience) {
+			c.propose(ctx, p)
 		}
 	}
 }
@@ -256,64 +256,64 @@
 	if wanted || state.Preparing() {
 		due = controlPeriod
 	}
-	if c.putOff {
-		due = min(due, time.Until(c.decidedAt.Add(decideRest*c.decideTook)))
+	if c.deferred {
+		due = min(due, time.Until(c.decidedAt.Add(decidePauseFactor*c.decideDuration)))
 	}
 	return max(due, 0)
 }
 
 // due reports whether a want is to be proposed now. What any entry could propose waits for the
 // entries preferred.
-func (c *control) due(w want, patience time.Duration) bool {
+func (c *control) due(p proposal, patience time.Duration) bool {
 	now := time.Now()
-	if until, found := c.resting[w.key]; found && (until.IsZero() || now.Before(until)) {
+	if until, found := c.pausedUntil[p.key]; found && (until.IsZero() || now.Before(until)) {
 		return false
 	}
-	delete(c.resting, w.key)
+	delete(c.pausedUntil, p.key)
 	// The want may be seen for the first time just now, so the time since then is taken after that.
-	return !w.shared || time.Since(c.firstSeen(w.key)) >= patience
+	return !p.shared || time.Since(c.firstSeen(p.key)) >= patience
 }
 
 func (c *control) firstSeen(key string) time.Time {
-	if at, found := c.since[key]; found {
+	if at, found := c.firstSeenAt[key]; found {
 		return at
 	}
 	now := time.Now()
-	c.since[key] = now
+	c.firstSeenAt[key] = now
 	return now
 }
 
-// forget drops the times of wants that are no more.
-func (c *control) forget(wants []want, state ledger.State) {
+// forgetStale drops the times of wants that are no more.
+func (c *control) forgetStale(proposals []proposal, state ledger.State) {
 	keep := make(map[string]bool)
-	for _, w := range wants {
-		keep[w.key] = true
+	for _, p := range proposals {
+		keep[p.key] = true
 	}
 	for _, p := range state.Placements() {
 		keep[prepareKey(p.Token)] = true
 	}
-	for key := range c.since {
+	for key := range c.firstSeenAt {
 		if !keep[key] {
-			delete(c.since, key)
+			delete(c.firstSeenAt, key)
 		}
 	}
 	now := time.Now()
-	for key, until := range c.resting {
+	for key, until := range c.pausedUntil {
 		if !until.IsZero() && now.After(until) {
-			delete(c.resting, key)
+			delete(c.pausedUntil, key)
 		}
 	}
 }
 
 // propose appends the want's record beside the control goroutine, which never waits on I/O.
-func (c *control) propose(ctx context.Context, w want) {
-	c.resting[w.key] = time.Time{}
+func (c *control) propose(ctx context.Context, p proposal) {
+	c.pausedUntil[p.key] = time.Time{}
 	go func() {
 		bounded, cancel := context.WithTimeout(ctx, proposeTimeout)
 		defer cancel()
-		v, err := c.entry.proposer.Propose(bounded, w.record)
+		v, err := c.entry.proposer.Propose(bounded, p.record)
 		select {
-		case c.results <- result{want: w, verdict: v, err: err}:
+		case c.results <- proposalResult{proposal: p, verdict: v, err: err}:
 		case <-ctx.Done():
 		}
 	}()
--- a/sessions/entry/control_test.go
+++ b/sessions/entry/control_test.go
@@ -12,13 +12,13 @@
 func TestPreferredProposesAtOnce(t *testing.T) {
 	for range 1000 {
 		c := newControl(nil)
-		if !c.due(want{key: "place/s", shared: true}, 0) {
+		if !c.due(proposal{key: "place/s", shared: true}, 0) {
 			t.Fatal("a want that was just seen is not due for the preferred entry")
 		}
 	}
 	synctest.Test(t, func(t *testing.T) {
 		c := newControl(nil)
-		w := want{key: "place/s", shared: true}
+		w := proposal{key: "place/s", shared: true}
 		if c.due(w, stagger) {
 			t.Error("due at once for the second entry")
 		}
--- a/sessions/entry/entry.go
+++ b/sessions/entry/entry.go
@@ -129,8 +129,8 @@
 // logHealth is what the last reads of the log said.
 type logHealth struct {
 	reachable bool
-	// good is when a read last succeeded.
-	good time.Time
+	// lastRead is when a read last succeeded.
+	lastRead time.Time
 }
 
 // New returns an entry that does nothing until Run. The settings must be valid.
@@ -140,14 +140,14 @@
 		settings: s, parts: p, replica: replica,
 		proposer: ledger.NewProposer(p.Platform, replica),
 		polls:    make(chan membership.PollRequest), began: time.Now(),
-		agents: &agentTable{agents: make(map[string]heardAgent)},
+		agents: &agentTable{agents: make(map[string]agentReport)},
 	}
 	e.staying, e.leave = context.WithCancel(context.Background())
 	e.polling.Store(e.newPollTerm())
 	e.peers = newPeers(s, p)
 	e.router = newRouter(e)
 	e.policies.Store(&policies{set: policy.NewSet(nil, nil)})
-	e.log.Store(&logHealth{good: time.Now()})
+	e.log.Store(&logHealth{lastRead: time.Now()})
 	return e
 }
 
@@ -165,14 +165,14 @@
 	var wg conc.WaitGroup
 	wg.Go(func() { ledger.NewFollower(e.parts.Platform, e.peers).Run(ctx, updates) })
 	wg.Go(func() { newControl(e).run(ctx, updates, gone) })
-	wg.Go(func() { every(ctx, pingPeriod, e.lookAround) })
-	wg.Go(func() { every(ctx, gonePeriod, func(ctx context.Context) { e.askGone(ctx, gone) }) })
+	wg.Go(func() { every(ctx, pingPeriod, e.checkPeers) })
+	wg.Go(func() { every(ctx, gonePeriod, func(ctx context.Context) { e.refreshGone(ctx, gone) }) })
 	wg.Go(func() { every(ctx, snapshotPeriod, e.saveIfDue) })
 	wg.Wait()
 }
 
-// lookAround learns which entries are alive, and steps back if this one is worse off than they.
-func (e *Entry) lookAround(ctx context.Context) {
+// checkPeers learns which entries are alive, and steps back if this one is worse off than they.
+func (e *Entry) checkPeers(ctx context.Context) {
 	e.peers.ping(ctx)
 	e.stepBackIfCut()
 }
@@ -207,8 +207,8 @@
 	snapshotPeriod = time.Second
 )
 
-// askGone hands the platform's word on lost workers to the control goroutine.
-func (e *Entry) askGone(ctx context.Context, out chan<- []string) {
+// refreshGone hands the platform's word on lost workers to the control goroutine.
+func (e *Entry) refreshGone(ctx context.Context, out chan<- []string) {
 	bounded, cancel := context.WithTimeout(ctx, gonePeriod)
 	defer cancel()
 	names, err := e.parts.Platform.GoneWorkers(bounded)
--- a/sessions/entry/explain.go
+++ b/sessions/entry/explain.go
@@ -22,7 +22,7 @@
 	in := state.DecisionInput(time.Now(), e.yieldRank(state))
 	lines = append(lines, placement.Explain(in, state.Profile(), s.Name)...)
 	if health := e.log.Load(); !health.reachable {
-		lines = append(lines, fmt.Sprintf("The log has not answered for %s; nothing new is placed until it does.", time.Since(health.good).Round(time.Second)))
+		lines = append(lines, fmt.Sprintf("The log has not answered for %s; nothing new is placed until it does.", time.Since(health.lastRead).Round(time.Second)))
 	}
 	return lines
 }
--- a/sessions/entry/peers.go
+++ b/sessions/entry/peers.go
@@ -60,14 +60,14 @@
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	var wg conc.WaitGroup
-	wg.Go(func() { ps.learn(ctx) })
+	wg.Go(func() { ps.discover(ctx) })
 	for _, address := range ps.addresses() {
 		wg.Go(func() { ps.pingOne(ctx, address) })
 	}
 	wg.Wait()
 }
 
-func (ps *peers) learn(ctx context.Context) {
+func (ps *peers) discover(ctx context.Context) {
 	boxes, err := ps.parts.Platform.Boxes(ctx)
 	if err != nil {
 		return
@@ -108,15 +108,15 @@
 
 // alive returns the peers that answered lately, by name.
 func (ps *peers) alive() []membership.EntryInfo {
-	return ps.which(func(p peer) bool { return p.isAlive() })
+	return ps.filter(func(p peer) bool { return p.isAlive() })
 }
 
 // withLog returns those of them that reach the log.
 func (ps *peers) withLog() []membership.EntryInfo {
-	return ps.which(func(p peer) bool { return p.isAlive() && p.logReachable })
+	return ps.filter(func(p peer) bool { return p.isAlive() && p.logReachable })
 }
 
-func (ps *peers) which(ok func(peer) bool) []membership.EntryInfo {
+func (ps *peers) filter(ok func(peer) bool) []membership.EntryInfo {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	var list []membership.EntryInfo
--- a/sessions/entry/polls.go
+++ b/sessions/entry/polls.go
@@ -191,7 +191,7 @@
 	health := e.log.Load()
 	s := membership.EntryStatus{
 		EntryInfo: e.Info(), Revision: state.Revision(), ConfigRevision: state.ConfigRevision(),
-		LogReachable: health.reachable, SinceLogMillis: time.Since(health.good).Milliseconds(), Leaving: e.isLeaving(),
+		LogReachable: health.reachable, SinceLogMillis: time.Since(health.lastRead).Milliseconds(), Leaving: e.isLeaving(),
 	}
 	for _, a := range e.agents.list() {
 		s.Agents = append(s.Agents, membership.AgentStatus{
--- a/sessions/entry/polls_test.go
+++ b/sessions/entry/polls_test.go
@@ -38,7 +38,7 @@
 				}}}.Encode()
 				e.replica.Apply([]hosting.Record{{Offset: 1, Data: data}})
 				e.ready.Store(true)
-				e.log.Store(&logHealth{reachable: tt.own, good: time.Now()})
+				e.log.Store(&logHealth{reachable: tt.own, lastRead: time.Now()})
 				e.peers.byURL["http://b"] = peer{info: peerInfo, seen: time.Now(), logReachable: tt.other}
 
 				views := make(chan membership.View, 2)
--- a/sessions/entry/wants.go
+++ b/sessions/entry/proposals.go
@@ -10,8 +10,8 @@
 	"yarrowgrade.example/yarrowgrade/sessions/policy"
 )
 
-// want is a record that should be in the ledger.
-type want struct {
+// proposal is a record that should be in the ledger.
+type proposal struct {
 	// key names the want, so that it is proposed once at a time.
 	key    string
 	record ledger.Record
@@ -21,9 +21,9 @@
 
 func prepareKey(token int64) string { return fmt.Sprintf("prepare/%d", token) }
 
-// reported returns what follows from the polls of the agents that this entry serves.
-func (c *control) reported(state ledger.State) []want {
-	var wants []want
+// reportedProposals returns what follows from the polls of the agents that this entry serves.
+func (c *control) reportedProposals(state ledger.State) []proposal {
+	var proposals []proposal
 	for _, a := range c.entry.agents.list() {
 		w, found := state.Worker(a.Worker)
 		if !found || w.Incarnation != a.Incarnation {
@@ -31,44 +31,44 @@
 			continue
 		}
 		if a.Leaving && !w.Leaving {
-			wants = append(wants, leaveWant(w))
+			proposals = append(proposals, leaveProposal(w))
 		}
-		wants = append(wants, stoppedWants(state, a)...)
-		wants = append(wants, gangWants(state, a)...)
+		proposals = append(proposals, stoppedProposals(state, a)...)
+		proposals = append(proposals, gangProposals(state, a)...)
 	}
-	return wants
+	return proposals
 }
 
-func leaveWant(w ledger.Worker) want {
-	return want{
+func leaveProposal(w ledger.Worker) proposal {
+	return proposal{
 		key:    "leave/" + w.Name + "/" + w.Incarnation,
 		record: ledger.Record{Leave: &ledger.LeaveWorker{Worker: w.Name, Incarnation: w.Incarnation}},
 	}
 }
 
-// stoppedWants releases what the agent says has stopped.
-func stoppedWants(state ledger.State, a heardAgent) []want {
-	var wants []want
+// stoppedProposals releases what the agent says has stopped.
+func stoppedProposals(state ledger.State, a agentReport) []proposal {
+	var proposals []proposal
 	for _, s := range a.Stopped {
 		p, found := state.Placement(s.Token)
 		if !found || p.IsReleased(a.Worker) {
 			continue
 		}
-		wants = append(wants, releaseWant(s.Token, a.Worker, ledger.StoppedByAgent, s.Progress))
+		proposals = append(proposals, releaseProposal(s.Token, a.Worker, ledger.StoppedByAgent, s.Progress))
 	}
-	return wants
+	return proposals
 }
 
-func releaseWant(token int64, worker string, cause ledger.ReleaseCause, progress time.Duration) want {
-	return want{
+func releaseProposal(token int64, worker string, cause ledger.ReleaseCause, progress time.Duration) proposal {
+	return proposal{
 		key:    fmt.Sprintf("release/%d/%s", token, worker),
 		record: ledger.Record{Release: &ledger.Release{Token: token, Worker: worker, Cause: cause, Progress: progress}},
 	}
 }
 
-// gangWants starts, finishes or stops the gangs that the agent leads.
-func gangWants(state ledger.State, a heardAgent) []want {
-	var wants []want
+// gangProposals starts, finishes or stops the gangs that the agent leads.
+func gangProposals(state ledger.State, a agentReport) []proposal {
+	var proposals []proposal
 	for _, r := range a.Gangs {
 		p, found := state.Placement(r.Token)
 		if !found {
@@ -76,84 +76,84 @@
 		}
 		switch {
 		case r.Failed != "" && p.Phase != ledger.Stopping:
-			wants = append(wants, stopWant(r.Token, r.Failed, ""))
+			proposals = append(proposals, stopProposal(r.Token, r.Failed, ""))
 		case r.Finished && p.Phase == ledger.Running:
-			wants = append(wants, want{key: fmt.Sprintf("finish/%d", r.Token), record: ledger.Record{Finish: &ledger.Finish{Token: r.Token}}})
-		case p.Phase == ledger.Running && r.Progress >= savedProgress(state, p)+worthSaving:
-			wants = append(wants, want{
+			proposals = append(proposals, proposal{key: fmt.Sprintf("finish/%d", r.Token), record: ledger.Record{Finish: &ledger.Finish{Token: r.Token}}})
+		case p.Phase == ledger.Running && r.Progress >= savedProgress(state, p)+minProgressStep:
+			proposals = append(proposals, proposal{
 				key:    fmt.Sprintf("checkpoint/%d", r.Token),
 				record: ledger.Record{Checkpoint: &ledger.Checkpoint{Token: r.Token, Progress: r.Progress}},
 			})
 		case r.Ready && p.Phase == ledger.Preparing:
-			wants = append(wants, want{key: fmt.Sprintf("start/%d", r.Token), record: ledger.Record{Start: &ledger.Start{Token: r.Token}}})
+			proposals = append(proposals, proposal{key: fmt.Sprintf("start/%d", r.Token), record: ledger.Record{Start: &ledger.Start{Token: r.Token}}})
 		}
 	}
-	return wants
+	return proposals
 }
 
-// worthSaving is the least work for which a record is written. With 700 gangs and a checkpoint
+// minProgressStep is the least work for which a record is written. With 700 gangs and a checkpoint
 // every 10 minutes that is about one record a second.
-const worthSaving = time.Minute
+const minProgressStep = time.Minute
 
 func savedProgress(state ledger.State, p ledger.Placement) time.Duration {
 	session, _ := state.Session(p.Session)
 	return session.Progress
 }
 
-func stopWant(token int64, reason, beneficiary string) want {
-	return want{
+func stopProposal(token int64, reason, beneficiary string) proposal {
+	return proposal{
 		key:    fmt.Sprintf("stop/%d", token),
 		record: ledger.Record{Stop: &ledger.Stop{Token: token, Reason: reason, For: beneficiary}},
 	}
 }
 
 // asShared returns the want as one that any entry could propose.
-func (w want) asShared() want {
-	w.shared = true
-	return w
+func (p proposal) asShared() proposal {
+	p.shared = true
+	return p
 }
 
-// shared returns what follows from the ledger, the clock and the platform alone.
-func (c *control) shared(state ledger.State) []want {
-	var wants []want
+// sharedProposals returns what follows from the ledger, the clock and the platform alone.
+func (c *control) sharedProposals(state ledger.State) []proposal {
+	var proposals []proposal
 	for _, p := range state.Placements() {
-		wants = append(wants, c.placementWants(state, p)...)
+		proposals = append(proposals, c.placementProposals(state, p)...)
 	}
 	for name := range c.gone {
 		if w, found := state.Worker(name); found && !w.Leaving {
-			wants = append(wants, leaveWant(w).asShared())
+			proposals = append(proposals, leaveProposal(w).asShared())
 		}
 	}
-	return wants
+	return proposals
 }
 
-func (c *control) placementWants(state ledger.State, p ledger.Placement) []want {
-	var wants []want
+func (c *control) placementProposals(state ledger.State, p ledger.Placement) []proposal {
+	var proposals []proposal
 	leaving := ""
 	for _, m := range p.Members {
 		if c.gone[m.Worker] && !p.IsReleased(m.Worker) {
-			wants = append(wants, releaseWant(p.Token, m.Worker, ledger.WorkerGone, 0).asShared())
+			proposals = append(proposals, releaseProposal(p.Token, m.Worker, ledger.WorkerGone, 0).asShared())
 		}
 		if w, _ := state.Worker(m.Worker); w.Leaving {
 			leaving = m.Worker
 		}
 	}
 	if p.Phase == ledger.Stopping {
-		return wants
+		return proposals
 	}
 	if leaving != "" {
-		wants = append(wants, stopWant(p.Token, "worker "+leaving+" is leaving", "").asShared())
+		proposals = append(proposals, stopProposal(p.Token, "worker "+leaving+" is leaving", "").asShared())
 	}
 	if p.Phase == ledger.Preparing && time.Since(c.firstSeen(prepareKey(p.Token))) > c.entry.settings.PrepareTimeout {
-		wants = append(wants, stopWant(p.Token, "not all members were ready in time", "").asShared())
+		proposals = append(proposals, stopProposal(p.Token, "not all members were ready in time", "").asShared())
 	}
-	return wants
+	return proposals
 }
 
 // decisions returns the starts and reclaims that package placement wants. While some are under
 // way none are added, because the state does not show them yet.
-func (c *control) decisions(state ledger.State) []want {
-	for key, until := range c.resting {
+func (c *control) decisions(state ledger.State) []proposal {
+	for key, until := range c.pausedUntil {
 		if until.IsZero() && (strings.HasPrefix(key, "place/") || strings.HasPrefix(key, "reclaim/")) {
 			return nil
 		}
@@ -161,38 +161,38 @@
 	if c.decidedRevision == state.Revision() && time.Since(c.decidedAt) < decidePeriod {
 		return c.decided
 	}
-	if time.Since(c.decidedAt) < decideRest*c.decideTook {
-		c.putOff = true
+	if time.Since(c.decidedAt) < decidePauseFactor*c.decideDuration {
+		c.deferred = true
 		return nil
 	}
-	c.decided, c.decidedAt, c.decidedRevision, c.putOff = nil, time.Now(), state.Revision(), false
-	defer func() { c.decideTook = time.Since(c.decidedAt) }()
+	c.decided, c.decidedAt, c.decidedRevision, c.deferred = nil, time.Now(), state.Revision(), false
+	defer func() { c.decideDuration = time.Since(c.decidedAt) }()
 	in := state.DecisionInput(time.Now(), c.entry.yieldRank(state))
 	if len(in.Waiting) == 0 {
 		return nil
 	}
 	for _, d := range placement.Decide(in, state.Profile()) {
-		c.decided = append(c.decided, decisionWants(d)...)
+		c.decided = append(c.decided, decisionProposals(d)...)
 	}
 	c.entry.parts.Telemetry.Metrics.Timer("decide").Record(time.Since(c.decidedAt))
 	return c.decided
 }
 
-func decisionWants(d placement.Decision) []want {
+func decisionProposals(d placement.Decision) []proposal {
 	if len(d.Members) > 0 {
-		return []want{{
+		return []proposal{{
 			key:    "place/" + d.Session,
 			record: ledger.Record{Place: &ledger.Place{Session: d.Session, Members: d.Members, Borrowed: d.Borrowed}},
 			shared: true,
 		}}
 	}
-	var wants []want
+	var proposals []proposal
 	for _, token := range d.Victims {
-		w := stopWant(token, "reclaimed", d.Session).asShared()
-		w.key = fmt.Sprintf("reclaim/%d", token)
-		wants = append(wants, w)
+		p := stopProposal(token, "reclaimed", d.Session).asShared()
+		p.key = fmt.Sprintf("reclaim/%d", token)
+		proposals = append(proposals, p)
 	}
-	return wants
+	return proposals
 }
 
 // yieldRank asks the policies for the place of a placement in the order of victims.
--- a/sessions/entry/router.go
+++ b/sessions/entry/router.go
@@ -42,8 +42,8 @@
 	return &router{entry: e, avoidance: newAvoidance(), inflight: make(map[string]int), budget: budgetCap}
 }
 
-// mint returns a key for an agent of the service that can take work.
-func (r *router) mint(service string) (request.Key, bool) {
+// newKey returns a key for an agent of the service that can take work.
+func (r *router) newKey(service string) (request.Key, bool) {
 	w, found := r.pick(service, "", nil)
 	if !found {
 		return request.Key{}, false
@@ -198,8 +198,8 @@
 	return request.Uncertain(id, err.Error(), noTargetRetry), true
 }
 
-// errNotWhole says that an agent's answer was that of another request, or harmed. It is dropped.
-var errNotWhole = errors.New("the agent's answer was crossed or cut")
+// errBadAnswer says that an agent's answer was that of another request, or harmed. It is dropped.
+var errBadAnswer = errors.New("the agent's answer was crossed or cut")
 
 // send makes one attempt at one agent.
 func (r *router) send(ctx context.Context, id string, call request.Call, w ledger.Worker) (request.Answer, error) {
@@ -215,16 +215,16 @@
 	var answer request.Answer
 	err := jsonhttp.Call(ctx, r.entry.parts.Client, "entry.send", http.MethodPost, w.Address, "/internal/requests", hop, &answer)
 	if err == nil && !answer.Whole(id) {
-		err = errNotWhole
+		err = errBadAnswer
 	}
-	r.learn(w, call.Team, answer, err)
+	r.recordOutcome(w, call.Team, answer, err)
 	return answer, err
 }
 
-// learn keeps new work away from agents that leave, have no room or do not answer, and from
+// recordOutcome keeps new work away from agents that leave, have no room or do not answer, and from
 // targets that do not answer in time: a slow target looks like a good one until its requests
 // time out.
-func (r *router) learn(w ledger.Worker, team string, answer request.Answer, err error) {
+func (r *router) recordOutcome(w ledger.Worker, team string, answer request.Answer, err error) {
 	agent := incarnationOf(w)
 	switch {
 	case err == nil && answer.Leaving:
--- a/sessions/gang/gang.go
+++ b/sessions/gang/gang.go
@@ -85,8 +85,8 @@
 	Stopped Status = "stopped"
 )
 
-// Beat is what a member tells its leader.
-type Beat struct {
+// Heartbeat is what a member tells its leader.
+type Heartbeat struct {
 	Token  int64  `json:"t"`
 	Worker string `json:"w"`
 	Status Status `json:"s"`
--- a/sessions/gang/gang_test.go
+++ b/sessions/gang/gang_test.go
@@ -57,12 +57,12 @@
 	return l.cut
 }
 
-func (l *testLink) Beat(ctx context.Context, b Beat) (Grant, error) {
+func (l *testLink) Heartbeat(ctx context.Context, b Heartbeat) (Grant, error) {
 	if l.isCut() {
 		<-ctx.Done()
 		return Grant{}, ctx.Err()
 	}
-	g := l.leader.Beat(ctx, b)
+	g := l.leader.Heartbeat(ctx, b)
 	if l.isCut() || l.isDeaf() {
 		return Grant{}, errors.New("the answer was lost")
 	}
--- a/sessions/gang/golden_test.go
+++ b/sessions/gang/golden_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestGoldenBeat(t *testing.T) {
-	goldentest.JSON(t, "beat", Beat{Token: 7, Worker: "worker-1", Status: Running, Progress: time.Minute})
+	goldentest.JSON(t, "beat", Heartbeat{Token: 7, Worker: "worker-1", Status: Running, Progress: time.Minute})
 	goldentest.JSON(t, "grant", Grant{Run: true, Stop: true})
 	goldentest.JSON(t, "report", Report{Token: 7, Ready: true, Finished: true, Progress: time.Minute, Failed: "why"})
 }
--- a/sessions/gang/leader.go
+++ b/sessions/gang/leader.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// heard is what the leader knows of a member.
-type heard struct {
+// memberState is what the leader knows of a member.
+type memberState struct {
 	status   Status
 	progress time.Duration
 	at       time.Time
@@ -20,7 +20,7 @@
 	timing Timing
 	mu     sync.Mutex
 	// members has every member, also those that were not heard yet.
-	members map[string]heard
+	members map[string]memberState
 	running bool
 	// since is when the leader learned that the gang runs.
 	since   time.Time
@@ -30,9 +30,9 @@
 
 // NewLeader returns the leader of a placement with the given workers.
 func NewLeader(token int64, workers []string, timing Timing) *Leader {
-	l := &Leader{token: token, timing: timing, members: make(map[string]heard), changed: make(chan struct{})}
+	l := &Leader{token: token, timing: timing, members: make(map[string]memberState), changed: make(chan struct{})}
 	for _, name := range workers {
-		l.members[name] = heard{status: Preparing}
+		l.members[name] = memberState{status: Preparing}
 	}
 	return l
 }
@@ -43,12 +43,12 @@
 	defer l.mu.Unlock()
 	if !l.running {
 		l.running, l.since = true, time.Now()
-		l.wake()
+		l.notify()
 	}
 }
 
-// wake lets beats that wait look again. The caller holds the lock.
-func (l *Leader) wake() {
+// notify lets beats that wait look again. The caller holds the lock.
+func (l *Leader) notify() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
@@ -60,10 +60,10 @@
 	return l.changed
 }
 
-// Beat takes in a member's beat and answers it. The answer to a member that is ready waits up
+// Heartbeat takes in a member's beat and answers it. The answer to a member that is ready waits up
 // to one beat for the gang to run, so that a start is not late by a beat.
-func (l *Leader) Beat(ctx context.Context, b Beat) Grant {
-	grant, changed := l.hear(b)
+func (l *Leader) Heartbeat(ctx context.Context, b Heartbeat) Grant {
+	grant, changed := l.record(b)
 	if b.Status != Ready || grant.Run || grant.Stop {
 		return grant
 	}
@@ -72,7 +72,7 @@
 	for !grant.Run && !grant.Stop {
 		select {
 		case <-changed:
-			grant, changed = l.look(b.Worker)
+			grant, changed = l.currentGrant(b.Worker)
 		case <-timer.C:
 			return grant
 		case <-ctx.Done():
@@ -82,24 +82,24 @@
 	return grant
 }
 
-func (l *Leader) hear(b Beat) (Grant, <-chan struct{}) {
+func (l *Leader) record(b Heartbeat) (Grant, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	old, found := l.members[b.Worker]
 	if !found || b.Token != l.token {
 		return Grant{Stop: true}, l.changed
 	}
-	l.members[b.Worker] = heard{status: b.Status, progress: b.Progress, at: time.Now()}
+	l.members[b.Worker] = memberState{status: b.Status, progress: b.Progress, at: time.Now()}
 	if l.failed == "" && (b.Status == Failed || b.Status == Stopped) {
 		l.failed = "member " + b.Worker + " " + string(b.Status)
 	}
 	if old.status != b.Status || old.progress != b.Progress {
-		l.wake()
+		l.notify()
 	}
 	return l.grant(), l.changed
 }
 
-func (l *Leader) look(worker string) (Grant, <-chan struct{}) {
+func (l *Leader) currentGrant(worker string) (Grant, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.grant(), l.changed
@@ -120,14 +120,14 @@
 			// Its beats arrive, but perhaps no grant reaches it: the others would run without
 			// it as long as it beats.
 			l.failed = "member " + name + " did not start in time"
-			l.wake()
+			l.notify()
 			return Grant{Stop: true}
 		}
 		if m.at.IsZero() || now.Sub(m.at) > l.timing.Fresh {
 			// A member that was silent this long has lapsed or is about to: its gang can't be
 			// whole again.
 			l.failed = "member " + name + " is silent"
-			l.wake()
+			l.notify()
 			return Grant{Stop: true}
 		}
 	}
--- a/sessions/gang/member.go
+++ b/sessions/gang/member.go
@@ -18,17 +18,17 @@
 	// first is short, because a member often beats a moment before its leader knows of the
 	// gang.
 	firstRetry = 10 * time.Millisecond
-	beatRetry  = 200 * time.Millisecond
+	maxRetry   = 200 * time.Millisecond
 	stopRetry  = 300 * time.Millisecond
 )
 
-// lastCheckpoint bounds the checkpoint in front of a stop. The room is wanted back, so it is
+// finalCheckpointTimeout bounds the checkpoint in front of a stop. The room is wanted back, so it is
 // not tried twice.
-const lastCheckpoint = 2 * time.Second
+const finalCheckpointTimeout = 2 * time.Second
 
 // Link carries beats to the leader.
 type Link interface {
-	Beat(ctx context.Context, b Beat) (Grant, error)
+	Heartbeat(ctx context.Context, b Heartbeat) (Grant, error)
 }
 
 // Member is one member of a placement on its own worker.
@@ -38,17 +38,17 @@
 	workers hosting.Workers
 	timing  Timing
 
-	// saved is when the last checkpoint was begun. Only Run's goroutine uses it; saving says
+	// checkpointedAt is when the last checkpoint was begun. Only Run's goroutine uses it; saving says
 	// that one is under way.
-	saved  time.Time
-	saving atomic.Bool
+	checkpointedAt time.Time
+	checkpointing  atomic.Bool
 	// heldUntil is when the worker's lease on the task ends, by the calls that it has answered.
 	// Only Run's goroutine uses it.
 	heldUntil time.Time
 
-	// stopAsked is closed when the ledger says that the placement stops.
-	stopAsked chan struct{}
-	askOnce   sync.Once
+	// stopRequested is closed when the ledger says that the placement stops.
+	stopRequested chan struct{}
+	stopOnce      sync.Once
 
 	// inTrace puts the calls that prepare and start the task into the trace of the session's
 	// creation. Renewals stay out of it: they go on for hours.
@@ -66,7 +66,7 @@
 func NewMember(spec hosting.TaskSpec, link Link, workers hosting.Workers, timing Timing, changed func(), inTrace func(context.Context) context.Context) *Member {
 	return &Member{
 		spec: spec, link: link, workers: workers, timing: timing,
-		stopAsked: make(chan struct{}), status: Preparing, changed: changed, inTrace: inTrace,
+		stopRequested: make(chan struct{}), status: Preparing, changed: changed, inTrace: inTrace,
 	}
 }
 
@@ -78,7 +78,7 @@
 }
 
 // Stop asks the member to checkpoint and stop.
-func (m *Member) Stop() { m.askOnce.Do(func() { close(m.stopAsked) }) }
+func (m *Member) Stop() { m.stopOnce.Do(func() { close(m.stopRequested) }) }
 
 func (m *Member) setStatus(s Status) {
 	m.mu.Lock()
@@ -103,7 +103,7 @@
 	defer cancel()
 	go func() {
 		select {
-		case <-m.stopAsked:
+		case <-m.stopRequested:
 		case <-running.Done():
 		}
 		cancel()
@@ -115,19 +115,19 @@
 	told := make(chan struct{})
 	go func() {
 		defer close(told)
-		m.tellLeader(ctx)
+		m.reportFailure(ctx)
 	}()
 	m.stop(ctx)
 	<-told
 }
 
-// tellLeader says once that this member goes on no more, so that the others need not wait for
+// reportFailure says once that this member goes on no more, so that the others need not wait for
 // its silence.
-func (m *Member) tellLeader(ctx context.Context) {
+func (m *Member) reportFailure(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, m.timing.Beat)
 	defer cancel()
 	// A beat that is lost does no harm: the leader notices the silence.
-	_, _ = m.link.Beat(bounded, Beat{Token: m.spec.Token, Worker: m.spec.Worker, Status: Failed})
+	_, _ = m.link.Heartbeat(bounded, Heartbeat{Token: m.spec.Token, Worker: m.spec.Worker, Status: Failed})
 }
 
 // prepare waits until no live task holds one of the accelerators, and reports whether they are.
@@ -169,18 +169,18 @@
 		if m.lapsed(expires) {
 			return
 		}
-		grant, sent, err := m.beat(ctx, expires)
+		grant, sent, err := m.sendHeartbeat(ctx, expires)
 		if grant.Stop {
 			return
 		}
 		if err != nil || !grant.Run {
 			m.pauseWithin(ctx, retry, expires)
-			retry = min(2*retry, beatRetry)
+			retry = min(2*retry, maxRetry)
 			continue
 		}
 		retry = firstRetry
 		expires = sent.Add(m.timing.Lease)
-		if !m.act(ctx, expires) {
+		if !m.startOrRenew(ctx, expires) {
 			return
 		}
 		m.pauseWithin(ctx, m.timing.Beat, expires)
@@ -192,8 +192,8 @@
 	return !expires.IsZero() && !time.Now().Before(expires)
 }
 
-// beat sends one beat, bounded by the lease, and returns when it was sent.
-func (m *Member) beat(ctx context.Context, expires time.Time) (Grant, time.Time, error) {
+// sendHeartbeat sends one beat, bounded by the lease, and returns when it was sent.
+func (m *Member) sendHeartbeat(ctx context.Context, expires time.Time) (Grant, time.Time, error) {
 	limit := m.timing.Lease
 	if !expires.IsZero() {
 		limit = min(limit, time.Until(expires))
@@ -202,14 +202,14 @@
 	defer cancel()
 	status, progress := m.Status()
 	sent := time.Now()
-	grant, err := m.link.Beat(bounded, Beat{Token: m.spec.Token, Worker: m.spec.Worker, Status: status, Progress: progress})
+	grant, err := m.link.Heartbeat(bounded, Heartbeat{Token: m.spec.Token, Worker: m.spec.Worker, Status: status, Progress: progress})
 	return grant, sent, err
 }
 
-// act starts or renews the task under the lease, and reports whether the member goes on. The
+// startOrRenew starts or renews the task under the lease, and reports whether the member goes on. The
 // lease is checked before each act, because the process may have been paused since the grant
 // came.
-func (m *Member) act(ctx context.Context, expires time.Time) bool {
+func (m *Member) startOrRenew(ctx context.Context, expires time.Time) bool {
 	left := time.Until(expires)
 	if left <= 0 {
 		return false
@@ -229,12 +229,12 @@
 
 // checkpointIfDue saves the task's work beside the beats, which a slow checkpoint must not hold up.
 func (m *Member) checkpointIfDue(ctx context.Context) {
-	if time.Since(m.saved) < m.timing.Checkpoint || !m.saving.CompareAndSwap(false, true) {
+	if time.Since(m.checkpointedAt) < m.timing.Checkpoint || !m.checkpointing.CompareAndSwap(false, true) {
 		return
 	}
-	m.saved = time.Now()
+	m.checkpointedAt = time.Now()
 	go func() {
-		defer m.saving.Store(false)
+		defer m.checkpointing.Store(false)
 		m.checkpoint(ctx, m.timing.Checkpoint)
 	}()
 }
@@ -246,7 +246,7 @@
 		// A lost answer leaves the task running on its short lease; stop ends it for certain.
 		return false
 	}
-	m.saved = time.Now()
+	m.checkpointedAt = time.Now()
 	m.heldUntil = asked.Add(left)
 	m.setStatus(Running)
 	return true
@@ -268,18 +268,18 @@
 	case errors.Is(err, hosting.ErrNoTask):
 		return m.isFinished(ctx)
 	}
-	return m.held()
+	return m.leaseHeld()
 }
 
-// held reports whether the worker's lease lasts, as far as the member knows.
-func (m *Member) held() bool { return time.Now().Before(m.heldUntil) }
+// leaseHeld reports whether the worker's lease lasts, as far as the member knows.
+func (m *Member) leaseHeld() bool { return time.Now().Before(m.heldUntil) }
 
 // isFinished asks the worker what became of a task that runs no more: true if it has finished,
 // or if there may still be an answer in time.
 func (m *Member) isFinished(ctx context.Context) bool {
 	tasks, err := m.workers.Tasks(ctx, m.spec.Worker)
 	if err != nil {
-		return m.held()
+		return m.leaseHeld()
 	}
 	for _, t := range tasks {
 		if t.Token == m.spec.Token && t.State == hosting.TaskFinished {
@@ -294,7 +294,7 @@
 // stop takes a checkpoint, ends the task, and makes sure that none can start later. It tries
 // until the worker confirms.
 func (m *Member) stop(ctx context.Context) {
-	m.checkpoint(ctx, lastCheckpoint)
+	m.checkpoint(ctx, finalCheckpointTimeout)
 	for ctx.Err() == nil {
 		err := m.workers.StopTask(ctx, m.spec.Worker, m.spec.Token)
 		if err == nil || errors.Is(err, hosting.ErrNoTask) || errors.Is(err, hosting.ErrGone) {
--- a/sessions/ledger/follower.go
+++ b/sessions/ledger/follower.go
@@ -62,7 +62,7 @@
 
 // Run reads until ctx ends and hands every update to out.
 func (f *Follower) Run(ctx context.Context, out chan<- Update) {
-	f.start(ctx, out)
+	f.loadSnapshot(ctx, out)
 	// The first reads do not wait: the process is ready when it has seen the end, and an empty
 	// log has nothing to wait for.
 	wait := time.Duration(0)
@@ -91,16 +91,16 @@
 	return f.log.Read(ctx, hosting.LedgerStream, f.next, readLimit, wait)
 }
 
-// start jumps to the newest snapshot, if there is one, before the first read.
-func (f *Follower) start(ctx context.Context, out chan<- Update) {
+// loadSnapshot jumps to the newest snapshot, if there is one, before the first read.
+func (f *Follower) loadSnapshot(ctx context.Context, out chan<- Update) {
 	bounded, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	if s, err := ReadSnapshot(bounded, f.log); err == nil {
-		f.jump(ctx, out, s, false)
+		f.adopt(ctx, out, s, false)
 	}
 }
 
-func (f *Follower) jump(ctx context.Context, out chan<- Update, s State, fromPeer bool) {
+func (f *Follower) adopt(ctx context.Context, out chan<- Update, s State, fromPeer bool) {
 	if s.revision < f.next {
 		return
 	}
@@ -113,10 +113,10 @@
 func (f *Follower) recover(ctx context.Context, out chan<- Update, err error) {
 	send(ctx, out, Update{Err: err})
 	if errors.Is(err, hosting.ErrExpired) {
-		f.start(ctx, out)
+		f.loadSnapshot(ctx, out)
 	}
 	if s, found := f.peers.NewerState(ctx, f.next-1); found {
-		f.jump(ctx, out, s, true)
+		f.adopt(ctx, out, s, true)
 	}
 	pause.For(ctx, readRetry)
 }
--- a/sessions/ledger/golden_test.go
+++ b/sessions/ledger/golden_test.go
@@ -131,12 +131,12 @@
 }
 
 // goldenForm is the stored form of a state, with every field set.
-func goldenForm() stored {
+func goldenForm() storedState {
 	team, err := json.Marshal(goldenTeam)
 	if err != nil {
 		panic(err)
 	}
-	return stored{
+	return storedState{
 		Revision: 20, ConfigRevision: 4, SavedRevision: 11, SavedAt: 1_700_000_000_004,
 		Config: []ConfigEntry{
 			goldenEntry, {Key: TeamPrefix + "plates", Change: Change{Revision: 3, Value: team, Author: "ada", At: 1_700_000_000_005}},
@@ -207,7 +207,7 @@
 // withoutReasons is a stored state without the texts that say why records were rejected. Those are for people.
 func withoutReasons(t *testing.T, plain []byte) []byte {
 	t.Helper()
-	var form stored
+	var form storedState
 	if err := json.Unmarshal(plain, &form); err != nil {
 		t.Fatal(err)
 	}
--- a/sessions/ledger/placing.go
+++ b/sessions/ledger/placing.go
@@ -38,7 +38,7 @@
 	session.Phase, session.Token, session.Since = SessionPlaced, offset, at
 	next.sessions = next.sessions.Set(session.Name, session)
 	if !p.Borrowed {
-		if err := s.checkHeld(next); err != nil {
+		if err := s.checkGuarantees(next); err != nil {
 			return s, err
 		}
 	}
@@ -113,11 +113,11 @@
 	return nil
 }
 
-// checkHeld checks that all guarantees can still be reclaimed as shapes after a placement that
+// checkGuarantees checks that all guarantees can still be reclaimed as shapes after a placement that
 // uses one. A borrowed placement needs no check, because everything it holds can be taken back.
 // Where guarantees could not be had back before, such as after the loss of a worker, it must
 // not become more.
-func (s State) checkHeld(next State) error {
+func (s State) checkGuarantees(next State) error {
 	if short := next.Shortfall(); len(short) > len(s.Shortfall()) {
 		return fault.BadField("members", "team %q could not have its guarantee of %d accelerators back", short[0].Team, short[0].Shape.Accelerators)
 	}
@@ -153,7 +153,7 @@
 		borrowed[p.Token] = p.Borrowed
 	}
 	usable := func(holder int64) bool { return holder == 0 || borrowed[holder] }
-	room := placement.NewRoom(placement.NewTopology(workers), workers, usable)
+	room := placement.NewCapacity(placement.NewTopology(workers), workers, usable)
 	return placement.Shortfall(room, s.Entitlements())
 }
 
--- a/sessions/ledger/replica.go
+++ b/sessions/ledger/replica.go
@@ -14,14 +14,14 @@
 	mu      sync.Mutex
 	state   State
 	changed chan struct{}
-	// concerned has for each worker that someone waits for the channel to close when something
+	// workerWaiters has for each worker that someone waits for the channel to close when something
 	// changes for it.
-	concerned map[string]chan struct{}
+	workerWaiters map[string]chan struct{}
 }
 
 // NewReplica returns a replica of the empty state.
 func NewReplica() *Replica {
-	return &Replica{state: NewState(), changed: make(chan struct{}), concerned: make(map[string]chan struct{})}
+	return &Replica{state: NewState(), changed: make(chan struct{}), workerWaiters: make(map[string]chan struct{})}
 }
 
 // State returns the newest state.
@@ -44,10 +44,10 @@
 func (r *Replica) WatchWorker(name string) (State, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c, found := r.concerned[name]
+	c, found := r.workerWaiters[name]
 	if !found {
 		c = make(chan struct{})
-		r.concerned[name] = c
+		r.workerWaiters[name] = c
 	}
 	return r.state, c
 }
@@ -91,15 +91,15 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if all || s.configRevision != r.state.configRevision {
-		touched = slices.Collect(maps.Keys(r.concerned))
+		touched = slices.Collect(maps.Keys(r.workerWaiters))
 	}
 	r.state = s
 	close(r.changed)
 	r.changed = make(chan struct{})
 	for _, name := range touched {
-		if c, found := r.concerned[name]; found {
+		if c, found := r.workerWaiters[name]; found {
 			close(c)
-			delete(r.concerned, name)
+			delete(r.workerWaiters, name)
 		}
 	}
 }
--- a/sessions/ledger/snapshot.go
+++ b/sessions/ledger/snapshot.go
@@ -24,8 +24,8 @@
 // 256 MB.
 const maxStateBytes = 64 << 20
 
-// stored is the stored form of a State.
-type stored struct {
+// storedState is the stored form of a State.
+type storedState struct {
 	Revision       int64            `json:"revision"`
 	ConfigRevision int64            `json:"config_revision"`
 	SavedRevision  int64            `json:"saved_revision"`
@@ -40,7 +40,7 @@
 
 // EncodeState returns the compressed stored form of a state.
 func EncodeState(s State) ([]byte, error) {
-	form := stored{
+	form := storedState{
 		Revision: s.revision, ConfigRevision: s.configRevision,
 		SavedRevision: s.savedRevision, SavedAt: s.savedAt, Config: s.Config(), Workers: s.Workers(),
 		Sessions: s.Sessions(), Placements: s.Placements(), Ended: make(map[int64]string),
@@ -78,14 +78,14 @@
 	if len(plain) > maxStateBytes {
 		return State{}, fmt.Errorf("ledger.DecodeState: more than %d bytes", maxStateBytes)
 	}
-	var form stored
+	var form storedState
 	if err := fault.Decode(plain, &form); err != nil {
 		return State{}, fmt.Errorf("ledger.DecodeState: %w", err)
 	}
 	return form.state()
 }
 
-func (form stored) state() (State, error) {
+func (form storedState) state() (State, error) {
 	s := NewState()
 	s.revision, s.configRevision = form.Revision, form.ConfigRevision
 	s.savedRevision, s.savedAt = form.SavedRevision, form.SavedAt
--- a/sessions/placement/decide.go
+++ b/sessions/placement/decide.go
@@ -51,18 +51,18 @@
 	topology     *Topology
 	running      map[int64]*Running
 	entitlements []Entitlement
-	free         *Room
-	// open is free without what is held back for sessions that victims make room for.
-	open *Room
+	free         *Capacity
+	// unheld is free without what is held back for sessions that victims make room for.
+	unheld *Capacity
 	// reclaimable has the free accelerators and those of borrowed placements.
-	reclaimable *Room
+	reclaimable *Capacity
 	reserved    []reservation
 	decisions   []Decision
 	// awaiting has the sessions for which placements are being stopped.
 	awaiting map[string]bool
-	// noRoom has searches that found no room since the room last changed, so the same one is in
+	// noFit has searches that found no room since the room last changed, so the same one is in
 	// vain again. Most of the sessions that wait in a full system ask for one of a few shapes.
-	noRoom map[search]bool
+	noFit map[search]bool
 }
 
 // search is a look for room: a shape, and the reservations that it must leave alone, one bit each.
@@ -89,7 +89,7 @@
 		running:      make(map[int64]*Running, len(input.Running)),
 		entitlements: append([]Entitlement(nil), input.Entitlements...),
 		awaiting:     make(map[string]bool),
-		noRoom:       make(map[search]bool),
+		noFit:        make(map[search]bool),
 	}
 	d.input.Workers = cloneHolders(input.Workers)
 	d.input.Running = append([]Running(nil), input.Running...)
@@ -100,9 +100,9 @@
 			d.awaiting[p.For] = true
 		}
 	}
-	d.free = NewRoom(d.topology, d.input.Workers, isFree)
-	d.open = d.free.Clone()
-	d.reclaimable = NewRoom(d.topology, d.input.Workers, d.isReclaimable)
+	d.free = NewCapacity(d.topology, d.input.Workers, isFree)
+	d.unheld = d.free.Clone()
+	d.reclaimable = NewCapacity(d.topology, d.input.Workers, d.isReclaimable)
 	return d
 }
 
@@ -212,16 +212,16 @@
 	d.reserve(w)
 }
 
-func (d *decider) find(r *Room, shape Shape) []share {
+func (d *decider) findPlace(r *Capacity, shape Shape) []share {
 	if d.profile.Scoring == ScoreFirst {
-		return find(r, FirstFit{}, shape)
+		return findPlace(r, FirstFit{}, shape)
 	}
-	return find(r, BestFit{}, shape)
+	return findPlace(r, BestFit{}, shape)
 }
 
 // startHeld starts the session under a guarantee, if the other guarantees stay feasible.
 func (d *decider) startHeld(w Waiting, held int) bool {
-	shares := d.find(d.open, d.entitlements[held].Shape)
+	shares := d.findPlace(d.unheld, d.entitlements[held].Shape)
 	if shares == nil {
 		return false
 	}
@@ -241,12 +241,12 @@
 // startBorrowed starts the session in room that no reservation needs.
 func (d *decider) startBorrowed(w Waiting) bool {
 	s := search{shape: w.Shape, reserved: d.reservedFor(w)}
-	if d.noRoom[s] {
+	if d.noFit[s] {
 		return false
 	}
-	shares := d.find(d.unreserved(s.reserved), w.Shape)
+	shares := d.findPlace(d.unreserved(s.reserved), w.Shape)
 	if shares == nil {
-		d.noRoom[s] = true
+		d.noFit[s] = true
 		return false
 	}
 	d.start(w, shares, true)
@@ -256,8 +256,8 @@
 func (d *decider) start(w Waiting, shares []share, borrowed bool) {
 	list := members(d.input.Workers, shares, isFree)
 	d.free.take(shares)
-	d.open.take(shares)
-	clear(d.noRoom)
+	d.unheld.take(shares)
+	clear(d.noFit)
 	d.markTaken(shares, list)
 	d.decisions = append(d.decisions, Decision{Session: w.Session, Members: list, Borrowed: borrowed})
 }
--- a/sessions/placement/explain.go
+++ b/sessions/placement/explain.go
@@ -28,7 +28,7 @@
 		return append(lines, "No place in the system is large enough, even when empty.")
 	}
 	lines = append(lines, fmt.Sprintf("The best place is %s: %d of %d accelerators are free, %d could be taken back.",
-		d.nameOf(at), d.free.free[at], d.free.size[at], d.reclaimable.free[at]-d.free.free[at]))
+		d.domainName(at), d.free.free[at], d.free.size[at], d.reclaimable.free[at]-d.free.free[at]))
 	lines = append(lines, d.explainHolders(at)...)
 	for _, decision := range Decide(input, profile) {
 		if decision.Session != session {
@@ -74,8 +74,8 @@
 	return found
 }
 
-// nameOf names a domain by a worker in it.
-func (d *decider) nameOf(at int) string {
+// domainName names a domain by a worker in it.
+func (d *decider) domainName(at int) string {
 	first := Worker{}
 	d.eachWorker(at, func(worker int) {
 		if first.Name == "" {
--- a/sessions/placement/placement_test.go
+++ b/sessions/placement/placement_test.go
@@ -205,7 +205,7 @@
 func decideAnew(in Input, profile Profile) []Decision {
 	d := newDecider(in, profile)
 	for _, w := range d.order() {
-		clear(d.noRoom)
+		clear(d.noFit)
 		d.place(w)
 	}
 	return d.decisions
@@ -224,7 +224,7 @@
 	}
 	used := map[string]bool{}
 	entitlements := append([]Entitlement(nil), in.Entitlements...)
-	feasible := Feasible(NewRoom(NewTopology(in.Workers), in.Workers, func(h int64) bool { return h == 0 || running[h].Borrowed }), entitlements)
+	feasible := Feasible(NewCapacity(NewTopology(in.Workers), in.Workers, func(h int64) bool { return h == 0 || running[h].Borrowed }), entitlements)
 	taken := cloneHolders(in.Workers)
 	for _, d := range decisions {
 		w := waiting[d.Session]
@@ -264,7 +264,7 @@
 		}
 	}
 	usable := func(h int64) bool { return h == 0 || (h > 0 && running[h].Borrowed) }
-	if feasible && !Feasible(NewRoom(NewTopology(taken), taken, usable), entitlements) {
+	if feasible && !Feasible(NewCapacity(NewTopology(taken), taken, usable), entitlements) {
 		rt.Fatalf("guarantees were feasible and are no more after %+v", decisions)
 	}
 }
@@ -287,7 +287,7 @@
 		for i := range in.Workers {
 			in.Workers[i].Holders = make([]int64, len(in.Workers[i].Holders))
 		}
-		if !Feasible(NewRoom(NewTopology(in.Workers), in.Workers, isFree), in.Entitlements) {
+		if !Feasible(NewCapacity(NewTopology(in.Workers), in.Workers, isFree), in.Entitlements) {
 			return
 		}
 		owner := -1
--- a/sessions/placement/reclaim.go
+++ b/sessions/placement/reclaim.go
@@ -9,7 +9,7 @@
 // the least.
 func (d *decider) reclaim(w Waiting) bool {
 	var victims []*Running
-	lowest, node := yieldCost{}, -1
+	lowest, node := victimCost{}, -1
 	owner := d.entitlement(w) >= 0
 	for _, at := range d.topology.domains(w.Shape.Adjacency) {
 		list, cost, ok := d.victims(at, w.Shape.Accelerators, owner)
@@ -29,7 +29,7 @@
 		p.Stopping, p.For = true, w.Session
 	}
 	d.awaiting[w.Session] = true
-	d.holdBack(w, node)
+	d.holdFree(w, node)
 	return true
 }
 
@@ -48,7 +48,7 @@
 	if most < w.Shape.Accelerators {
 		return false
 	}
-	d.holdBack(w, found)
+	d.holdFree(w, found)
 	return true
 }
 
@@ -65,22 +65,22 @@
 	return n
 }
 
-// holdBack keeps free room of the domain away from all sessions that come after, so that what
+// holdFree keeps free room of the domain away from all sessions that come after, so that what
 // victims free part by part is not taken again, by the victims themselves first of all.
-func (d *decider) holdBack(w Waiting, at int) {
-	clear(d.noRoom)
-	d.withhold(d.open, at, max(0, w.Shape.Accelerators-d.comingFor(w.Session, at)))
+func (d *decider) holdFree(w Waiting, at int) {
+	clear(d.noFit)
+	d.withhold(d.unheld, at, max(0, w.Shape.Accelerators-d.comingFor(w.Session, at)))
 }
 
-// yieldCost orders sets of victims: by the highest rank among them, then by the work lost, then
+// victimCost orders sets of victims: by the highest rank among them, then by the work lost, then
 // by their number.
-type yieldCost struct {
+type victimCost struct {
 	rank  int
 	lost  time.Duration
 	count int
 }
 
-func (c yieldCost) less(other yieldCost) bool {
+func (c victimCost) less(other victimCost) bool {
 	if c.rank != other.rank {
 		return c.rank < other.rank
 	}
@@ -92,10 +92,10 @@
 
 // victims returns borrowed placements whose end makes room for n accelerators below the node.
 // Only the owner of a guarantee takes from urgent placements.
-func (d *decider) victims(at, n int, owner bool) ([]*Running, yieldCost, bool) {
+func (d *decider) victims(at, n int, owner bool) ([]*Running, victimCost, bool) {
 	short := n - d.free.free[at]
 	if d.reclaimable.free[at] < n {
-		return nil, yieldCost{}, false
+		return nil, victimCost{}, false
 	}
 	here := make(map[int64]int)
 	d.eachWorker(at, func(worker int) {
@@ -111,14 +111,14 @@
 	}
 	sort.Slice(candidates, func(i, j int) bool { return d.yieldsBefore(candidates[i], candidates[j], here) })
 	var list []*Running
-	cost := yieldCost{}
+	cost := victimCost{}
 	for _, p := range candidates {
 		if short <= 0 {
 			break
 		}
 		list = append(list, p)
 		short -= here[p.Token]
-		cost = yieldCost{rank: max(cost.rank, p.YieldRank), lost: cost.lost + p.Unsaved*time.Duration(p.Shape.Accelerators), count: cost.count + 1}
+		cost = victimCost{rank: max(cost.rank, p.YieldRank), lost: cost.lost + p.Unsaved*time.Duration(p.Shape.Accelerators), count: cost.count + 1}
 	}
 	return list, cost, short <= 0 && len(list) > 0
 }
--- a/sessions/placement/reserve.go
+++ b/sessions/placement/reserve.go
@@ -32,7 +32,7 @@
 		if d.isReserved(at) {
 			continue
 		}
-		starts, ok := d.expectedRoom(at, w.Shape.Accelerators)
+		starts, ok := d.expectedStart(at, w.Shape.Accelerators)
 		if ok && (found.node < 0 || starts < found.starts) {
 			found = reservation{node: at, hold: w.Shape.Accelerators, starts: starts}
 		}
@@ -51,8 +51,8 @@
 	return false
 }
 
-// expectedRoom returns the time until n accelerators below the node can be expected to be free.
-func (d *decider) expectedRoom(at, n int) (time.Duration, bool) {
+// expectedStart returns the time until n accelerators below the node can be expected to be free.
+func (d *decider) expectedStart(at, n int) (time.Duration, bool) {
 	type ending struct {
 		left  time.Duration
 		count int
@@ -114,11 +114,11 @@
 }
 
 // unreserved returns the free room without what the given reservations hold back.
-func (d *decider) unreserved(reserved uint64) *Room {
+func (d *decider) unreserved(reserved uint64) *Capacity {
 	if reserved == 0 {
-		return d.open
+		return d.unheld
 	}
-	room := d.open.Clone()
+	room := d.unheld.Clone()
 	for i, r := range d.reserved {
 		if reserved&(1<<i) != 0 {
 			d.withhold(room, r.node, r.hold)
@@ -129,7 +129,7 @@
 
 // withhold takes n accelerators below the node out of the room, from the emptiest workers
 // first, so that what is left are the fragments.
-func (d *decider) withhold(room *Room, node, n int) {
+func (d *decider) withhold(room *Capacity, node, n int) {
 	var leaves []int
 	d.eachWorker(node, func(worker int) {
 		if leaf := d.topology.leaf[worker]; room.free[leaf] > 0 {
--- a/sessions/placement/room.go
+++ b/sessions/placement/room.go
@@ -81,17 +81,17 @@
 // domains lists the places that satisfy an adjacency.
 func (t *Topology) domains(a Adjacency) []int { return t.levels[a.tightness()] }
 
-// Room counts the accelerators that may be used, for each domain of a topology.
-type Room struct {
+// Capacity counts the accelerators that may be used, for each domain of a topology.
+type Capacity struct {
 	topology *Topology
 	free     []int
 	// size is the number of accelerators of each domain, used or not.
 	size []int
 }
 
-// NewRoom counts for each worker the accelerators whose holder satisfies usable.
-func NewRoom(t *Topology, workers []Worker, usable func(holder int64) bool) *Room {
-	r := &Room{topology: t, free: make([]int, len(t.nodes)), size: make([]int, len(t.nodes))}
+// NewCapacity counts for each worker the accelerators whose holder satisfies usable.
+func NewCapacity(t *Topology, workers []Worker, usable func(holder int64) bool) *Capacity {
+	r := &Capacity{topology: t, free: make([]int, len(t.nodes)), size: make([]int, len(t.nodes))}
 	for i, w := range workers {
 		count := 0
 		for _, h := range w.Holders {
@@ -105,15 +105,15 @@
 	return r
 }
 
-func (r *Room) add(counts []int, leaf, n int) {
+func (r *Capacity) add(counts []int, leaf, n int) {
 	for at := leaf; at >= 0; at = r.topology.nodes[at].parent {
 		counts[at] += n
 	}
 }
 
 // Clone returns a copy that can be taken from independently.
-func (r *Room) Clone() *Room {
-	return &Room{topology: r.topology, free: append([]int(nil), r.free...), size: r.size}
+func (r *Capacity) Clone() *Capacity {
+	return &Capacity{topology: r.topology, free: append([]int(nil), r.free...), size: r.size}
 }
 
 // share is a number of accelerators of one worker.
@@ -123,7 +123,7 @@
 }
 
 // take marks the shares as used.
-func (r *Room) take(shares []share) {
+func (r *Capacity) take(shares []share) {
 	for _, s := range shares {
 		r.add(r.free, r.topology.leaf[s.worker], -s.count)
 	}
@@ -148,9 +148,9 @@
 // Cost implements Scorer.
 func (BestFit) Cost(free, n int) int { return free - n }
 
-// find returns shares for the shape, or nil if there is no room.
-func find[S Scorer](r *Room, scorer S, shape Shape) []share {
-	at := best(r, scorer, r.topology.domains(shape.Adjacency), shape.Accelerators)
+// findPlace returns shares for the shape, or nil if there is no room.
+func findPlace[S Scorer](r *Capacity, scorer S, shape Shape) []share {
+	at := cheapest(r, scorer, r.topology.domains(shape.Adjacency), shape.Accelerators)
 	if at < 0 {
 		return nil
 	}
@@ -158,8 +158,8 @@
 	return pack(r, scorer, at, shape.Accelerators, shares)
 }
 
-// best returns the cheapest of the nodes with room for n, or -1.
-func best[S Scorer](r *Room, scorer S, nodes []int, n int) int {
+// cheapest returns the cheapest of the nodes with room for n, or -1.
+func cheapest[S Scorer](r *Capacity, scorer S, nodes []int, n int) int {
 	found, lowest := -1, 0
 	for _, at := range nodes {
 		if r.free[at] < n {
@@ -175,13 +175,13 @@
 
 // pack spreads n accelerators below a node that has room for them over as few domains as it can:
 // one child if that has room, else the fullest child whole and the rest again.
-func pack[S Scorer](r *Room, scorer S, at, n int, shares []share) []share {
+func pack[S Scorer](r *Capacity, scorer S, at, n int, shares []share) []share {
 	leaf := r.topology.nodes[at].worker
 	if leaf >= 0 {
 		return append(shares, share{worker: leaf, count: n})
 	}
 	children := r.topology.nodes[at].children
-	if child := best(r, scorer, children, n); child >= 0 {
+	if child := cheapest(r, scorer, children, n); child >= 0 {
 		return pack(r, scorer, child, n, shares)
 	}
 	order := append([]int(nil), children...)
@@ -195,7 +195,7 @@
 			n -= r.free[child]
 			continue
 		}
-		last := best(r, scorer, order[i:], n)
+		last := cheapest(r, scorer, order[i:], n)
 		return pack(r, scorer, last, n, shares)
 	}
 	return shares
@@ -220,13 +220,13 @@
 // The room must hold the free accelerators and those of borrowed placements. The search is
 // greedy, tightest and largest first: it may say no where a way exists, never yes where none
 // does.
-func Feasible(r *Room, entitlements []Entitlement) bool {
+func Feasible(r *Capacity, entitlements []Entitlement) bool {
 	return len(Shortfall(r, entitlements)) == 0
 }
 
 // Shortfall returns the entitlements of which not all unused parts fit, in the order in which
 // they were tried.
-func Shortfall(r *Room, entitlements []Entitlement) []Entitlement {
+func Shortfall(r *Capacity, entitlements []Entitlement) []Entitlement {
 	order := append([]Entitlement(nil), entitlements...)
 	sort.SliceStable(order, func(i, j int) bool {
 		a, b := order[i].Shape, order[j].Shape
@@ -239,7 +239,7 @@
 	var short []Entitlement
 	for _, e := range order {
 		for range e.Count - e.Used {
-			shares := find(room, BestFit{}, e.Shape)
+			shares := findPlace(room, BestFit{}, e.Shape)
 			if shares == nil {
 				short = append(short, e)
 				break
--- a/sessions/request/golden_test.go
+++ b/sessions/request/golden_test.go
@@ -37,7 +37,7 @@
 		t.Errorf("read %+v, %v", key, err)
 	}
 	minted := time.Date(2024, 6, 14, 10, 14, 9, 300_000_000, time.UTC)
-	if !key.minted().Equal(minted) {
-		t.Errorf("minted %v, want %v", key.minted().UTC(), minted)
+	if !key.createdAt().Equal(minted) {
+		t.Errorf("minted %v, want %v", key.createdAt().UTC(), minted)
 	}
 }
--- a/sessions/request/key.go
+++ b/sessions/request/key.go
@@ -49,8 +49,8 @@
 	return Key{Worker: parts[0], Incarnation: parts[1], ID: id}, nil
 }
 
-// minted returns the time that the key's id carries.
-func (k Key) minted() time.Time {
+// createdAt returns the time that the key's id carries.
+func (k Key) createdAt() time.Time {
 	seconds, nanos := k.ID.Time().UnixTime()
 	return time.Unix(seconds, nanos)
 }
--- a/sessions/request/memory.go
+++ b/sessions/request/memory.go
@@ -80,7 +80,7 @@
 		}
 		return Seen, r
 	}
-	minted := key.minted()
+	minted := key.createdAt()
 	if !minted.After(m.floor) {
 		return Forgotten, nil
 	}
@@ -99,7 +99,7 @@
 	for len(m.records) > m.maxKeys {
 		oldest := heap.Pop(&m.order).(*Record)
 		delete(m.records, oldest.key.String())
-		m.floor = oldest.key.minted()
+		m.floor = oldest.key.createdAt()
 	}
 }
 
@@ -138,7 +138,7 @@
 type keyHeap []*Record
 
 func (h keyHeap) Len() int           { return len(h) }
-func (h keyHeap) Less(i, j int) bool { return h[i].key.minted().Before(h[j].key.minted()) }
+func (h keyHeap) Less(i, j int) bool { return h[i].key.createdAt().Before(h[j].key.createdAt()) }
 func (h keyHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
