--- a/sessions/request/admission.go
+++ b/sessions/request/admission.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Settings of an Admission.
 const (
-	// firstEstimate stands for the time of service until a request has been measured.
+	// firstEstimate is the assumed service time until one has been measured.
 	firstEstimate = 20 * time.Millisecond
-	// estimateWeight is the share of the newest measurement in the estimate, as 1/estimateWeight.
+	// Each measurement moves the estimate of the service time by 1/estimateWeight.
 	estimateWeight = 8
-	// leavingRetry is when a caller may come back to another agent: at once, but not in a storm.
+	// leavingRetry is the Retry-After of a leaving target. It is short, since other targets can
+	// serve the request.
 	leavingRetry = 50 * time.Millisecond
-	// minRetry is the shortest time to come back after a full queue.
+	// minRetry is the shortest Retry-After of a refusal.
 	minRetry = 20 * time.Millisecond
 )
 
-// RefusalError says that a request was not admitted, so that it did not run.
+// RefusalError means that a request was not admitted and did not run.
 type RefusalError struct {
 	Reason     string
 	RetryAfter time.Duration
@@ -28,57 +28,63 @@
 // Error implements error.
 func (e *RefusalError) Error() string { return e.Reason }
 
-// waiter is a request that waits for a slot.
+// waiter is a request in the queue.
 type waiter struct {
 	team string
-	// deadline is when its answer has to be back.
+	// deadline is when the answer is due.
 	deadline time.Time
-	// admitted gets one value: nil for a slot, or why there is none.
+	// admitted receives exactly one value: nil for a slot, or the refusal.
 	admitted chan error
 }
 
-// Admission shares the slots of one target among teams. A team gets slots in proportion to its
-// share; what one leaves unused the others use. The queue is short: a request that could not be
-// served before its deadline is refused at once.
+// Admission divides the slots of a target among teams in proportion to their shares. Slots that a
+// team leaves unused go to the others. A request that cannot be served before its deadline is
+// refused at once instead of waiting.
 type Admission struct {
 	mu       sync.Mutex
 	slots    int
 	maxQueue int
 	share    func(team string) int
-	running  map[string]int
-	busy     int
-	queue    []*waiter
+	// running counts the slots in use by team, busy all of them.
+	running map[string]int
+	busy    int
+	// queue lists the waiters, the oldest first.
+	queue []*waiter
+	// estimate is a moving average of the service time.
 	estimate time.Duration
 	leaving  bool
 	idle     chan struct{}
 }
 
-// NewAdmission returns an admission for a target with the given number of slots. share gives a
-// team's weight, at least 1.
+// NewAdmission returns the admission of a target with the given number of slots and places in the
+// queue. share returns a team's weight, at least 1.
 func NewAdmission(slots, maxQueue int, share func(team string) int) *Admission {
 	return &Admission{
-		slots: slots, maxQueue: maxQueue, share: share,
-		running: make(map[string]int), estimate: firstEstimate, idle: make(chan struct{}),
+		slots:    slots,
+		maxQueue: maxQueue,
+		share:    share,
+		running:  make(map[string]int),
+		estimate: firstEstimate,
+		idle:     make(chan struct{}),
 	}
 }
 
-// SetMaxQueue changes the bound of the queue for the requests to come.
+// SetMaxQueue changes the length limit of the queue. Requests that already wait stay in it.
 func (a *Admission) SetMaxQueue(n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.maxQueue = n
 }
 
-// Load returns the numbers of requests that run and that wait.
+// Load returns the number of running and of waiting requests.
 func (a *Admission) Load() (running, waiting int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.busy, len(a.queue)
 }
 
-// Acquire waits for a slot. Its error is a *RefusalError: the request did not get a slot, and
-// never will. The caller of a nil error must call Release with the team and the time of
-// service.
+// Acquire waits for a slot. left is the time until the deadline of the request. A nil error must
+// be followed by Release. Any error is a *RefusalError.
 func (a *Admission) Acquire(ctx context.Context, team string, left time.Duration) error {
 	w, err := a.enter(team, left)
 	if err != nil || w == nil {
@@ -99,14 +105,14 @@
 	}
 }
 
-// serviceTime is how long a request takes at the target now.
+// serviceTime returns the current estimate of how long the target takes for a request.
 func (a *Admission) serviceTime() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.estimate
 }
 
-// enter takes a slot, joins the queue, or refuses.
+// enter takes a slot, joins the queue, or refuses the request. The waiter is nil if a slot was free.
 func (a *Admission) enter(team string, left time.Duration) (*waiter, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -129,16 +135,22 @@
 	return w, nil
 }
 
-// tooLate reports whether less time is left than a request takes. Running it would only make
-// its outcome unknown.
+// tooLate reports whether less time is left than the target needs. The request would time out, and
+// its outcome would be Unknown instead of NotRun.
 func (a *Admission) tooLate(w *waiter) bool { return time.Until(w.deadline) < a.serviceTime() }
 
-// giveBack frees a slot that was not used.
+// giveBack frees an unused slot and returns the refusal.
 func (a *Admission) giveBack(team string) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.free(team)
-	return &RefusalError{Reason: "its slot came too late for its deadline", RetryAfter: max(a.expectedWait(len(a.queue)), minRetry)}
+	return a.refuse("its slot came too late for its deadline")
+}
+
+// refuse returns a refusal that tells the caller to come back when the queue is expected to be
+// empty. The caller holds the lock.
+func (a *Admission) refuse(reason string) *RefusalError {
+	return &RefusalError{Reason: reason, RetryAfter: max(a.expectedWait(len(a.queue)), minRetry)}
 }
 
 func (a *Admission) grant(team string) {
@@ -146,7 +158,7 @@
 	a.running[team]++
 }
 
-// expectedWait is the time until a request with the given number ahead of it gets a slot.
+// expectedWait returns the time until a request with the given number ahead of it gets a slot.
 func (a *Admission) expectedWait(ahead int) time.Duration {
 	return a.estimate * time.Duration(ahead+1) / time.Duration(max(a.slots, 1))
 }
@@ -162,9 +174,9 @@
 	return a.turn(team, own, a.sharesWaiting(team))
 }
 
-// turn estimates how many requests are served before one with the given number of its own team
-// before it: those, and for each of them the others' part by share, also of those that come
-// later and are served in turn. Without others only its own count.
+// turn estimates how many requests are served before one that has own requests of its team ahead
+// of it. Each of them is accompanied by the other waiting teams' requests, in proportion to the
+// shares. If no other team waits, only its own team's requests count.
 func (a *Admission) turn(team string, own, shares int) int {
 	if shares == a.share(team) {
 		return own
@@ -172,7 +184,7 @@
 	return (own + 1) * shares / a.share(team)
 }
 
-// sharesWaiting adds up the shares of the teams that wait, and of the given one.
+// sharesWaiting returns the total share of the given team and of all teams with waiting requests.
 func (a *Admission) sharesWaiting(team string) int {
 	seen := map[string]bool{team: true}
 	shares := a.share(team)
@@ -185,9 +197,8 @@
 	return shares
 }
 
-// shed refuses those who can't be served before their deadlines any more, because requests take
-// longer than they did or because another team has come for its share. Whoever is given up is
-// told at once.
+// shed refuses waiting requests that can no longer be served before their deadlines, because the
+// target became slower or another team claimed its share.
 func (a *Admission) shed() {
 	if len(a.queue) == 0 {
 		return
@@ -206,8 +217,9 @@
 	a.queue = kept
 }
 
-// displace refuses the newest waiting request of the team that is furthest above its share, if
-// that is another team and further above than the given one would be.
+// displace makes room in a full queue for a request of the given team. It refuses the newest
+// request of the team with the most waiting requests per share, unless the given team would have
+// as many itself.
 func (a *Admission) displace(team string) bool {
 	waiting := make(map[string]int)
 	for _, w := range a.queue {
@@ -225,7 +237,7 @@
 	}
 	for i := len(a.queue) - 1; i >= 0; i-- {
 		if a.queue[i].team == worst {
-			a.queue[i].admitted <- &RefusalError{Reason: "the queue is full", RetryAfter: max(a.expectedWait(len(a.queue)), minRetry)}
+			a.queue[i].admitted <- a.refuse("the queue is full")
 			a.queue = append(a.queue[:i], a.queue[i+1:]...)
 			return true
 		}
@@ -233,8 +245,8 @@
 	return false
 }
 
-// abandon takes a waiter out of the queue. If it was granted a slot meanwhile, the slot goes on
-// to another.
+// abandon removes a waiter from the queue. If it was granted a slot in the meantime, the slot is
+// passed on.
 func (a *Admission) abandon(w *waiter, reason string) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -242,17 +254,17 @@
 		if other == w {
 			a.queue = append(a.queue[:i], a.queue[i+1:]...)
 			a.signalIdle()
-			return &RefusalError{Reason: reason, RetryAfter: max(a.expectedWait(len(a.queue)), minRetry)}
+			return a.refuse(reason)
 		}
 	}
 	if err := <-w.admitted; err != nil {
 		return err
 	}
 	a.free(w.team)
-	return &RefusalError{Reason: reason, RetryAfter: max(a.expectedWait(len(a.queue)), minRetry)}
+	return a.refuse(reason)
 }
 
-// Release gives a slot back after the given time of service.
+// Release returns a slot and the time for which it was used.
 func (a *Admission) Release(team string, served time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -276,7 +288,7 @@
 	a.signalIdle()
 }
 
-// next returns the oldest waiter of the team that uses the least of its share, or -1.
+// next returns the index of the oldest waiter of the team that uses the least of its share, or -1.
 func (a *Admission) next() int {
 	found, least := -1, 0.0
 	for i, w := range a.queue {
@@ -288,7 +300,7 @@
 	return found
 }
 
-// Leave refuses all requests to come. Those that run or wait are finished.
+// Leave refuses all further requests. Running and waiting ones are still served.
 func (a *Admission) Leave() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -296,7 +308,7 @@
 	a.signalIdle()
 }
 
-// Idle is closed once it is leaving and nothing runs or waits.
+// Idle returns a channel that is closed after Leave, once nothing runs or waits.
 func (a *Admission) Idle() <-chan struct{} { return a.idle }
 
 func (a *Admission) signalIdle() {
--- a/sessions/request/key.go
+++ b/sessions/request/key.go
@@ -11,14 +11,15 @@
 	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
-// keySeparator stands between the parts of a key. No part can hold it.
+// keySeparator separates the parts of a key; it cannot occur inside one.
 const keySeparator = "~"
 
-// Key names a request that runs at most once, and the one incarnation of an agent that may run it.
+// Key identifies a request that runs at most once, and the only incarnation of an agent that may
+// run it.
 type Key struct {
 	Worker      string
 	Incarnation string
-	// ID is a UUIDv7. Its time only orders what the agent forgets; no promise rests on it.
+	// ID is a UUIDv7. Its timestamp only decides which keys an agent forgets first.
 	ID uuid.UUID
 }
 
@@ -31,12 +32,12 @@
 	return Key{Worker: worker, Incarnation: incarnation, ID: id}, nil
 }
 
-// String returns the form that callers see.
+// String returns the text form, which is what callers see.
 func (k Key) String() string {
 	return k.Worker + keySeparator + k.Incarnation + keySeparator + k.ID.String()
 }
 
-// ParseKey reads the form that String writes.
+// ParseKey parses the text form of a key. Its error is a *fault.Field.
 func ParseKey(text string) (Key, error) {
 	parts := strings.Split(text, keySeparator)
 	if len(parts) != 3 || parts[0] == "" || parts[1] == "" {
@@ -49,14 +50,14 @@
 	return Key{Worker: parts[0], Incarnation: parts[1], ID: id}, nil
 }
 
-// createdAt returns the time that the key's id carries.
+// createdAt returns the timestamp of the key's ID.
 func (k Key) createdAt() time.Time {
 	seconds, nanos := k.ID.Time().UnixTime()
 	return time.Unix(seconds, nanos)
 }
 
-// DigestOf returns a short digest of a body. It finds crossed, cut and mixed-up bodies; it is
-// no protection from malice.
+// DigestOf returns a short digest of a body. It detects truncated and swapped bodies; it is not
+// cryptographic.
 func DigestOf(body string) string {
 	return strconv.FormatUint(xxhash.Sum64String(body), 16) + "-" + strconv.Itoa(len(body))
 }
--- a/sessions/request/memory.go
+++ b/sessions/request/memory.go
@@ -6,71 +6,74 @@
 	"time"
 )
 
-// Bounds of a Memory. A record takes some 300 bytes without its answer, so that both together
-// stay below 64 MB.
+// Bounds of a Memory. A record takes about 300 bytes without its answer, so the total stays below
+// 64 MB.
 const (
 	maxKeys        = 100_000
 	maxAnswerBytes = 24 << 20
-	// maxAhead is how far in the future a key may have been minted by this machine's clock. A
-	// key further ahead is refused, because it would push out all others.
+	// maxAhead is how far ahead of this machine's clock a key's timestamp may be. A key further
+	// ahead is refused: it would be the last one forgotten.
 	maxAhead = time.Hour
 )
 
-// Record is what an agent remembers of one key.
+// Record is what an agent remembers of a key.
 type Record struct {
 	key    Key
 	digest string
-	// done is closed when answer is set.
+	// done is closed once answer is set.
 	done   chan struct{}
 	answer Answer
-	// dropped says that the answer was too old to keep.
+	// dropped means that the answer's body was discarded to save memory.
 	dropped bool
 }
 
-// Done is closed when the key has its outcome.
+// Done returns a channel that is closed once the outcome is known.
 func (r *Record) Done() <-chan struct{} { return r.done }
 
-// ClaimStatus says what a key means to the agent that was asked to run it.
+// ClaimStatus is the result of claiming a key.
 type ClaimStatus int
 
 // The statuses.
 const (
-	// First says that the key is new: the caller of Claim must run it or refuse it, and then
-	// Settle it.
+	// First means that the key is new. The caller must run or refuse the request and then call
+	// Settle.
 	First ClaimStatus = iota
-	// Seen says that the key has been claimed before.
+	// Seen means that the key was claimed before with the same body.
 	Seen
-	// OtherBody says that the key has been claimed before with another body.
+	// OtherBody means that the key was claimed before with another body.
 	OtherBody
-	// Forgotten says that the key is so old that it may have been claimed and forgotten.
+	// Forgotten means that the key is so old that it may have been claimed and forgotten.
 	Forgotten
-	// TooNew says that the key's time is far in the future.
+	// TooNew means that the key's timestamp is more than maxAhead in the future.
 	TooNew
 )
 
-// Memory remembers the keys of one incarnation of an agent. It is bounded: it forgets the keys
-// minted first, and from then on claims as Forgotten every key that was minted no later than
-// one that it forgot.
+// Memory remembers the keys that one incarnation of an agent has seen. It is bounded: the keys
+// with the oldest timestamps are forgotten first, and from then on every key that is not newer
+// than a forgotten one counts as Forgotten.
 type Memory struct {
-	mu       sync.Mutex
-	records  map[string]*Record
-	order    keyHeap
+	mu      sync.Mutex
+	records map[string]*Record
+	order   keyHeap
+	// floor is the newest timestamp of a forgotten key.
 	floor    time.Time
 	maxKeys  int
 	maxBytes int
-	bytes    int
-	// answered lists records with kept answers, oldest first.
+	// bytes is the total size of the kept answers.
+	bytes int
+	// answered lists the records with kept answers, the first settled first.
 	answered []*Record
 }
 
-// NewMemory returns an empty memory with the usual bounds.
+// NewMemory returns an empty memory for up to 100,000 keys and 24 MB of answers.
 func NewMemory() *Memory { return newMemory(maxKeys, maxAnswerBytes) }
 
 func newMemory(keys, bytes int) *Memory {
 	return &Memory{records: make(map[string]*Record), maxKeys: keys, maxBytes: bytes}
 }
 
-// Claim asks to run the key with a body of the given digest.
+// Claim registers a key with the digest of its request's body. The record is nil if the key is
+// Forgotten or TooNew.
 func (m *Memory) Claim(key Key, digest string) (ClaimStatus, *Record) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -94,7 +97,7 @@
 	return First, r
 }
 
-// forget drops the records minted first until the bound holds, and raises the floor to them.
+// forget drops the oldest keys beyond maxKeys and raises the floor to them.
 func (m *Memory) forget() {
 	for len(m.records) > m.maxKeys {
 		oldest := heap.Pop(&m.order).(*Record)
@@ -103,7 +106,7 @@
 	}
 }
 
-// Settle gives the record its outcome, once and for all.
+// Settle sets the outcome of a record. It must be called once for each claim that returned First.
 func (m *Memory) Settle(r *Record, answer Answer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -123,8 +126,8 @@
 	}
 }
 
-// Answer returns the outcome of a settled record. A kept outcome whose answer was dropped is
-// Unknown: half an answer is never given.
+// Answer returns the outcome of a settled record. It is Unknown if the body of a Done answer was
+// discarded.
 func (m *Memory) Answer(r *Record) Answer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -134,7 +137,7 @@
 	return r.answer
 }
 
-// keyHeap orders records by the time at which their keys were minted.
+// keyHeap orders records by the timestamps of their keys.
 type keyHeap []*Record
 
 func (h keyHeap) Len() int           { return len(h) }
--- a/sessions/request/request.go
+++ b/sessions/request/request.go
@@ -1,21 +1,31 @@
-// Package request holds what a request is, and the rules that its outcome follows.
+// Package request defines requests and their outcomes, and holds an agent's side of the request
+// path: admission to the target's slots, deduplication by key, and the call of the target.
 //
-// Every request gets exactly one of three outcomes. Done comes with the whole answer. NotRun is
-// said only where it is certain that the request did not run and, for a key, never will.
-// Unknown says that it may have run.
+// A request has exactly one of three outcomes. Done carries the complete answer. NotRun means
+// that the request certainly did not run and, if it has a key, never will. Unknown means that it
+// may have run.
 //
 // # At most once
 //
-// A request that must not be repeated carries a Key. A key names one incarnation of one agent,
-// and only that one may run it. The agent remembers the keys that it has met, so the same key
-// sent twice, to two entries at once, or again after the agent has been replaced, never runs a
-// second time. No clock and no agreement between agents is needed; see docs/DESIGN.md for what
-// was weighed.
+// A request that must not be repeated carries a Key, which names the only incarnation of an agent
+// that may run it. That agent remembers the keys it has seen, so a key that is sent twice, through
+// two entries at once, or after the agent was replaced, never runs a second time. This needs
+// neither synchronized clocks nor agreement between agents; docs/DESIGN.md has the alternatives.
+//
+// # State
+//
+// Server owns an Admission, with the target's queue and slots, and a Memory of keys. Both are in
+// memory only and belong to one incarnation of an agent.
+//
+// # Dependencies
+//
+// Only the Target that runs the requests. Admission takes the teams' shares as a function.
 //
 // # Usage
 //
-//	key, err := request.ParseKey(text)
-//	claim := memory.Claim(key, digest)
+//	admission := request.NewAdmission(slots, maxQueue, share)
+//	server := request.NewServer(worker, incarnation, target, admission, request.NewMemory())
+//	answer := server.Serve(ctx, hop)
 package request
 
 import (
@@ -24,7 +34,7 @@
 	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
-// Outcome is the final word on a request.
+// Outcome is what became of a request.
 type Outcome string
 
 // The outcomes.
@@ -34,24 +44,23 @@
 	Unknown Outcome = "unknown"
 )
 
-// MaxBody bounds the body of a request and of its answer, in bytes.
+// MaxBody is the maximum size of the body of a request or an answer, in bytes.
 const MaxBody = 1 << 20
 
-// Call is a request as a caller sends it.
+// Call is a request as the caller sends it.
 type Call struct {
 	Service string `json:"service"`
 	Team    string `json:"team"`
-	// Key is needed for a request that must not be repeated. POST /v1/keys gives one.
+	// Key is required for a request that must not be repeated. POST /v1/keys returns one.
 	Key string `json:"key,omitempty"`
-	// NotRepeatable marks the request as one that runs at most once. A policy may mark it too.
+	// NotRepeatable asks for at most one run. A policy can demand that too.
 	NotRepeatable bool `json:"not_repeatable,omitempty"`
-	// DeadlineMillis is how long the caller waits, in milliseconds.
+	// DeadlineMillis is how long the caller waits, in ms.
 	DeadlineMillis int64  `json:"deadline_ms"`
 	Body           string `json:"body"`
 }
 
-// Validate returns a *fault.Field for the first field that is wrong. maxDeadline is in
-// milliseconds.
+// Validate returns a *fault.Field for the first invalid field. maxDeadline is in ms.
 func (c Call) Validate(maxDeadline int64) error {
 	if c.Service == "" {
 		return fault.BadField("service", "must not be empty")
@@ -73,34 +82,34 @@
 	return nil
 }
 
-// Hop is a request on its way from an entry to an agent.
+// Hop is a request as an entry sends it to an agent.
 type Hop struct {
-	// ID names this request in logs and traces, and the answer must bring it back.
+	// ID identifies the request in logs and traces. The answer must carry the same ID.
 	ID      string `json:"id"`
 	Service string `json:"service"`
 	Team    string `json:"team"`
 	Key     string `json:"key,omitempty"`
-	// LeftMillis is the time left until the caller's deadline, in milliseconds.
+	// LeftMillis is the time left until the caller's deadline, in ms.
 	LeftMillis int64  `json:"left_ms"`
 	Body       string `json:"body"`
 }
 
-// Answer is the outcome of a request, as it travels back to the caller.
+// Answer is the outcome of a request, sent from the agent to the entry and on to the caller.
 type Answer struct {
 	ID      string  `json:"id"`
 	Outcome Outcome `json:"outcome"`
-	// Status is the status code of the target's answer.
+	// Status is the target's HTTP status code.
 	Status int    `json:"status,omitempty"`
 	Body   string `json:"body"`
-	// Digest is that of Body; see DigestOf.
+	// Digest is the digest of Body; see DigestOf.
 	Digest string `json:"digest,omitempty"`
-	// Reason says why the outcome is not Done.
+	// Reason explains an outcome other than Done.
 	Reason string `json:"reason,omitempty"`
-	// RetryAfterMillis is when to come back, in milliseconds, for all outcomes but Done.
+	// RetryAfterMillis is how long to wait before a retry, in ms, for outcomes other than Done.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
-	// Target is the name of the worker whose target ran it.
+	// Target is the name of the worker that handled the request.
 	Target string `json:"target,omitempty"`
-	// Leaving says that the agent takes no new work, so that the entry stops sending any.
+	// Leaving means that the agent takes no new work; the entry stops sending to it.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
@@ -114,19 +123,18 @@
 	return Answer{ID: id, Outcome: Unknown, Reason: reason, RetryAfterMillis: millis(retryAfter)}
 }
 
-// millis rounds up, so that a caller never comes back too early.
+// millis rounds up, so that no caller retries too early.
 func millis(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
 
-// WithID returns the answer under another id.
+// WithID returns the answer with another ID.
 func (a Answer) WithID(id string) Answer {
 	a.ID = id
 	return a
 }
 
-// Whole reports whether the answer is that of the request with the given id, with its body
-// unharmed.
+// Whole reports whether the answer belongs to the request with the given ID and its body is intact.
 func (a Answer) Whole(id string) bool {
 	return a.ID == id && (a.Outcome != Done || a.Digest == DigestOf(a.Body))
 }
--- a/sessions/request/server.go
+++ b/sessions/request/server.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// Target runs requests. There is one beside each agent.
+// Target runs requests. Each agent has one target.
 type Target interface {
-	// Run sends the request and returns the whole answer. Its error is a *NotSentError where
+	// Run sends the request and returns the complete answer. The error is a *NotSentError if
 	// the request certainly did not reach the target; after any other error it may have run.
 	Run(ctx context.Context, hop Hop) (status int, body string, err error)
 }
 
-// NotSentError says that a request did not reach its target.
+// NotSentError means that the request did not reach its target.
 type NotSentError struct{ Err error }
 
 // Error implements error.
@@ -22,13 +22,13 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
-// targetRetry is when to come back after a target could not be reached.
+// targetRetry is the Retry-After of a request whose target could not be reached.
 const targetRetry = 500 * time.Millisecond
 
-// uncertainRetry is when to ask again for the outcome of a key.
+// uncertainRetry is the Retry-After of an Unknown outcome that may become known later.
 const uncertainRetry = time.Second
 
-// Server is an agent's side of the request path: it admits, remembers, runs and answers.
+// Server runs the requests that entries send to an agent.
 type Server struct {
 	worker      string
 	incarnation string
@@ -37,12 +37,18 @@
 	memory      *Memory
 }
 
-// NewServer returns the request path of one incarnation of an agent.
+// NewServer returns the server of one incarnation of an agent.
 func NewServer(worker, incarnation string, target Target, admission *Admission, memory *Memory) *Server {
-	return &Server{worker: worker, incarnation: incarnation, target: target, admission: admission, memory: memory}
+	return &Server{
+		worker:      worker,
+		incarnation: incarnation,
+		target:      target,
+		admission:   admission,
+		memory:      memory,
+	}
 }
 
-// Serve returns the outcome of a request. ctx ends with the connection of the entry.
+// Serve returns the outcome of a request. ctx ends with the entry's connection.
 func (s *Server) Serve(ctx context.Context, hop Hop) Answer {
 	left := time.Duration(hop.LeftMillis) * time.Millisecond
 	ctx, cancel := context.WithTimeout(ctx, left)
@@ -57,8 +63,7 @@
 	return answer.WithID(hop.ID)
 }
 
-// serveKey runs the request of a key if this is the first time that the key is seen, and else
-// returns its outcome.
+// serveKey runs a request if its key is new. Otherwise it waits for the outcome of the first one.
 func (s *Server) serveKey(ctx context.Context, hop Hop) Answer {
 	key, err := ParseKey(hop.Key)
 	if err != nil {
@@ -86,8 +91,8 @@
 	}
 }
 
-// settle runs the request apart from the connection that brought it: another connection may
-// wait for the outcome too.
+// settle runs the request independently of the connection that brought it, because other
+// connections may wait for the same outcome.
 func (s *Server) settle(hop Hop, record *Record) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(hop.LeftMillis)*time.Millisecond)
@@ -96,7 +101,7 @@
 	}()
 }
 
-// run takes a slot and sends the request to the target once.
+// run waits for a slot and sends the request to the target once.
 func (s *Server) run(ctx context.Context, hop Hop) Answer {
 	deadline, _ := ctx.Deadline()
 	if err := s.admission.Acquire(ctx, hop.Team, time.Until(deadline)); err != nil {
@@ -104,7 +109,7 @@
 	}
 	began := time.Now()
 	defer func() { s.admission.Release(hop.Team, time.Since(began)) }()
-	// After a pause of the process the slot may have come too late.
+	// A pause of the process may have delayed the slot past the deadline.
 	if !began.Before(deadline) {
 		return Refusal(hop.ID, "its deadline passed while it waited", minRetry)
 	}
--- a/sessions/request/target.go
+++ b/sessions/request/target.go
@@ -13,21 +13,21 @@
 	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
-// idleTimeout ends idle connections before the usual server does (5 s and up). A request that
-// meets a connection which its server is just closing is lost as Unknown.
+// idleTimeout is shorter than the idle timeout of common servers (5 s and more). A request sent
+// on a connection that the server is closing ends as Unknown.
 const idleTimeout = 4 * time.Second
 
-// IDHeader carries the request's id to the target and, from targets that send it, back.
+// IDHeader carries the request's ID to the target. Targets may send it back.
 const IDHeader = "X-Request-Id"
 
-// HTTPTarget is a Target that is reached over HTTP: each request is one POST.
+// HTTPTarget is a Target reached over HTTP. Each request is one POST.
 type HTTPTarget struct {
 	address string
 	client  *http.Client
 }
 
-// NewHTTPTarget returns a target at the URL address with at most the given number of
-// connections. wrap may add to the transport, such as traces.
+// NewHTTPTarget returns the target at the URL address, with at most the given number of
+// connections. wrap decorates the transport, for example with tracing.
 func NewHTTPTarget(address string, connections int, wrap func(http.RoundTripper) http.RoundTripper) *HTTPTarget {
 	transport := &http.Transport{
 		MaxConnsPerHost:     connections,
@@ -38,11 +38,13 @@
 	return &HTTPTarget{address: address, client: &http.Client{Transport: wrap(transport)}}
 }
 
-// ErrCrossed says that a target answered with the id of another request.
+// ErrCrossed means that the target answered with the ID of another request.
 var ErrCrossed = errors.New("the target's answer belongs to another request")
 
-// Run implements Target. A request with a key is never sent twice: GetBody is removed, so that
-// the transport can't repeat it on another connection.
+// Run implements Target. It clears GetBody, because the transport would otherwise resend the
+// request on another connection.
+//
+// The error is a *NotSentError if no connection was made.
 func (t *HTTPTarget) Run(ctx context.Context, hop Hop) (int, string, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, t.address, strings.NewReader(hop.Body))
 	if err != nil {
@@ -70,7 +72,7 @@
 	return response.StatusCode, string(body), nil
 }
 
-// sendError tells a connection that was never made from a request that may have arrived.
+// sendError distinguishes a connection that was never made from a request that may have arrived.
 func sendError(err error) error {
 	if fault.NotReached(err) {
 		return &NotSentError{Err: err}
