--- a/sessions/gang/leader.go
+++ b/sessions/gang/leader.go
@@ -7,37 +7,46 @@
 	"time"
 )
 
-// memberState is what the leader knows of a member.
+// memberState is the content of a member's newest heartbeat.
 type memberState struct {
 	status   Status
 	progress time.Duration
-	at       time.Time
+	// at is when the heartbeat arrived; zero before the first.
+	at time.Time
 }
 
 // Leader grants leases to the members of one placement.
 type Leader struct {
 	token  int64
 	timing Timing
-	mu     sync.Mutex
-	// members has every member, also those that were not heard yet.
+
+	mu sync.Mutex
+	// members has all members by worker, including those that sent no heartbeat yet.
 	members map[string]memberState
+	// running is set once the ledger says that the gang runs; since is when that was.
 	running bool
-	// since is when the leader learned that the gang runs.
 	since   time.Time
-	failed  string
+	// failed is the reason why the gang must stop. Once set, it stays.
+	failed string
+	// changed is closed and replaced when the report may have changed.
 	changed chan struct{}
 }
 
 // NewLeader returns the leader of a placement with the given workers.
 func NewLeader(token int64, workers []string, timing Timing) *Leader {
-	l := &Leader{token: token, timing: timing, members: make(map[string]memberState), changed: make(chan struct{})}
+	l := &Leader{
+		token:   token,
+		timing:  timing,
+		members: make(map[string]memberState),
+		changed: make(chan struct{}),
+	}
 	for _, name := range workers {
 		l.members[name] = memberState{status: Preparing}
 	}
 	return l
 }
 
-// SetRunning takes in that the ledger says that the gang runs.
+// SetRunning tells the leader that the ledger has recorded the start of the gang.
 func (l *Leader) SetRunning() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -47,7 +56,7 @@
 	}
 }
 
-// notify lets beats that wait look again. The caller holds the lock.
+// notify wakes the waiting heartbeats and the watchers of Changed. The caller holds the lock.
 func (l *Leader) notify() {
 	close(l.changed)
 	l.changed = make(chan struct{})
@@ -60,11 +69,11 @@
 	return l.changed
 }
 
-// Heartbeat takes in a member's beat and answers it. The answer to a member that is ready waits up
-// to one beat for the gang to run, so that a start is not late by a beat.
-func (l *Leader) Heartbeat(ctx context.Context, b Heartbeat) Grant {
-	grant, changed := l.record(b)
-	if b.Status != Ready || grant.Run || grant.Stop {
+// Heartbeat records a heartbeat and returns the grant. The answer to a ready member waits up to one
+// heartbeat period for the gang to run; the start would otherwise be late by a period.
+func (l *Leader) Heartbeat(ctx context.Context, h Heartbeat) Grant {
+	grant, changed := l.record(h)
+	if h.Status != Ready || grant.Run || grant.Stop {
 		return grant
 	}
 	timer := time.NewTimer(l.timing.Beat)
@@ -72,7 +81,7 @@
 	for !grant.Run && !grant.Stop {
 		select {
 		case <-changed:
-			grant, changed = l.currentGrant(b.Worker)
+			grant, changed = l.currentGrant()
 		case <-timer.C:
 			return grant
 		case <-ctx.Done():
@@ -82,31 +91,31 @@
 	return grant
 }
 
-func (l *Leader) record(b Heartbeat) (Grant, <-chan struct{}) {
+func (l *Leader) record(h Heartbeat) (Grant, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	old, found := l.members[b.Worker]
-	if !found || b.Token != l.token {
+	old, found := l.members[h.Worker]
+	if !found || h.Token != l.token {
 		return Grant{Stop: true}, l.changed
 	}
-	l.members[b.Worker] = memberState{status: b.Status, progress: b.Progress, at: time.Now()}
-	if l.failed == "" && (b.Status == Failed || b.Status == Stopped) {
-		l.failed = "member " + b.Worker + " " + string(b.Status)
+	l.members[h.Worker] = memberState{status: h.Status, progress: h.Progress, at: time.Now()}
+	if l.failed == "" && (h.Status == Failed || h.Status == Stopped) {
+		l.failed = "member " + h.Worker + " " + string(h.Status)
 	}
-	if old.status != b.Status || old.progress != b.Progress {
+	if old.status != h.Status || old.progress != h.Progress {
 		l.notify()
 	}
 	return l.grant(), l.changed
 }
 
-func (l *Leader) currentGrant(worker string) (Grant, <-chan struct{}) {
+func (l *Leader) currentGrant() (Grant, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.grant(), l.changed
 }
 
-// grant is the same for all members: run only while each of them is known to be well. The
-// caller holds the lock.
+// grant returns the grant for any member. It lets the gang run only while all members are known to
+// be well, and otherwise sets failed. The caller holds the lock.
 func (l *Leader) grant() Grant {
 	if l.failed != "" {
 		return Grant{Stop: true}
@@ -117,15 +126,13 @@
 	now := time.Now()
 	for name, m := range l.members {
 		if m.status == Ready && now.Sub(l.since) > l.timing.Fresh {
-			// Its beats arrive, but perhaps no grant reaches it: the others would run without
-			// it as long as it beats.
+			// Its heartbeats arrive, but grants may not reach it. The others would run without it.
 			l.failed = "member " + name + " did not start in time"
 			l.notify()
 			return Grant{Stop: true}
 		}
 		if m.at.IsZero() || now.Sub(m.at) > l.timing.Fresh {
-			// A member that was silent this long has lapsed or is about to: its gang can't be
-			// whole again.
+			// Its lease is over or about to end, so the gang cannot become complete again.
 			l.failed = "member " + name + " is silent"
 			l.notify()
 			return Grant{Stop: true}
@@ -134,7 +141,7 @@
 	return Grant{Run: true}
 }
 
-// Report returns what the leader knows.
+// Report returns the state of the gang for the entry.
 func (l *Leader) Report() Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/sessions/gang/member.go
+++ b/sessions/gang/member.go
@@ -11,47 +11,47 @@
 	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 )
 
-// Pauses between tries.
+// Pauses between attempts.
 const (
 	prepareRetry = 100 * time.Millisecond
-	// firstRetry and beatRetry bound the pause before a beat is sent again; it doubles. The
-	// first is short, because a member often beats a moment before its leader knows of the
-	// gang.
+	// firstRetry and maxRetry bound the pause before the next heartbeat while no lease is granted;
+	// it doubles each time. The first pause is short, because the first heartbeat often arrives
+	// just before the leader learns of the gang.
 	firstRetry = 10 * time.Millisecond
 	maxRetry   = 200 * time.Millisecond
 	stopRetry  = 300 * time.Millisecond
 )
 
-// finalCheckpointTimeout bounds the checkpoint in front of a stop. The room is wanted back, so it is
-// not tried twice.
+// finalCheckpointTimeout limits the checkpoint before a stop, which is attempted once: another
+// session is waiting for the accelerators.
 const finalCheckpointTimeout = 2 * time.Second
 
-// Link carries beats to the leader.
+// Link sends heartbeats to the leader, which is in the same agent or in another one.
 type Link interface {
-	Heartbeat(ctx context.Context, b Heartbeat) (Grant, error)
+	Heartbeat(ctx context.Context, h Heartbeat) (Grant, error)
 }
 
-// Member is one member of a placement on its own worker.
+// Member runs the part of a placement that is on one worker.
 type Member struct {
 	spec    hosting.TaskSpec
 	link    Link
 	workers hosting.Workers
 	timing  Timing
 
-	// checkpointedAt is when the last checkpoint was begun. Only Run's goroutine uses it; saving says
-	// that one is under way.
+	// checkpointedAt is when the last checkpoint began. Only Run's goroutine uses it.
+	// checkpointing is set while one is in progress.
 	checkpointedAt time.Time
 	checkpointing  atomic.Bool
-	// heldUntil is when the worker's lease on the task ends, by the calls that it has answered.
+	// heldUntil is when the worker's lease on the task ends, as of the last renewal that succeeded.
 	// Only Run's goroutine uses it.
 	heldUntil time.Time
 
-	// stopRequested is closed when the ledger says that the placement stops.
+	// stopRequested is closed when the placement is to stop.
 	stopRequested chan struct{}
 	stopOnce      sync.Once
 
 	// inTrace puts the calls that prepare and start the task into the trace of the session's
-	// creation. Renewals stay out of it: they go on for hours.
+	// creation. Renewals, which go on for hours, stay out of it.
 	inTrace func(context.Context) context.Context
 
 	mu       sync.Mutex
@@ -60,24 +60,37 @@
 	changed  func()
 }
 
-// NewMember returns a member that runs the task described by spec; its Lease is set for each
-// renewal. changed is called after each change of status, and must not block. inTrace returns a
-// context within the trace of the session's creation.
-func NewMember(spec hosting.TaskSpec, link Link, workers hosting.Workers, timing Timing, changed func(), inTrace func(context.Context) context.Context) *Member {
+// NewMember returns a member that runs the task described by spec, whose Lease is ignored. changed
+// is called after each change of status and must not block. inTrace returns a context within the
+// trace of the session's creation.
+func NewMember(
+	spec hosting.TaskSpec,
+	link Link,
+	workers hosting.Workers,
+	timing Timing,
+	changed func(),
+	inTrace func(context.Context) context.Context,
+) *Member {
 	return &Member{
-		spec: spec, link: link, workers: workers, timing: timing,
-		stopRequested: make(chan struct{}), status: Preparing, changed: changed, inTrace: inTrace,
+		spec:          spec,
+		link:          link,
+		workers:       workers,
+		timing:        timing,
+		stopRequested: make(chan struct{}),
+		status:        Preparing,
+		changed:       changed,
+		inTrace:       inTrace,
 	}
 }
 
-// Status returns the member's stage, and the progress that its last checkpoint holds.
+// Status returns the member's stage and the work saved by its last checkpoint.
 func (m *Member) Status() (Status, time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.status, m.progress
 }
 
-// Stop asks the member to checkpoint and stop.
+// Stop asks the member to save a checkpoint and stop. It returns at once.
 func (m *Member) Stop() { m.stopOnce.Do(func() { close(m.stopRequested) }) }
 
 func (m *Member) setStatus(s Status) {
@@ -96,8 +109,8 @@
 	m.mu.Unlock()
 }
 
-// Run takes the member from preparing to stopped. It returns when the worker has confirmed that
-// the task is over, or when ctx ends; in that case the task ends with its lease.
+// Run runs the member from Preparing to Stopped. It returns when the worker has confirmed the end
+// of the task, or when ctx ends; then the task ends with its lease.
 func (m *Member) Run(ctx context.Context) {
 	running, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -112,25 +125,26 @@
 		m.keepRunning(running)
 	}
 	m.setStatus(Failed)
-	told := make(chan struct{})
+	reported := make(chan struct{})
 	go func() {
-		defer close(told)
+		defer close(reported)
 		m.reportFailure(ctx)
 	}()
 	m.stop(ctx)
-	<-told
+	<-reported
 }
 
-// reportFailure says once that this member goes on no more, so that the others need not wait for
-// its silence.
+// reportFailure tells the leader once that this member stops, so that the others need not wait for
+// its heartbeats to become stale.
 func (m *Member) reportFailure(ctx context.Context) {
 	bounded, cancel := context.WithTimeout(ctx, m.timing.Beat)
 	defer cancel()
-	// A beat that is lost does no harm: the leader notices the silence.
+	// If this heartbeat is lost, the leader notices that the previous one is stale.
 	_, _ = m.link.Heartbeat(bounded, Heartbeat{Token: m.spec.Token, Worker: m.spec.Worker, Status: Failed})
 }
 
-// prepare waits until no live task holds one of the accelerators, and reports whether they are.
+// prepare waits until no running task holds one of the accelerators. It reports false if ctx ends
+// first.
 func (m *Member) prepare(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		tasks, err := m.workers.Tasks(m.inTrace(ctx), m.spec.Worker)
@@ -161,7 +175,7 @@
 	return false
 }
 
-// keepRunning beats until the gang stops, the lease lapses, or ctx ends.
+// keepRunning sends heartbeats until the gang stops, the lease ends, or ctx ends.
 func (m *Member) keepRunning(ctx context.Context) {
 	var expires time.Time
 	retry := firstRetry
@@ -187,12 +201,13 @@
 	}
 }
 
-// lapsed reports whether a lease was held and is over.
+// lapsed reports whether a lease was granted and has ended.
 func (m *Member) lapsed(expires time.Time) bool {
 	return !expires.IsZero() && !time.Now().Before(expires)
 }
 
-// sendHeartbeat sends one beat, bounded by the lease, and returns when it was sent.
+// sendHeartbeat sends a heartbeat, which may take as long as the lease lasts, and returns when it
+// was sent.
 func (m *Member) sendHeartbeat(ctx context.Context, expires time.Time) (Grant, time.Time, error) {
 	limit := m.timing.Lease
 	if !expires.IsZero() {
@@ -202,13 +217,17 @@
 	defer cancel()
 	status, progress := m.Status()
 	sent := time.Now()
-	grant, err := m.link.Heartbeat(bounded, Heartbeat{Token: m.spec.Token, Worker: m.spec.Worker, Status: status, Progress: progress})
+	grant, err := m.link.Heartbeat(bounded, Heartbeat{
+		Token:    m.spec.Token,
+		Worker:   m.spec.Worker,
+		Status:   status,
+		Progress: progress,
+	})
 	return grant, sent, err
 }
 
-// startOrRenew starts or renews the task under the lease, and reports whether the member goes on. The
-// lease is checked before each act, because the process may have been paused since the grant
-// came.
+// startOrRenew starts or renews the task and reports whether the member goes on. It checks the lease
+// again, because the process may have been paused since the grant arrived.
 func (m *Member) startOrRenew(ctx context.Context, expires time.Time) bool {
 	left := time.Until(expires)
 	if left <= 0 {
@@ -227,7 +246,8 @@
 	return true
 }
 
-// checkpointIfDue saves the task's work beside the beats, which a slow checkpoint must not hold up.
+// checkpointIfDue starts a checkpoint in a goroutine of its own, so that a slow one does not delay
+// the heartbeats.
 func (m *Member) checkpointIfDue(ctx context.Context) {
 	if time.Since(m.checkpointedAt) < m.timing.Checkpoint || !m.checkpointing.CompareAndSwap(false, true) {
 		return
@@ -243,7 +263,7 @@
 	spec, asked := m.spec, time.Now()
 	spec.Lease = left
 	if err := m.workers.StartTask(m.inTrace(ctx), spec); err != nil {
-		// A lost answer leaves the task running on its short lease; stop ends it for certain.
+		// If only the answer was lost, the task is running. The caller stops it.
 		return false
 	}
 	m.checkpointedAt = time.Now()
@@ -252,10 +272,9 @@
 	return true
 }
 
-// renewTask renews the worker's lease, and reports whether the member goes on. Where the task
-// is over, the worker says whether it finished or lapsed. A failed call is tried again with the
-// next beat, but only while the worker's lease lasts: after that the task has ended, and the
-// gang must not wait for the worker's word to stop the others.
+// renewTask renews the worker's lease on the task and reports whether the member goes on. A failed
+// call is retried with the next heartbeat, but only while the worker's lease lasts. After that the
+// task has ended, and the others must stop even if the worker does not answer.
 func (m *Member) renewTask(ctx context.Context, left time.Duration) bool {
 	asked := time.Now()
 	err := m.workers.RenewTask(ctx, m.spec.Worker, m.spec.Token, left)
@@ -271,11 +290,11 @@
 	return m.leaseHeld()
 }
 
-// leaseHeld reports whether the worker's lease lasts, as far as the member knows.
+// leaseHeld reports whether the last renewal known to have succeeded is still valid.
 func (m *Member) leaseHeld() bool { return time.Now().Before(m.heldUntil) }
 
-// isFinished asks the worker what became of a task that runs no more: true if it has finished,
-// or if there may still be an answer in time.
+// isFinished asks the worker how a task ended that no longer runs. It reports true if the task has
+// finished, or if the worker does not answer and its lease still lasts.
 func (m *Member) isFinished(ctx context.Context) bool {
 	tasks, err := m.workers.Tasks(ctx, m.spec.Worker)
 	if err != nil {
@@ -291,8 +310,8 @@
 	return false
 }
 
-// stop takes a checkpoint, ends the task, and makes sure that none can start later. It tries
-// until the worker confirms.
+// stop saves a checkpoint and ends the task. It retries until the worker confirms that the task has
+// ended and that this token can start no other.
 func (m *Member) stop(ctx context.Context) {
 	m.checkpoint(ctx, finalCheckpointTimeout)
 	for ctx.Err() == nil {
@@ -305,8 +324,8 @@
 	}
 }
 
-// checkpoint saves the task's work if the task still runs. A task that does not is no failure:
-// its lease is over.
+// checkpoint saves the task's work. An error is ignored: the task may have ended, and the previous
+// checkpoint stays valid.
 func (m *Member) checkpoint(ctx context.Context, limit time.Duration) {
 	bounded, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -315,7 +334,7 @@
 	}
 }
 
-// pauseWithin waits, but not past the end of the lease.
+// pauseWithin waits for d, but not beyond the end of the lease.
 func (m *Member) pauseWithin(ctx context.Context, d time.Duration, expires time.Time) {
 	if !expires.IsZero() {
 		d = min(d, time.Until(expires))
