--- a/sessions/agent/agent.go
+++ b/sessions/agent/agent.go
@@ -1,11 +1,22 @@
-// Package agent is the process beside a target. It is the only way to the target: it admits,
-// deduplicates, runs and answers requests. It is also the member, and sometimes the leader, of
-// the gangs on its worker.
+// Package agent implements the process that runs next to a target on each worker. All requests for
+// the target go through it, and it runs the members, and sometimes the leaders, of the gangs on the
+// worker.
+//
+// # State
+//
+// An agent keeps nothing on disk. It owns the queue of its target, the memory of keys, and the gang
+// members on its worker. All of this ends with the process, and the next one is a new incarnation.
+// The configuration and the assignments come from the ledger, by way of an entry.
 //
 // # Goroutines
 //
-// One goroutine owns the gangs (control.go). One polls an entry (poll.go). Traffic runs on the
-// goroutines of net/http and shares only request.Server, which locks for itself.
+// One goroutine owns the gangs (control.go). Another one polls an entry (poll.go). Requests run on
+// the goroutines of net/http and share only request.Server, which does its own locking.
+//
+// # Dependencies
+//
+// The agent needs one reachable entry to join, to learn of changes and to report. Without one it
+// continues with what it has. It calls its target for requests and the platform for tasks.
 //
 // # Usage
 //
@@ -13,7 +24,7 @@
 //	go a.Run(ctx)
 //	http.Serve(listener, a.Handler())
 //	...
-//	a.Leave(ctx) // a planned stop: returns when nothing is in flight
+//	a.Leave(ctx) // returns when nothing is in flight
 package agent
 
 import (
@@ -33,16 +44,16 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// Settings of an agent.
+// Settings configure an agent.
 type Settings struct {
-	// Worker describes the machine; the agent fills Incarnation.
+	// Worker describes the machine and names the incarnation of the agent.
 	Worker ledger.Worker
-	// Entries are the base URLs of the entries to start from.
+	// Entries are the base URLs of the first entries to try.
 	Entries []string
 	Timing  gang.Timing
 }
 
-// Validate returns a *fault.Field for the first setting that is wrong.
+// Validate returns a *fault.Field for the first invalid setting.
 func (s Settings) Validate() error {
 	if err := s.Worker.Validate(); err != nil {
 		return err
@@ -53,33 +64,32 @@
 	return s.Timing.Validate()
 }
 
-// Parts are what an agent works with.
+// Parts are the dependencies of an agent.
 type Parts struct {
 	Target    request.Target
 	Platform  hosting.Workers
 	Client    *http.Client
 	Telemetry *telemetry.Telemetry
-	// Random returns a number from 0 to n-1. It spreads retries over time.
+	// Random returns a number from 0 to n-1. It is used for the jitter of retries.
 	Random func(n int) int
 }
 
-// Agent is one agent.
+// Agent is the agent of one worker.
 type Agent struct {
 	settings  Settings
 	parts     Parts
 	admission *request.Admission
 	server    *request.Server
-	// config is what is in force here; the poll goroutine replaces it.
+	// config is replaced by the poll goroutine only.
 	config atomic.Pointer[config]
-	// gangs is what the control goroutine last published.
+	// gangs is published by the control goroutine.
 	gangs       atomic.Pointer[gangs]
 	views       chan membership.View
 	wakeControl chan struct{}
 	wakePoll    chan struct{}
 	leaving     atomic.Bool
 	joined      atomic.Int64
-	// lastView is when an entry last answered a poll, in nanoseconds since 1970, for the status
-	// page.
+	// lastView is when an entry last answered a poll, in ns since 1970, for the status page.
 	lastView atomic.Int64
 	entries  *entryList
 }
@@ -87,9 +97,12 @@
 // New returns an agent that does nothing until Run. The settings must be valid.
 func New(s Settings, p Parts) *Agent {
 	a := &Agent{
-		settings: s, parts: p,
-		views: make(chan membership.View), wakeControl: make(chan struct{}, 1), wakePoll: make(chan struct{}, 1),
-		entries: newEntryList(s.Worker, s.Entries),
+		settings:    s,
+		parts:       p,
+		views:       make(chan membership.View),
+		wakeControl: make(chan struct{}, 1),
+		wakePoll:    make(chan struct{}, 1),
+		entries:     newEntryList(s.Worker, s.Entries),
 	}
 	a.config.Store(newConfig())
 	a.gangs.Store(&gangs{})
@@ -98,10 +111,10 @@
 	return a
 }
 
-// share is a team's weight at this target. A team that is not known counts least.
+// share returns a team's weight at this target.
 func (a *Agent) share(team string) int { return a.config.Load().share(team) }
 
-// Run polls and keeps the gangs until ctx ends.
+// Run polls an entry and runs the gangs until ctx ends.
 func (a *Agent) Run(ctx context.Context) {
 	var wg conc.WaitGroup
 	wg.Go(func() { a.poll(ctx) })
@@ -109,11 +122,12 @@
 	wg.Wait()
 }
 
-// leavePoll is how often Leave looks whether the gangs are gone.
+// leavePoll is how often Leave checks whether all gangs have left the worker.
 const leavePoll = 50 * time.Millisecond
 
-// Leave is a planned stop: no new work is taken, and it returns when all requests in flight
-// have been answered and all gangs have been moved away, or when ctx ends.
+// Leave drains the agent for a planned stop. The agent takes no new work, and Leave returns when all
+// requests in flight have been answered and no gang is left on the worker. Its error means that ctx
+// ended first.
 func (a *Agent) Leave(ctx context.Context) error {
 	a.leaving.Store(true)
 	a.admission.Leave()
@@ -134,8 +148,8 @@
 	return nil
 }
 
-// notifyEntries says to every known entry that the agent is leaving. The poll says it too, but to
-// one entry only.
+// notifyEntries tells all known entries that the agent is leaving. The poll reports it to one entry
+// only.
 func (a *Agent) notifyEntries(ctx context.Context) {
 	var wg conc.WaitGroup
 	for _, e := range a.entries.known() {
@@ -144,5 +158,5 @@
 	wg.Wait()
 }
 
-// ConfigRevision returns the revision of the configuration in force at the agent.
+// ConfigRevision returns the revision of the configuration that the agent applies.
 func (a *Agent) ConfigRevision() int64 { return a.config.Load().revision }
--- a/sessions/agent/config.go
+++ b/sessions/agent/config.go
@@ -9,7 +9,7 @@
 	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
-// config is the configuration in force at an agent. It is immutable.
+// config is the configuration an agent applies. It is immutable.
 type config struct {
 	revision int64
 	limits   ledger.Limits
@@ -20,11 +20,11 @@
 	return &config{limits: ledger.DefaultLimits(), shares: make(map[string]int)}
 }
 
-// share is a team's weight. One that is not known counts as 1, the least there is.
+// share returns a team's weight. An unknown team has the smallest weight, 1.
 func (c *config) share(team string) int { return max(1, c.shares[team]) }
 
-// with returns the configuration after a view. A view that is older than the configuration
-// changes nothing, so that what is in force never reverts.
+// with returns the configuration after a view. Views that are not newer change nothing, so the
+// configuration never goes back.
 func (c *config) with(v membership.View) *config {
 	if v.ConfigRevision <= c.revision {
 		return c
@@ -36,8 +36,8 @@
 	return next
 }
 
-// apply reads one value. The ledger has validated it; what this version can't read keeps its
-// earlier value.
+// apply sets one value. The ledger has validated it; a value that this version cannot read leaves
+// the earlier one in force.
 func (c *config) apply(item membership.ConfigItem) {
 	switch {
 	case item.Key == ledger.LimitsKey:
--- a/sessions/agent/control.go
+++ b/sessions/agent/control.go
@@ -15,19 +15,18 @@
 	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
-// gangs is what the agent has to do with gangs, as the control goroutine published it. It is
-// immutable.
+// gangs holds the members and leaders on this worker by token. It is immutable.
 type gangs struct {
 	members map[int64]*gang.Member
 	leaders map[int64]*gang.Leader
-	// assigned has the tokens that the newest view assigns to this worker.
+	// assigned has the tokens of the assignments in the newest view.
 	assigned map[int64]bool
 }
 
-// empty reports whether the worker has no assignment left.
+// empty reports whether the worker has no assignments.
 func (g *gangs) empty() bool { return len(g.assigned) == 0 }
 
-// reports returns what the leaders know, and which listed members have stopped.
+// reports returns the reports of the leaders and the assigned members that have stopped.
 func (g *gangs) reports() ([]gang.Report, []membership.Stopped) {
 	var list []gang.Report
 	for _, l := range g.leaders {
@@ -42,8 +41,8 @@
 	return list, stopped
 }
 
-// control owns the members and leaders. It takes in views, and lets the poll go again when
-// something has changed.
+// control owns the members and leaders. It applies views, and restarts the poll when there is
+// something new to report.
 func (a *Agent) control(ctx context.Context) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
@@ -61,8 +60,8 @@
 	}
 }
 
-// reconcile returns the gangs after a view: it starts members for new assignments and stops
-// those that are to stop or are listed no more.
+// reconcile starts members for the new assignments of a view, stops those that are to stop or no
+// longer assigned, and returns the resulting gangs.
 func (a *Agent) reconcile(ctx context.Context, wg *conc.WaitGroup, old *gangs, v membership.View) *gangs {
 	g := &gangs{members: map[int64]*gang.Member{}, leaders: map[int64]*gang.Leader{}, assigned: map[int64]bool{}}
 	for _, as := range v.Assignments {
@@ -73,8 +72,8 @@
 		}
 		g.members[as.Token] = m
 		if as.Phase == ledger.Stopping || as.Token < a.joined.Load() {
-			// A token from before this incarnation joined belongs to a member that is lost; its
-			// task must end.
+			// A token from before this incarnation joined belongs to a member that was lost with
+			// the previous one. Its task must end.
 			m.Stop()
 		}
 		if l := a.leader(ctx, wg, old, as); l != nil {
@@ -91,17 +90,22 @@
 
 func (a *Agent) newMember(ctx context.Context, wg *conc.WaitGroup, as membership.Assignment) *gang.Member {
 	spec := hosting.TaskSpec{
-		Worker: a.settings.Worker.Name, Session: as.Session, Token: as.Token,
-		Accelerators: as.Accelerators, Work: as.Work, Checkpoint: as.Checkpoint,
+		Worker:       a.settings.Worker.Name,
+		Session:      as.Session,
+		Token:        as.Token,
+		Accelerators: as.Accelerators,
+		Work:         as.Work,
+		Checkpoint:   as.Checkpoint,
 	}
 	inTrace := func(ctx context.Context) context.Context { return a.parts.Telemetry.WithTrace(ctx, as.Trace) }
 	m := gang.NewMember(spec, a.link(as), a.parts.Platform, a.settings.Timing, a.notifyControl, inTrace)
-	a.parts.Telemetry.Log.Info().Str("step", "gang.assigned").Str("session", as.Session).Int64("token", as.Token).Msg("member prepares")
+	a.parts.Telemetry.Log.Info().Str("step", "gang.assigned").Str("session", as.Session).
+		Int64("token", as.Token).Msg("member prepares")
 	wg.Go(func() { m.Run(ctx) })
 	return m
 }
 
-// leader returns the leader of the assignment if this worker leads it, and tells it when the
+// leader returns the leader of the gang if this worker leads it, or nil. It tells the leader when the
 // gang runs.
 func (a *Agent) leader(ctx context.Context, wg *conc.WaitGroup, old *gangs, as membership.Assignment) *gang.Leader {
 	if len(as.Members) == 0 || as.Members[0].Worker != a.settings.Worker.Name || as.Token < a.joined.Load() {
@@ -122,11 +126,11 @@
 	return l
 }
 
-// watchLeader lets the poll go again whenever the leader's report may have changed.
+// watchLeader wakes the control goroutine whenever the leader's report may have changed.
 func (a *Agent) watchLeader(ctx context.Context, l *gang.Leader) {
 	for ctx.Err() == nil {
 		changed := l.Changed()
-		// Signal after taking the channel: a change in between is then seen by whoever looks.
+		// Notify after taking the channel, so that no change in between is missed.
 		a.notifyControl()
 		select {
 		case <-changed:
@@ -138,7 +142,7 @@
 func (a *Agent) notifyControl() { signal(a.wakeControl) }
 func (a *Agent) notifyPoll()    { signal(a.wakePoll) }
 
-// signal makes sure that the receiver looks again. Any number of signals are collapsed into one.
+// signal wakes the receiver of a channel of capacity 1. Signals that are not yet received are merged.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -146,31 +150,31 @@
 	}
 }
 
-// errNoLeader says that the leader's agent does not know of the gang, yet or any more.
+// errNoLeader means that the leader's agent does not know the gang, either not yet or no longer.
 var errNoLeader = errors.New("the leader does not know the gang")
 
-// localLink reaches a leader in this agent.
+// localLink sends heartbeats to a leader in this agent.
 type localLink struct{ agent *Agent }
 
 // Heartbeat implements gang.Link.
-func (l localLink) Heartbeat(ctx context.Context, b gang.Heartbeat) (gang.Grant, error) {
-	leader, found := l.agent.gangs.Load().leaders[b.Token]
+func (l localLink) Heartbeat(ctx context.Context, h gang.Heartbeat) (gang.Grant, error) {
+	leader, found := l.agent.gangs.Load().leaders[h.Token]
 	if !found {
 		return gang.Grant{}, errNoLeader
 	}
-	return leader.Heartbeat(ctx, b), nil
+	return leader.Heartbeat(ctx, h), nil
 }
 
-// remoteLink reaches a leader in another agent.
+// remoteLink sends heartbeats to a leader in another agent.
 type remoteLink struct {
 	client  *http.Client
 	address string
 }
 
 // Heartbeat implements gang.Link.
-func (l remoteLink) Heartbeat(ctx context.Context, b gang.Heartbeat) (gang.Grant, error) {
+func (l remoteLink) Heartbeat(ctx context.Context, h gang.Heartbeat) (gang.Grant, error) {
 	var grant gang.Grant
-	err := jsonhttp.Call(ctx, l.client, "gang.Beat", http.MethodPost, l.address, "/internal/beat", b, &grant)
+	err := jsonhttp.Call(ctx, l.client, "gang.Beat", http.MethodPost, l.address, "/internal/beat", h, &grant)
 	return grant, err
 }
 
@@ -181,7 +185,7 @@
 	return remoteLink{client: a.parts.Client, address: as.Members[0].Address}
 }
 
-// sinceView is the time since an entry last answered a poll.
+// sinceView returns the time since an entry last answered a poll.
 func (a *Agent) sinceView() time.Duration {
 	return time.Since(time.Unix(0, a.lastView.Load()))
 }
--- a/sessions/agent/entries.go
+++ b/sessions/agent/entries.go
@@ -10,39 +10,39 @@
 	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
-// Settings of an entryList.
+// How long an entry is avoided after a failure, while another one answers.
 const (
-	// silentAvoidance is how long an entry that said nothing is left aside while another one
-	// answers: to find out again takes 6 s. After that the agent returns to it if it comes
-	// first, so that agents spread over the entries again.
+	// silentAvoidance applies to an entry that did not respond, because every further attempt
+	// costs membership.PollIdle.
 	silentAvoidance = 30 * time.Second
-	// failedAvoidance is the same for one that can be tried at no cost: it refused, reset or broke off.
+	// failedAvoidance applies to an entry that refused or broke the connection, which an attempt
+	// finds out at once.
 	failedAvoidance = 2 * time.Second
 )
 
-// entryList knows the entries and which of them failed lately. It is safe for concurrent use.
+// entryList holds the known entries and which of them failed recently. It is safe for concurrent
+// use.
 type entryList struct {
 	worker   ledger.Worker
 	settings []string
 
 	mu sync.Mutex
-	// order has those that the newest view names, in this agent's order, and then the others of
-	// the settings.
+	// order lists the entries of the newest view in this agent's order of preference, followed by
+	// the others of the settings.
 	order []membership.EntryInfo
-	// avoidedUntil has until when an entry that failed is left aside.
+	// avoidedUntil is when each entry that failed may be chosen again, by address.
 	avoidedUntil map[string]time.Time
 }
 
-// newEntryList returns a list of the entries of the settings.
+// newEntryList returns a list with the entries of the settings.
 func newEntryList(worker ledger.Worker, settings []string) *entryList {
 	l := &entryList{worker: worker, settings: settings, avoidedUntil: make(map[string]time.Time)}
 	l.set(nil)
 	return l
 }
 
-// set takes the entries that a view names. Those of the settings stay known as well: a view
-// names only entries that were alive for the one that made it, and if that one is lost next,
-// the agent would know no other.
+// set replaces the entries that come from a view. Those of the settings stay in the list: a view
+// has only the entries that its sender considers alive, which may be none but itself.
 func (l *entryList) set(named []membership.EntryInfo) {
 	var others []membership.EntryInfo
 	for _, address := range l.settings {
@@ -60,16 +60,15 @@
 	return membership.EntryOrder(l.worker.Name, l.worker.Region, l.worker.Zone, entries)
 }
 
-// known returns the known entries.
+// known returns all entries.
 func (l *entryList) known() []membership.EntryInfo {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.order
 }
 
-// choose returns the address of the entry to ask: the first that does not rest, or if all do,
-// the one that has rested enough the soonest. It goes by addresses and not by places in the
-// order, because each view may change the order.
+// choose returns the address of the entry to poll: the first that is not avoided or, if all are,
+// the one whose avoidance ends first.
 func (l *entryList) choose() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,13 +85,13 @@
 	return soonest
 }
 
-// fail leaves an entry aside that did not answer, or answered that it can't serve.
+// fail records that an entry did not answer, or could not serve the agent.
 func (l *entryList) fail(address string, err error) {
-	rest := failedAvoidance
+	avoidance := failedAvoidance
 	if jsonhttp.IsSilent(err) {
-		rest = silentAvoidance
+		avoidance = silentAvoidance
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.avoidedUntil[address] = time.Now().Add(rest)
+	l.avoidedUntil[address] = time.Now().Add(avoidance)
 }
--- a/sessions/agent/handler.go
+++ b/sessions/agent/handler.go
@@ -11,8 +11,7 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// Handler serves the agent's interface: requests from entries, beats from gang members, and its
-// own state.
+// Handler serves requests from entries, heartbeats from gang members, and the agent's status.
 func (a *Agent) Handler() http.Handler {
 	r := httprouter.New()
 	r.POST("/internal/requests", a.serveRequest)
@@ -40,17 +39,17 @@
 }
 
 func (a *Agent) serveHeartbeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	var b gang.Heartbeat
-	if err := jsonhttp.Read(w, r, &b); err != nil {
+	var h gang.Heartbeat
+	if err := jsonhttp.Read(w, r, &h); err != nil {
 		jsonhttp.WriteError(w, err)
 		return
 	}
-	leader, found := a.gangs.Load().leaders[b.Token]
+	leader, found := a.gangs.Load().leaders[h.Token]
 	if !found {
 		jsonhttp.WriteError(w, &jsonhttp.StatusError{Status: http.StatusNotFound, Message: errNoLeader.Error()})
 		return
 	}
-	jsonhttp.Write(w, http.StatusOK, leader.Heartbeat(r.Context(), b))
+	jsonhttp.Write(w, http.StatusOK, leader.Heartbeat(r.Context(), h))
 }
 
 func (a *Agent) serveReady(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
@@ -65,8 +64,12 @@
 func (a *Agent) serveStatus(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	running, waiting := a.admission.Load()
 	jsonhttp.Write(w, http.StatusOK, membership.AgentStatus{
-		Worker: a.settings.Worker.Name, Incarnation: a.settings.Worker.Incarnation,
-		ConfigRevision: a.config.Load().revision, Leaving: a.leaving.Load(),
-		SinceViewMillis: a.sinceView().Milliseconds(), Running: running, Waiting: waiting,
+		Worker:          a.settings.Worker.Name,
+		Incarnation:     a.settings.Worker.Incarnation,
+		ConfigRevision:  a.config.Load().revision,
+		Leaving:         a.leaving.Load(),
+		SinceViewMillis: a.sinceView().Milliseconds(),
+		Running:         running,
+		Waiting:         waiting,
 	})
 }
--- a/sessions/agent/poll.go
+++ b/sessions/agent/poll.go
@@ -10,14 +10,14 @@
 	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
-// Settings of the poll.
+// Timeouts and pauses of the poll goroutine.
 const (
-	// pollTimeout is how long the whole answer to a poll may take; an entry holds it for
-	// membership.PollWait.
+	// pollTimeout limits a whole poll, which an entry holds open for up to membership.PollWait.
 	pollTimeout    = membership.PollWait + membership.PollIdle
 	joinTimeout    = 10 * time.Second
 	leavingTimeout = 2 * time.Second
-	// firstBackoff and maxBackoff bound the pause after failures; it doubles, with full jitter.
+	// firstBackoff and maxBackoff bound the pause after a failure. It doubles with each failure and
+	// has full jitter.
 	firstBackoff = 100 * time.Millisecond
 	maxBackoff   = 2 * time.Second
 )
@@ -25,14 +25,14 @@
 // poller is the state of the poll goroutine.
 type poller struct {
 	agent *Agent
-	// entry is the address of the entry asked last.
+	// entry is the address of the entry polled last.
 	entry   string
 	backoff time.Duration
-	// revision is that of the newest view.
+	// revision is the revision of the newest view.
 	revision int64
 }
 
-// poll joins and then keeps one poll open until ctx ends.
+// poll joins through an entry and then keeps one poll open until ctx ends.
 func (a *Agent) poll(ctx context.Context) {
 	p := &poller{agent: a}
 	for ctx.Err() == nil {
@@ -49,7 +49,8 @@
 	}
 }
 
-// handleResult goes on at once after a good answer, and with another entry and a pause after a failure.
+// handleResult resets the back-off after a success. After a failure it records that the entry failed
+// and pauses.
 func (p *poller) handleResult(ctx context.Context, err error) {
 	if err == nil {
 		p.backoff = 0
@@ -72,7 +73,8 @@
 	defer cancel()
 	var answer membership.JoinAnswer
 	a := p.agent
-	err := jsonhttp.Call(ctx, a.parts.Client, "agent.join", http.MethodPost, p.entry, "/internal/join", a.settings.Worker, &answer)
+	worker := a.settings.Worker
+	err := jsonhttp.Call(ctx, a.parts.Client, "agent.join", http.MethodPost, p.entry, "/internal/join", worker, &answer)
 	if err != nil {
 		return err
 	}
@@ -81,7 +83,8 @@
 	return nil
 }
 
-// pollOnce holds one poll until it is answered, or until the agent has something new to say.
+// pollOnce sends one poll. It returns when the poll is answered, or when the agent has something new
+// to report and abandons the poll.
 func (p *poller) pollOnce(ctx context.Context) error {
 	a := p.agent
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
@@ -89,9 +92,13 @@
 	clearSignal(a.wakePoll)
 	reports, stopped := a.gangs.Load().reports()
 	in := membership.PollRequest{
-		Worker: a.settings.Worker.Name, Incarnation: a.settings.Worker.Incarnation,
-		Revision: p.revision, ConfigRevision: a.config.Load().revision,
-		Leaving: a.leaving.Load(), Gangs: reports, Stopped: stopped,
+		Worker:         a.settings.Worker.Name,
+		Incarnation:    a.settings.Worker.Incarnation,
+		Revision:       p.revision,
+		ConfigRevision: a.config.Load().revision,
+		Leaving:        a.leaving.Load(),
+		Gangs:          reports,
+		Stopped:        stopped,
 	}
 	done := make(chan struct{})
 	defer close(done)
@@ -105,7 +112,10 @@
 		}
 	}()
 	var v membership.View
-	err := jsonhttp.CallIdle(ctx, a.parts.Client, membership.PollIdle, "agent.poll", http.MethodPost, p.entry, "/internal/poll", in, &v)
+	err := jsonhttp.CallIdle(
+		ctx, a.parts.Client, membership.PollIdle,
+		"agent.poll", http.MethodPost, p.entry, "/internal/poll", in, &v,
+	)
 	if err != nil {
 		select {
 		case <-interrupted:
@@ -118,8 +128,8 @@
 	return nil
 }
 
-// failed handles a poll that was refused: an entry that does not know the agent wants it to
-// join again.
+// failed handles a failed poll. An entry that does not know the agent answers that it is gone, and
+// the agent joins again.
 func (p *poller) failed(err error) error {
 	var status *jsonhttp.StatusError
 	if errors.As(err, &status) && status.Status == http.StatusGone {
@@ -128,7 +138,7 @@
 	return err
 }
 
-// apply puts a view into force, unless it is older than what is in force.
+// apply applies the parts of a view that are newer than what the agent has.
 func (p *poller) apply(ctx context.Context, v membership.View) {
 	a := p.agent
 	a.lastView.Store(time.Now().UnixNano())
@@ -143,7 +153,7 @@
 	select {
 	case a.views <- v:
 	case <-ctx.Done():
-		// The view was not handed over, so the next poll has to bring it again.
+		// The control goroutine did not receive the view, so the next poll must return it again.
 		p.revision = 0
 	}
 }
@@ -155,7 +165,8 @@
 	}
 }
 
-// notifyLeaving tells one entry that the agent takes no new work. A failure is left to the poll.
+// notifyLeaving tells one entry that the agent takes no new work. It does not retry, because the
+// poll reports it too.
 func (a *Agent) notifyLeaving(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, leavingTimeout)
 	defer cancel()
