--- a/sessions/entry/control.go
+++ b/sessions/entry/control.go
@@ -2,16 +2,11 @@
 
 import (
 	"context"
-	"encoding/json"
 	"maps"
-	"reflect"
-	"strings"
-	"sync"
 	"time"
 
 	"yarrowgrade.example/yarrowgrade/sessions/ledger"
 	"yarrowgrade.example/yarrowgrade/sessions/membership"
-	"yarrowgrade.example/yarrowgrade/sessions/policy"
 )
 
 // Settings of the control goroutine.
@@ -33,47 +28,6 @@
 	decidePeriod = 5 * time.Second
 )
 
-// agentReport is what an agent last said in a poll.
-type agentReport struct {
-	membership.PollRequest
-	at time.Time
-}
-
-// agentTable has what each agent last said. The control goroutine writes it; the status page
-// reads it.
-type agentTable struct {
-	mu     sync.Mutex
-	agents map[string]agentReport
-}
-
-// set takes in a poll and reports whether it says anything new.
-func (t *agentTable) set(p membership.PollRequest) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	old, found := t.agents[p.Worker]
-	t.agents[p.Worker] = agentReport{PollRequest: p, at: time.Now()}
-	// The revisions that an agent has are for the status page and make no work.
-	p.Revision, p.ConfigRevision = old.Revision, old.ConfigRevision
-	return !found || !reflect.DeepEqual(p, old.PollRequest)
-}
-
-func (t *agentTable) forget(worker string) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	delete(t.agents, worker)
-}
-
-// list returns the agents in no order.
-func (t *agentTable) list() []agentReport {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	list := make([]agentReport, 0, len(t.agents))
-	for _, a := range t.agents {
-		list = append(list, a)
-	}
-	return list
-}
-
 // control is the state of the control goroutine.
 type control struct {
 	entry *Entry
@@ -175,34 +129,6 @@
 	}
 }
 
-// compilePolicies publishes the set of the newest configuration.
-func (c *control) compilePolicies() {
-	e := c.entry
-	state := e.replica.State()
-	if e.policies.Load().revision == state.ConfigRevision() {
-		return
-	}
-	var list []policy.Policy
-	for _, entry := range state.Config() {
-		if !strings.HasPrefix(entry.Key, ledger.PolicyPrefix) {
-			continue
-		}
-		var p policy.Policy
-		// The ledger validated the value. What can't be read here is kept as a policy that
-		// fails to the safe side.
-		if err := json.Unmarshal(entry.Value, &p); err != nil {
-			p.Name = strings.TrimPrefix(entry.Key, ledger.PolicyPrefix)
-		}
-		list = append(list, p)
-	}
-	e.policies.Store(&policies{revision: state.ConfigRevision(), set: policy.NewSet(list, e.policyFailed)})
-}
-
-func (e *Entry) policyFailed(name string, err error) {
-	e.parts.Telemetry.Metrics.Counter("policy_failures").Inc(1)
-	e.parts.Telemetry.Log.Error().Str("step", "policy.run").Str("policy", name).Err(err).Msg("policy fails to the safe side")
-}
-
 func (c *control) takePoll(p membership.PollRequest) {
 	c.dirty = c.entry.agents.set(p) || c.dirty
 }
--- a/sessions/entry/entry.go
+++ b/sessions/entry/entry.go
@@ -120,12 +120,6 @@
 	began time.Time
 }
 
-// policies is the compiled set of a configuration.
-type policies struct {
-	revision int64
-	set      *policy.Set
-}
-
 // logHealth is what the last reads of the log said.
 type logHealth struct {
 	reachable bool
@@ -222,37 +216,5 @@
 	}
 }
 
-// saveIfDue writes a snapshot when enough records or time have passed since the last one. The
-// preferred entry does it; the others step in when it is overdue by half as much again for each
-// place that they stand behind.
-func (e *Entry) saveIfDue(ctx context.Context) {
-	if !e.ready.Load() {
-		return
-	}
-	state := e.replica.State()
-	revision, at := state.Saved()
-	patience := 1 + float64(e.peers.rank())/2
-	records := float64(state.Revision() - revision)
-	age := time.Since(e.began)
-	if at != 0 {
-		age = ledger.Age(at, time.Now())
-	}
-	due := records >= patience*float64(e.settings.SnapshotRecords) || (records > 0 && float64(age) >= patience*float64(e.settings.SnapshotAge))
-	if !due || state.Revision() == 0 {
-		return
-	}
-	bounded, cancel := context.WithTimeout(ctx, snapshotTimeout)
-	defer cancel()
-	if err := ledger.WriteSnapshot(bounded, e.parts.Platform, e.settings.Name, state); err != nil {
-		e.parts.Telemetry.Log.Warn().Str("step", "entry.snapshot").Err(err).Msg("snapshot not written")
-		return
-	}
-	_, err := e.proposer.Propose(bounded, ledger.Record{Saved: &ledger.Saved{Revision: state.Revision()}})
-	e.parts.Telemetry.Log.Info().Str("step", "entry.snapshot").Int64("revision", state.Revision()).Err(err).Msg("snapshot written")
-}
-
-// snapshotTimeout bounds the writing of one snapshot.
-const snapshotTimeout = 20 * time.Second
-
 // State returns the newest state of the ledger that the entry has folded in.
 func (e *Entry) State() ledger.State { return e.replica.State() }
--- /dev/null
+++ b/sessions/entry/policies.go
@@ -0,0 +1,43 @@
+package entry
+
+import (
+	"encoding/json"
+	"strings"
+
+	"yarrowgrade.example/yarrowgrade/sessions/ledger"
+	"yarrowgrade.example/yarrowgrade/sessions/policy"
+)
+
+// policies is the compiled set of a configuration.
+type policies struct {
+	revision int64
+	set      *policy.Set
+}
+
+// compilePolicies publishes the set of the newest configuration.
+func (c *control) compilePolicies() {
+	e := c.entry
+	state := e.replica.State()
+	if e.policies.Load().revision == state.ConfigRevision() {
+		return
+	}
+	var list []policy.Policy
+	for _, entry := range state.Config() {
+		if !strings.HasPrefix(entry.Key, ledger.PolicyPrefix) {
+			continue
+		}
+		var p policy.Policy
+		// The ledger validated the value. What can't be read here is kept as a policy that
+		// fails to the safe side.
+		if err := json.Unmarshal(entry.Value, &p); err != nil {
+			p.Name = strings.TrimPrefix(entry.Key, ledger.PolicyPrefix)
+		}
+		list = append(list, p)
+	}
+	e.policies.Store(&policies{revision: state.ConfigRevision(), set: policy.NewSet(list, e.policyFailed)})
+}
+
+func (e *Entry) policyFailed(name string, err error) {
+	e.parts.Telemetry.Metrics.Counter("policy_failures").Inc(1)
+	e.parts.Telemetry.Log.Error().Str("step", "policy.run").Str("policy", name).Err(err).Msg("policy fails to the safe side")
+}
