--- a/sessions/agent/handler.go
+++ b/sessions/agent/handler.go
@@ -11,12 +11,11 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// Handler serves the agent's interface: requests from entries, beats from gang members, and its
-// own state.
+// Handler serves requests from entries, heartbeats from gang members, and the agent's status.
 func (a *Agent) Handler() http.Handler {
 	r := httprouter.New()
 	r.POST("/internal/requests", a.serveRequest)
-	r.POST("/internal/beat", a.serveBeat)
+	r.POST("/internal/beat", a.serveHeartbeat)
 	r.GET("/status", a.serveStatus)
 	r.GET("/health", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		jsonhttp.Write(w, http.StatusOK, membership.Health{Healthy: true})
@@ -39,18 +38,18 @@
 	jsonhttp.Write(w, http.StatusOK, answer)
 }
 
-func (a *Agent) serveBeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	var b gang.Beat
-	if err := jsonhttp.Read(w, r, &b); err != nil {
+func (a *Agent) serveHeartbeat(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+	var h gang.Heartbeat
+	if err := jsonhttp.Read(w, r, &h); err != nil {
 		jsonhttp.WriteError(w, err)
 		return
 	}
-	leader, found := a.gangs.Load().leaders[b.Token]
+	leader, found := a.gangs.Load().leaders[h.Token]
 	if !found {
 		jsonhttp.WriteError(w, &jsonhttp.StatusError{Status: http.StatusNotFound, Message: errNoLeader.Error()})
 		return
 	}
-	jsonhttp.Write(w, http.StatusOK, leader.Beat(r.Context(), b))
+	jsonhttp.Write(w, http.StatusOK, leader.Heartbeat(r.Context(), h))
 }
 
 func (a *Agent) serveReady(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
@@ -65,8 +64,12 @@
 func (a *Agent) serveStatus(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	running, waiting := a.admission.Load()
 	jsonhttp.Write(w, http.StatusOK, membership.AgentStatus{
-		Worker: a.settings.Worker.Name, Incarnation: a.settings.Worker.Incarnation,
-		ConfigRevision: a.config.Load().revision, Leaving: a.leaving.Load(),
-		SinceViewMillis: a.sinceView().Milliseconds(), Running: running, Waiting: waiting,
+		Worker:          a.settings.Worker.Name,
+		Incarnation:     a.settings.Worker.Incarnation,
+		ConfigRevision:  a.config.Load().revision,
+		Leaving:         a.leaving.Load(),
+		SinceViewMillis: a.sinceView().Milliseconds(),
+		Running:         running,
+		Waiting:         waiting,
 	})
 }
--- a/sessions/entry/entry.go
+++ b/sessions/entry/entry.go
@@ -120,17 +120,11 @@
 	began time.Time
 }
 
-// policies is the compiled set of a configuration.
-type policies struct {
-	revision int64
-	set      *policy.Set
-}
-
 // logHealth is what the last reads of the log said.
 type logHealth struct {
 	reachable bool
-	// good is when a read last succeeded.
-	good time.Time
+	// lastRead is when a read last succeeded.
+	lastRead time.Time
 }
 
 // New returns an entry that does nothing until Run. The settings must be valid.
@@ -140,14 +134,14 @@
 		settings: s, parts: p, replica: replica,
 		proposer: ledger.NewProposer(p.Platform, replica),
 		polls:    make(chan membership.PollRequest), began: time.Now(),
-		agents: &agentTable{agents: make(map[string]heardAgent)},
+		agents: &agentTable{agents: make(map[string]agentReport)},
 	}
 	e.staying, e.leave = context.WithCancel(context.Background())
 	e.polling.Store(e.newPollTerm())
 	e.peers = newPeers(s, p)
 	e.router = newRouter(e)
 	e.policies.Store(&policies{set: policy.NewSet(nil, nil)})
-	e.log.Store(&logHealth{good: time.Now()})
+	e.log.Store(&logHealth{lastRead: time.Now()})
 	return e
 }
 
@@ -165,14 +159,14 @@
 	var wg conc.WaitGroup
 	wg.Go(func() { ledger.NewFollower(e.parts.Platform, e.peers).Run(ctx, updates) })
 	wg.Go(func() { newControl(e).run(ctx, updates, gone) })
-	wg.Go(func() { every(ctx, pingPeriod, e.lookAround) })
-	wg.Go(func() { every(ctx, gonePeriod, func(ctx context.Context) { e.askGone(ctx, gone) }) })
+	wg.Go(func() { every(ctx, pingPeriod, e.checkPeers) })
+	wg.Go(func() { every(ctx, gonePeriod, func(ctx context.Context) { e.refreshGone(ctx, gone) }) })
 	wg.Go(func() { every(ctx, snapshotPeriod, e.saveIfDue) })
 	wg.Wait()
 }
 
-// lookAround learns which entries are alive, and steps back if this one is worse off than they.
-func (e *Entry) lookAround(ctx context.Context) {
+// checkPeers learns which entries are alive, and steps back if this one is worse off than they.
+func (e *Entry) checkPeers(ctx context.Context) {
 	e.peers.ping(ctx)
 	e.stepBackIfCut()
 }
@@ -207,8 +201,8 @@
 	snapshotPeriod = time.Second
 )
 
-// askGone hands the platform's word on lost workers to the control goroutine.
-func (e *Entry) askGone(ctx context.Context, out chan<- []string) {
+// refreshGone hands the platform's word on lost workers to the control goroutine.
+func (e *Entry) refreshGone(ctx context.Context, out chan<- []string) {
 	bounded, cancel := context.WithTimeout(ctx, gonePeriod)
 	defer cancel()
 	names, err := e.parts.Platform.GoneWorkers(bounded)
@@ -222,37 +216,5 @@
 	}
 }
 
-// saveIfDue writes a snapshot when enough records or time have passed since the last one. The
-// preferred entry does it; the others step in when it is overdue by half as much again for each
-// place that they stand behind.
-func (e *Entry) saveIfDue(ctx context.Context) {
-	if !e.ready.Load() {
-		return
-	}
-	state := e.replica.State()
-	revision, at := state.Saved()
-	patience := 1 + float64(e.peers.rank())/2
-	records := float64(state.Revision() - revision)
-	age := time.Since(e.began)
-	if at != 0 {
-		age = ledger.Age(at, time.Now())
-	}
-	due := records >= patience*float64(e.settings.SnapshotRecords) || (records > 0 && float64(age) >= patience*float64(e.settings.SnapshotAge))
-	if !due || state.Revision() == 0 {
-		return
-	}
-	bounded, cancel := context.WithTimeout(ctx, snapshotTimeout)
-	defer cancel()
-	if err := ledger.WriteSnapshot(bounded, e.parts.Platform, e.settings.Name, state); err != nil {
-		e.parts.Telemetry.Log.Warn().Str("step", "entry.snapshot").Err(err).Msg("snapshot not written")
-		return
-	}
-	_, err := e.proposer.Propose(bounded, ledger.Record{Saved: &ledger.Saved{Revision: state.Revision()}})
-	e.parts.Telemetry.Log.Info().Str("step", "entry.snapshot").Int64("revision", state.Revision()).Err(err).Msg("snapshot written")
-}
-
-// snapshotTimeout bounds the writing of one snapshot.
-const snapshotTimeout = 20 * time.Second
-
 // State returns the newest state of the ledger that the entry has folded in.
 func (e *Entry) State() ledger.State { return e.replica.State() }
