--- a/jobs/dispatch/controller.go
+++ b/jobs/dispatch/controller.go
@@ -6,9 +6,10 @@
 // from scratch: who waits and in which order, where each unit fits, and what has to stop for it. What
 // it decides is noted in the jobs' progress, which the caller stores before it tells the workers.
 //
-// The files read in this order: the state (controller.go, jobs.go, worker.go, polls.go, ends.go,
-// crashes.go), the decision (plan.go, and from there in the order of its steps), and what is reported
-// (effects.go, desired.go, metrics.go).
+// The files read in this order: the state (controller.go, jobs.go, tracked.go, worker.go, polls.go, ends.go,
+// crashes.go, durations.go), the decision (plan.go, and from there in the order of its steps: fleet.go,
+// moves.go, headroom.go, queue.go, search.go, preempt.go, reserve.go), and what comes of it (effects.go,
+// desired.go, metrics.go).
 //
 // Each mechanism of the decision can be switched off by the Policy, for experiments.
 //
--- a/jobs/dispatch/durations.go
+++ b/jobs/dispatch/durations.go
@@ -9,33 +9,43 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// expectedDuration predicts how long a task of a step works.
-func (c *Controller) expectedDuration(t *trackedJob, step int) time.Duration {
+// predictor predicts how long work takes.
+type predictor struct {
+	policy    Policy
+	durations *estimate.Durations
+}
+
+func (c *Controller) predictor() predictor {
+	return predictor{policy: c.settings.Policy, durations: c.durations}
+}
+
+// duration predicts how long a task of a step works.
+func (p predictor) duration(t *trackedJob, step int) time.Duration {
 	estimated := t.job.Steps[step].Estimate
-	if !c.has(Forecasts) {
+	if !p.policy.Has(Forecasts) {
 		return estimated
 	}
 	if actual, ok := t.durations[step]; ok {
 		return actual
 	}
-	return c.durations.Expected(t.job.Queue, estimated)
+	return p.durations.Expected(t.job.Queue, estimated)
 }
 
-// longestChain is how long the longest chain of dependent steps of a job is expected to work.
-func (c *Controller) longestChain(t *trackedJob) time.Duration {
-	return t.job.Chain(func(step int) time.Duration { return c.expectedDuration(t, step) })
+// longestChain predicts how long the longest chain of dependent steps of a job works.
+func (p predictor) longestChain(t *trackedJob) time.Duration {
+	return t.job.Chain(func(step int) time.Duration { return p.duration(t, step) })
 }
 
-// objective is when the last round of a job is to be completed.
-func (c *Controller) objective(t *trackedJob) time.Time {
-	return t.job.Objective(t.job.Rounds()-1, c.longestChain(t))
+// objective is when the last round of a job should be completed.
+func (p predictor) objective(t *trackedJob) time.Time {
+	return t.job.Objective(t.job.Rounds()-1, p.longestChain(t))
 }
 
-// expectedWork is the work of all tasks of a job, in core-seconds.
-func (c *Controller) expectedWork(t *trackedJob) float64 {
+// work predicts the work of all tasks of a job, in core-seconds.
+func (p predictor) work(t *trackedJob) float64 {
 	sum := 0.0
 	for i, s := range t.job.Steps {
-		sum += float64(s.Tasks) * c.expectedDuration(t, i).Seconds() * weight(s.Resources)
+		sum += float64(s.Tasks) * p.duration(t, i).Seconds() * weight(s.Resources)
 	}
 	return sum
 }
--- a/jobs/dispatch/effects.go
+++ b/jobs/dispatch/effects.go
@@ -1,6 +1,11 @@
 package dispatch
 
-import "time"
+import (
+	"time"
+
+	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
+	"yarrowgrade.example/yarrowgrade/jobs/job"
+)
 
 // start places a new run of the unit, each task on its node.
 func (p *plan) start(w waitingUnit, at []*node) {
@@ -60,6 +65,17 @@
 		Msg("run is to stop")
 }
 
+// stopFor tells runs to stop for an urgent unit.
+func (p *plan) stopFor(w waitingUnit, runs []*running) {
+	w.tracked.preemptedAt[w.first()] = p.now
+	for _, r := range runs {
+		p.stop(r, yieldsTo(w.first()))
+	}
+}
+
+// request asks for permits for a step on incarnations of workers.
+func (p *plan) request(step string, on []incarnation.ID) { p.c.permits.request(p.ctx, step, on) }
+
 // logWait logs why a unit waits, unless that was logged last.
 func (p *plan) logWait(w waitingUnit, why string) {
 	if w.tracked.waitReasons[w.first()] == why {
@@ -78,6 +94,13 @@
 	}
 }
 
+// assumeCrash takes a crash under a task that this leader did not see for a crash at this moment.
+func (p *plan) assumeCrash(t *trackedJob, name job.TaskName) {
+	if _, known := t.crashedAt[name]; !known {
+		t.crashedAt[name] = p.now
+	}
+}
+
 // blameWorker quarantines a worker on which a run has stalled.
 func (p *plan) blameWorker(r *running) {
 	if p.has(Quarantine) {
--- a/jobs/dispatch/eligibility.go
+++ b/jobs/dispatch/eligibility.go
@@ -37,7 +37,7 @@
 	if !w.tracked.job.NeedsPermit {
 		return true
 	}
-	_, ok := p.c.permits.permit(stepKey(w.first()), n.state.ID, p.now)
+	_, ok := p.permits.permit(stepKey(w.first()), n.state.ID, p.now)
 	return ok
 }
 
--- a/jobs/dispatch/ends.go
+++ b/jobs/dispatch/ends.go
@@ -158,7 +158,7 @@
 		return
 	}
 	c.logger.Info().Str("step", "dispatch.end").
-		Str("job", string(t.job.ID)).Stringer("phase", t.progress.Phase).Time("due", c.objective(t)).
+		Str("job", string(t.job.ID)).Stringer("phase", t.progress.Phase).Time("due", c.predictor().objective(t)).
 		Msg("job ended")
 	if t.progress.Phase == job.Failed {
 		c.reportGivenUp(t)
--- a/jobs/dispatch/fleet.go
+++ b/jobs/dispatch/fleet.go
@@ -98,14 +98,13 @@
 
 // addNodes adds the workers that have reported.
 func (p *plan) addNodes() {
-	cordons, _ := p.c.catalog.Cordons()
-	for _, w := range p.c.workers {
+	for _, w := range p.workers {
 		if w.state == nil {
 			continue
 		}
 		n := &node{worker: w, free: w.state.Capacity, freeAfterStops: w.state.Capacity}
-		silent := w.unresponsive || p.now.Sub(w.heardAt) > p.c.settings.SilentAfter
-		n.cordoned = cordons.Has(w.state.Zone)
+		silent := w.unresponsive || p.now.Sub(w.heardAt) > p.silentAfter
+		n.cordoned = p.cordons.Has(w.state.Zone)
 		n.usable = !silent && !w.closing && !w.state.Draining && !n.cordoned && !w.health.Quarantined(p.now)
 		p.nodes = append(p.nodes, n)
 		p.byName[w.name] = n
@@ -134,12 +133,12 @@
 // addRuns adds the placed runs and takes their resources off the nodes.
 func (p *plan) addRuns() {
 	placed := 0
-	for _, t := range p.c.active {
+	for _, t := range p.active {
 		placed += t.progress.PlacedTasks()
 	}
 	// One allocation for all runs: there may be 14,000.
 	runs := make([]running, 0, placed)
-	for id, t := range p.c.active {
+	for id, t := range p.active {
 		t.progress.Placed(id, func(name job.TaskName, task *job.Task) {
 			n := p.byName[task.Worker]
 			if n == nil || n.state.ID != task.Incarnation {
@@ -205,7 +204,7 @@
 func (p *plan) addUnplacedRuns() {
 	for _, n := range p.nodes {
 		for id := range n.worker.runs {
-			t := p.c.jobs[id.Task.Job]
+			t := p.jobs[id.Task.Job]
 			if t != nil && id.Task.Step < len(t.job.Steps) && !isPlacedOn(t, n, id) {
 				n.reserve(t.step(id.Task).Reserved())
 			}
@@ -233,7 +232,7 @@
 // estimateRun predicts when a run ends, and what a stop would lose and cost.
 func (p *plan) estimateRun(r *running) {
 	step := r.step()
-	duration := p.c.expectedDuration(r.tracked, r.name.Step)
+	duration := p.predictor.duration(r.tracked, r.name.Step)
 	worked, remaining := time.Duration(0), duration
 	if o, known := r.observed(); known {
 		worked = p.now.Sub(o.startedAt)
--- a/jobs/dispatch/headroom.go
+++ b/jobs/dispatch/headroom.go
@@ -38,7 +38,7 @@
 
 // reserveHeadroom marks the nodes of each service that are kept free for urgent jobs.
 func (p *plan) reserveHeadroom() {
-	for service, arrivals := range p.recentArrivals() {
+	for service, arrivals := range p.arrivals {
 		p.reserveHeadroomFor(service, arrivals)
 	}
 }
@@ -55,13 +55,14 @@
 	p.markHeadroom(racks, min(burst, int(maxBurstHeadroom*float64(total))))
 }
 
-// recentArrivals lists the urgent jobs of the window by service, in the order of their acceptance.
-func (p *plan) recentArrivals() map[string][]urgentArrival {
-	p.c.arrivals = slices.DeleteFunc(p.c.arrivals, func(a urgentArrival) bool {
-		return p.now.Sub(a.at) >= headroomWindow
+// recentArrivals drops urgent jobs that came before the window, and lists the others by service, in the
+// order of their acceptance.
+func (c *Controller) recentArrivals(now time.Time) map[string][]urgentArrival {
+	c.arrivals = slices.DeleteFunc(c.arrivals, func(a urgentArrival) bool {
+		return now.Sub(a.at) >= headroomWindow
 	})
 	recent := map[string][]urgentArrival{}
-	for _, a := range p.c.arrivals {
+	for _, a := range c.arrivals {
 		recent[a.service] = append(recent[a.service], a)
 	}
 	for _, arrivals := range recent {
--- a/jobs/dispatch/moves.go
+++ b/jobs/dispatch/moves.go
@@ -76,7 +76,7 @@
 // less than a stall, and after its own work is done.
 func (p *plan) stopStalled() {
 	for _, n := range p.nodes {
-		if p.now.Sub(n.heardAt) > p.c.settings.SilentAfter {
+		if p.now.Sub(n.heardAt) > p.silentAfter {
 			continue
 		}
 		for _, r := range n.runs {
--- a/jobs/dispatch/plan.go
+++ b/jobs/dispatch/plan.go
@@ -4,13 +4,16 @@
 	"context"
 	"time"
 
+	"yarrowgrade.example/yarrowgrade/jobs/catalog"
 	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
 // plan is one decision. It is made from scratch each time, on a view of the fleet that it changes as it
-// decides (fleet.go). Its effects on jobs, workers and logs are all in effects.go.
+// decides (fleet.go). What it decides takes effect in effects.go alone.
 type plan struct {
+	input
+	// c is changed in effects.go, and used nowhere else.
 	c *Controller
 	// ctx ends with the leader's term; calls to the permit issuer live in it.
 	ctx context.Context
@@ -33,6 +36,24 @@
 	reservations int
 	// failedSearches are searches that found nothing. They would again: room only gets less during a decision.
 	failedSearches map[search]bool
+}
+
+// input is what a decision is made from.
+type input struct {
+	policy Policy
+	// silentAfter is how long a worker's agent may be silent.
+	silentAfter time.Duration
+	// catalog is nil until a configuration has been read.
+	catalog *catalog.Catalog
+	cordons catalog.Cordons
+	workers map[string]*worker
+	jobs    map[job.ID]*trackedJob
+	// active are the jobs that have not ended, or of which something is placed.
+	active map[job.ID]*trackedJob
+	// arrivals are the urgent jobs that came within headroomWindow, by service.
+	arrivals  map[string][]urgentArrival
+	permits   *permitCache
+	predictor predictor
 	// stopDuration is how long stops are expected to take.
 	stopDuration time.Duration
 }
@@ -61,7 +82,22 @@
 }
 
 func newPlan(ctx context.Context, c *Controller, now time.Time) *plan {
+	current, _ := c.catalog.Current()
+	cordons, _ := c.catalog.Cordons()
 	return &plan{
+		input: input{
+			policy:       c.settings.Policy,
+			silentAfter:  c.settings.SilentAfter,
+			catalog:      current,
+			cordons:      cordons,
+			workers:      c.workers,
+			jobs:         c.jobs,
+			active:       c.active,
+			arrivals:     c.recentArrivals(now),
+			permits:      c.permits,
+			predictor:    c.predictor(),
+			stopDuration: c.stops.Expected(),
+		},
 		c:              c,
 		ctx:            ctx,
 		now:            now,
@@ -70,12 +106,11 @@
 		gangs:          map[job.TaskName][]*running{},
 		headroom:       map[*node]bool{},
 		failedSearches: map[search]bool{},
-		stopDuration:   c.stops.Expected(),
 	}
 }
 
 // has reports whether a mechanism is on.
-func (p *plan) has(m Mechanism) bool { return p.c.has(m) }
+func (p *plan) has(m Mechanism) bool { return p.policy.Has(m) }
 
 // compareIf is the outcome of a comparison, or no difference if its mechanism is off.
 func (p *plan) compareIf(m Mechanism, outcome int) int {
@@ -133,8 +168,8 @@
 	}
 	candidates, usable := p.permitCandidates(w)
 	step := stepKey(w.first())
-	if missing := p.c.permits.missing(step, candidates, p.now); len(missing) > 0 {
-		p.c.permits.request(p.ctx, step, missing)
+	if missing := p.permits.missing(step, candidates, p.now); len(missing) > 0 {
+		p.request(step, missing)
 	}
 	return usable > 0
 }
--- a/jobs/dispatch/preempt.go
+++ b/jobs/dispatch/preempt.go
@@ -40,10 +40,7 @@
 	if p.has(PreemptionBudget) && !w.guaranteed && lostWorkOf(best.runs) > best.worth {
 		return "what yields would lose more work than this is worth"
 	}
-	w.tracked.preemptedAt[w.first()] = p.now
-	for _, r := range best.runs {
-		p.stop(r, yieldsTo(w.first()))
-	}
+	p.stopFor(w, best.runs)
 	if at := p.findIn(w, best.domain, roomAfterStops); at != nil {
 		p.holdFor(w, at)
 	}
--- a/jobs/dispatch/queue.go
+++ b/jobs/dispatch/queue.go
@@ -50,7 +50,7 @@
 // queue lists what may start now, in the order in which it is placed.
 func (p *plan) queue() []waitingUnit {
 	var all []waitingUnit
-	for _, t := range p.c.active {
+	for _, t := range p.active {
 		if t.progress.Phase.Final() {
 			continue
 		}
@@ -59,7 +59,7 @@
 		if len(units) == 0 {
 			continue
 		}
-		chain := p.c.longestChain(t)
+		chain := p.predictor.longestChain(t)
 		for _, u := range units {
 			all = append(all, p.newWaitingUnit(t, u, chain))
 		}
@@ -97,7 +97,7 @@
 
 func (p *plan) newWaitingUnit(t *trackedJob, u job.Unit, chain time.Duration) waitingUnit {
 	due := t.job.Objective(u.Round, chain)
-	duration := p.c.expectedDuration(t, u.Step)
+	duration := p.predictor.duration(t, u.Step)
 	tooLate := p.now.Sub(due) > expiredFactor*due.Sub(t.job.Accepted)
 	return waitingUnit{
 		tracked:        t,
@@ -105,14 +105,14 @@
 		step:           t.job.Steps[u.Step],
 		due:            due,
 		duration:       duration,
-		work:           p.c.expectedWork(t),
+		work:           p.predictor.work(t),
 		guaranteed:     p.guaranteed[t.job.ID],
 		late:           t.job.Priority == 0 && p.now.Add(duration).After(due),
 		expired:        tooLate && t.job.RoundCount == 0 && !t.job.LongRunning(),
 		preempting:     p.now.Sub(t.preemptedAt[u.Tasks[0]]) < freedKeptFor,
 		leavesHeadroom: p.leavesHeadroom(t, u, due, chain),
 		suspicion:      p.suspicionOfUnit(t, u),
-		suspectedAt:    t.suspectedAt(u, p.now),
+		suspectedAt:    p.suspectedAt(t, u),
 	}
 }
 
@@ -120,13 +120,12 @@
 // the order of their acceptance, as long as all of them together need no more accelerators than are
 // guaranteed.
 func (p *plan) guaranteedJobs() map[job.ID]bool {
-	c, _ := p.c.catalog.Current()
 	guaranteed := map[job.ID]bool{}
-	if c == nil || !p.has(Guarantees) {
+	if p.catalog == nil || !p.has(Guarantees) {
 		return guaranteed
 	}
 	var urgent []*trackedJob
-	for _, t := range p.c.active {
+	for _, t := range p.active {
 		if t.job.Priority == 0 && !t.progress.Phase.Final() && t.job.Team != "" {
 			urgent = append(urgent, t)
 		}
@@ -137,7 +136,7 @@
 	used := map[string]int{}
 	for _, t := range urgent {
 		used[t.job.Team] += peakAccelerators(t.job)
-		guaranteed[t.job.ID] = used[t.job.Team] <= c.GuaranteedAccelerators(t.job.Team)
+		guaranteed[t.job.ID] = used[t.job.Team] <= p.catalog.GuaranteedAccelerators(t.job.Team)
 	}
 	return guaranteed
 }
--- a/jobs/dispatch/suspects.go
+++ b/jobs/dispatch/suspects.go
@@ -64,9 +64,8 @@
 	return most
 }
 
-// suspectedAt is when a worker last crashed under a task of the unit; a leader that did not see it takes
-// it for now.
-func (t *trackedJob) suspectedAt(u job.Unit, now time.Time) time.Time {
+// suspectedAt is when a worker last crashed under a task of the unit.
+func (p *plan) suspectedAt(t *trackedJob, u job.Unit) time.Time {
 	var latest time.Time
 	if t.progress.Suspects() == 0 {
 		return latest
@@ -75,9 +74,7 @@
 		if suspicionOfTask(t.progress.Task(name)) == trusted {
 			continue
 		}
-		if _, known := t.crashedAt[name]; !known {
-			t.crashedAt[name] = now
-		}
+		p.assumeCrash(t, name)
 		if at := t.crashedAt[name]; at.After(latest) {
 			latest = at
 		}
