--- a/jobs/dispatch/effects.go
+++ b/jobs/dispatch/effects.go
@@ -77,14 +77,14 @@
 func (p *plan) request(step string, on []incarnation.ID) { p.c.permits.request(p.ctx, step, on) }
 
 // logWait logs why a unit waits, unless that was logged last.
-func (p *plan) logWait(w waitingUnit, why string) {
+func (p *plan) logWait(w waitingUnit, why waitReason) {
 	if w.tracked.waitReasons[w.first()] == why {
 		return
 	}
 	w.tracked.waitReasons[w.first()] = why
 	p.c.logger.Info().Str("step", "dispatch.wait").Stringer("task", w.first()).Int("tasks", len(w.unit.Tasks)).
 		Int("priority", w.tracked.job.Priority).Bool("guaranteed", w.guaranteed).Time("due", w.due).
-		Str("why", why).Msg("job waits")
+		Str("why", string(why)).Msg("job waits")
 }
 
 // wakeAt makes sure that there is a decision at that time.
--- a/jobs/dispatch/jobs.go
+++ b/jobs/dispatch/jobs.go
@@ -87,9 +87,8 @@
 func (c *Controller) TakeRecords(now time.Time) ([]topic.Record, error) {
 	var records []topic.Record
 	for id, t := range c.active {
-		ended := t.progress.Phase.Final()
-		if ended && t.progress.EndedAt.IsZero() {
-			t.progress.EndedAt, t.dirty = now, true
+		if t.progress.MarkEnded(now) {
+			t.dirty = true
 		}
 		if t.dirty {
 			record, err := jobstore.ProgressRecord(id, t.progress)
@@ -99,7 +98,7 @@
 			records = append(records, record)
 			t.dirty = false
 		}
-		if ended && !t.progress.AnyPlaced() {
+		if t.progress.Phase.Final() && !t.progress.AnyPlaced() {
 			delete(c.active, id)
 		}
 	}
--- a/jobs/dispatch/plan.go
+++ b/jobs/dispatch/plan.go
@@ -134,11 +134,11 @@
 // place starts a unit, or makes room for it, or reserves room for it.
 func (p *plan) place(w waitingUnit) {
 	if !p.requestPermits(w) {
-		p.logWait(w, "no ticket yet")
+		p.logWait(w, waitPermit)
 		return
 	}
 	if p.awaitsVerdict(w) {
-		p.logWait(w, "whether its last worker crashed is not known yet")
+		p.logWait(w, waitVerdict)
 		return
 	}
 	key := searchOf(w)
@@ -155,10 +155,10 @@
 	}
 	if w.step.Gang && p.reservations < maxReservations && !w.expired && p.has(Reservations) {
 		p.reserveFor(w)
-		p.logWait(w, "room is held back for it")
+		p.logWait(w, waitReserved)
 		return
 	}
-	p.logWait(w, "no room")
+	p.logWait(w, waitNoRoom)
 }
 
 // requestPermits asks for permits for a unit that needs them. It returns false while there are none.
--- a/jobs/dispatch/preempt.go
+++ b/jobs/dispatch/preempt.go
@@ -24,27 +24,27 @@
 // preempt makes room for an urgent unit: it stops work that yields, where that gains the most, and holds
 // what becomes free for the unit. If room becomes free early enough by itself, nothing is stopped. It
 // returns what the unit waits for.
-func (p *plan) preempt(w waitingUnit) string {
+func (p *plan) preempt(w waitingUnit) waitReason {
 	if at := p.find(w, roomAfterStops); at != nil {
 		p.holdFor(w, at)
-		return "what was told to stop still ends"
+		return waitStops
 	}
 	if o, ok := p.earliest(w); ok && p.has(WaitForRoom) && !o.from.After(p.latestStart(w)) {
 		p.holdFor(w, o.at)
-		return "room comes in time by itself"
+		return waitRoomInTime
 	}
 	best, ok := p.bestStops(w)
 	if !ok {
-		return "no room, and nothing yields"
+		return waitNothingStops
 	}
 	if p.has(PreemptionBudget) && !w.guaranteed && lostWorkOf(best.runs) > best.worth {
-		return "what yields would lose more work than this is worth"
+		return waitNotWorth
 	}
 	p.stopFor(w, best.runs)
 	if at := p.findIn(w, best.domain, roomAfterStops); at != nil {
 		p.holdFor(w, at)
 	}
-	return "what was told to stop still ends"
+	return waitStops
 }
 
 // holdFor takes the room of a unit off what others may use in this decision.
--- a/jobs/dispatch/reasons.go
+++ b/jobs/dispatch/reasons.go
@@ -63,6 +63,21 @@
 	return stopReason{"it yields to " + unit.String(), stopYields, lossYielded}
 }
 
+// waitReason is why a unit waits, for logs.
+type waitReason string
+
+// The reasons for which units wait.
+const (
+	waitPermit       waitReason = "no ticket yet"
+	waitVerdict      waitReason = "whether its last worker crashed is not known yet"
+	waitStops        waitReason = "what was told to stop still ends"
+	waitRoomInTime   waitReason = "room comes in time by itself"
+	waitNothingStops waitReason = "no room, and nothing yields"
+	waitNotWorth     waitReason = "what yields would lose more work than this is worth"
+	waitReserved     waitReason = "room is held back for it"
+	waitNoRoom       waitReason = "no room"
+)
+
 // lostReason is why a run is given up without an end, with its label in metrics.
 type lostReason struct {
 	text  string
--- a/jobs/dispatch/tracked.go
+++ b/jobs/dispatch/tracked.go
@@ -31,7 +31,7 @@
 	// preemptedAt is when work was last told to stop for a unit, by the unit's first task.
 	preemptedAt map[job.TaskName]time.Time
 	// waitReasons is why a unit was last logged to wait, by the unit's first task.
-	waitReasons map[job.TaskName]string
+	waitReasons map[job.TaskName]waitReason
 
 	// desiredOn are the workers whose desired state names runs of the job.
 	desiredOn []string
@@ -55,7 +55,7 @@
 		durations:   map[int]time.Duration{},
 		paces:       map[job.TaskName]*estimate.Pace{},
 		preemptedAt: map[job.TaskName]time.Time{},
-		waitReasons: map[job.TaskName]string{},
+		waitReasons: map[job.TaskName]waitReason{},
 	}
 }
 
--- a/jobs/job/progress.go
+++ b/jobs/job/progress.go
@@ -133,6 +133,15 @@
 	}
 }
 
+// MarkEnded sets EndedAt once the phase is final. It returns false if there is nothing to set.
+func (p *Progress) MarkEnded(now time.Time) bool {
+	if !p.Phase.Final() || !p.EndedAt.IsZero() {
+		return false
+	}
+	p.EndedAt = now
+	return true
+}
+
 // updatePhase derives the phase from the tasks.
 func (p *Progress) updatePhase(j *Job) {
 	if p.Phase.Final() {
