--- a/jobs/dispatch/controller.go
+++ b/jobs/dispatch/controller.go
@@ -7,6 +7,9 @@
 // stop for it. What it decides is noted in the jobs' progress, which the caller stores before
 // it tells the workers.
 //
+// It relies on package job for the rules of a job's progress and for giving up tasks, on
+// package catalog for guarantees and cordons, and on the caller for the time.
+//
 // The files read in this order: the state (controller.go, jobs.go, tracked.go, worker.go,
 // polls.go, ends.go, crashes.go, durations.go), the decision (plan.go, and from there in the
 // order of its steps: fleet.go, moves.go, headroom.go, queue.go, search.go, preempt.go,
--- a/jobs/dispatch/health/health.go
+++ b/jobs/dispatch/health/health.go
@@ -2,8 +2,8 @@
 // starts is quarantined: it gets nothing for some seconds, and then one run at a time (probation)
 // until a run succeeds.
 //
-// It owns the judgement on each worker and relies on the caller for the time. It is not safe for
-// concurrent use.
+// It owns the judgement on each worker, and relies on the caller for the time. It is not safe
+// for concurrent use.
 //
 // # Usage
 //
--- a/jobs/dispatch/preempt.go
+++ b/jobs/dispatch/preempt.go
@@ -97,11 +97,16 @@
 // chanceInTime is the probability that the unit is in time if it starts then, on workers of
 // which the slowest has that slowness.
 //
-// The unit is in time if waiting + d·e^slowness <= ObjectiveFactor·d + ObjectiveSlack, where d
-// is its duration on an average worker and waiting is the time from its round's start to its
-// own, with reportingDelay. So it needs a d of at least (waiting - ObjectiveSlack) /
-// (ObjectiveFactor - e^slowness): long tasks are in time more easily. d is log-normal around
-// what is expected.
+// With d its duration on an average worker, and waiting the time from the start of its round
+// to its own, with reportingDelay, the unit is in time if
+//
+//	waiting + d * e^slowness <= ObjectiveFactor * d + ObjectiveSlack
+//
+// that is if
+//
+//	d >= (waiting - ObjectiveSlack) / (ObjectiveFactor - e^slowness)
+//
+// so long tasks are in time more easily. d is log-normal around what is expected.
 func (p *plan) chanceInTime(w waitingUnit, start time.Time, slowness float64) float64 {
 	j := w.tracked.job
 	missing := start.Sub(j.RoundStart(w.unit.Round)) + reportingDelay - j.ObjectiveSlack
