--- a/jobs/dispatch/durations.go
+++ b/jobs/dispatch/durations.go
@@ -9,38 +9,49 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// expectedDuration predicts how long a task of a step works.
-func (c *Controller) expectedDuration(t *trackedJob, step int) time.Duration {
+// predictor predicts how long work takes.
+type predictor struct {
+	policy    Policy
+	durations *estimate.Durations
+}
+
+func (c *Controller) predictor() predictor {
+	return predictor{policy: c.settings.Policy, durations: c.durations}
+}
+
+// duration predicts how long a task of a step works.
+func (p predictor) duration(t *trackedJob, step int) time.Duration {
 	estimated := t.job.Steps[step].Estimate
-	if !c.has(Forecasts) {
+	if !p.policy.Has(Forecasts) {
 		return estimated
 	}
 	if actual, ok := t.durations[step]; ok {
 		return actual
 	}
-	return c.durations.Expected(t.job.Queue, estimated)
+	return p.durations.Expected(t.job.Queue, estimated)
 }
 
-// longestChain is how long the longest chain of dependent steps of a job is expected to work.
-func (c *Controller) longestChain(t *trackedJob) time.Duration {
-	return t.job.Chain(func(step int) time.Duration { return c.expectedDuration(t, step) })
+// longestChain predicts how long the longest chain of dependent steps of a job works.
+func (p predictor) longestChain(t *trackedJob) time.Duration {
+	return t.job.Chain(func(step int) time.Duration { return p.duration(t, step) })
 }
 
-// objective is when the last round of a job is to be completed.
-func (c *Controller) objective(t *trackedJob) time.Time {
-	return t.job.Objective(t.job.Rounds()-1, c.longestChain(t))
+// objective is when the last round of a job should be completed.
+func (p predictor) objective(t *trackedJob) time.Time {
+	return t.job.Objective(t.job.Rounds()-1, p.longestChain(t))
 }
 
-// expectedWork is the work of all tasks of a job, in core-seconds.
-func (c *Controller) expectedWork(t *trackedJob) float64 {
+// work predicts the work of all tasks of a job, in core-seconds.
+func (p predictor) work(t *trackedJob) float64 {
 	sum := 0.0
 	for i, s := range t.job.Steps {
-		sum += float64(s.Tasks) * c.expectedDuration(t, i).Seconds() * weight(s.Resources)
+		sum += float64(s.Tasks) * p.duration(t, i).Seconds() * weight(s.Resources)
 	}
 	return sum
 }
 
-// recordDuration learns from the first run of a step that has succeeded, unless it continued from a checkpoint.
+// recordDuration learns from the first run of a step that has succeeded, unless it continued
+// from a checkpoint.
 func (c *Controller) recordDuration(e assignment.End) {
 	t := c.jobs[e.Task.Job]
 	if t == nil || e.Reason != job.EndDone || e.Took() <= 0 {
@@ -74,11 +85,12 @@
 	return slowest
 }
 
-// sampleMinPercent is the percentage from which on a run says how fast its worker is: below it rounding
-// weighs too much.
+// sampleMinPercent is the percentage from which on a run says how fast its worker is: below it
+// rounding weighs too much.
 const sampleMinPercent = 40
 
-// sampleRunningSpeed learns a worker's speed from a run that has come far enough. Each run counts once.
+// sampleRunningSpeed learns a worker's speed from a run that has come far enough. Each run
+// counts once.
 func (c *Controller) sampleRunningSpeed(w *worker, r assignment.Run, o *observedRun) {
 	if o.sampled || r.Percent < sampleMinPercent || r.Percent >= donePercent || r.ListedMillis <= 0 {
 		return
@@ -90,8 +102,8 @@
 	c.recordSpeed(w, r.RunID, r.Percent, r.ListedMillis)
 }
 
-// sampleEndedSpeed learns a worker's speed from a run that has succeeded, if the run has not counted
-// before. The end of a gang only shows the speed of its slowest member.
+// sampleEndedSpeed learns a worker's speed from a run that has succeeded, if the run has not
+// counted before. The end of a gang only shows the speed of its slowest member.
 func (c *Controller) sampleEndedSpeed(w *worker, e assignment.End, o observedRun) {
 	t := c.jobs[e.Task.Job]
 	if t == nil || o.sampled || e.Reason != job.EndDone || e.Task.Step >= len(t.job.Steps) {
@@ -118,5 +130,6 @@
 	pace.Compare(&w.speed, millis, percent)
 }
 
-// startedFresh reports whether a run began without a checkpoint: only the first run of a task is sure to.
+// startedFresh reports whether a run began without a checkpoint: only the first run of a task
+// is sure to.
 func startedFresh(id assignment.RunID) bool { return id.Run == 1 }
--- a/jobs/dispatch/fleet.go
+++ b/jobs/dispatch/fleet.go
@@ -16,7 +16,8 @@
 	rack *rack
 	// order is the node's place in the order of names.
 	order int
-	// free is what is free now; freeAfterStops what is free once all that was told to stop has ended.
+	// free is what is free now; freeAfterStops what is free once all that was told to stop has
+	// ended.
 	free           job.Resources
 	freeAfterStops job.Resources
 	runs           []*running
@@ -28,8 +29,8 @@
 	// freeBesideReserved what is left for work that doesn't end before; zero without a reservation.
 	reservedUntil      time.Time
 	freeBesideReserved job.Resources
-	// hasSuspects says that tasks run here under which workers have crashed. trialRun is a run of such
-	// a task that has the node to itself.
+	// hasSuspects says that tasks run here under which workers have crashed. trialRun is a run
+	// of such a task that has the node to itself.
 	hasSuspects bool
 	trialRun    *running
 
@@ -67,7 +68,8 @@
 	// stopping says that the run was told to stop, or that its result is no longer wanted.
 	stopping bool
 	endsAt   time.Time
-	// lostWork is the work that a stop would lose, stopCost what a stop costs in all; in core-seconds.
+	// lostWork is the work that a stop would lose, stopCost what a stop costs in all; in
+	// core-seconds.
 	lostWork float64
 	stopCost float64
 }
@@ -98,14 +100,13 @@
 
 // addNodes adds the workers that have reported.
 func (p *plan) addNodes() {
-	cordons, _ := p.c.catalog.Cordons()
-	for _, w := range p.c.workers {
+	for _, w := range p.workers {
 		if w.state == nil {
 			continue
 		}
 		n := &node{worker: w, free: w.state.Capacity, freeAfterStops: w.state.Capacity}
-		silent := w.unresponsive || p.now.Sub(w.heardAt) > p.c.settings.SilentAfter
-		n.cordoned = cordons.Has(w.state.Zone)
+		silent := w.unresponsive || p.now.Sub(w.heardAt) > p.silentAfter
+		n.cordoned = p.cordons.Has(w.state.Zone)
 		n.usable = !silent && !w.closing && !w.state.Draining && !n.cordoned && !w.health.Quarantined(p.now)
 		p.nodes = append(p.nodes, n)
 		p.byName[w.name] = n
@@ -134,12 +135,12 @@
 // addRuns adds the placed runs and takes their resources off the nodes.
 func (p *plan) addRuns() {
 	placed := 0
-	for _, t := range p.c.active {
+	for _, t := range p.active {
 		placed += t.progress.PlacedTasks()
 	}
 	// One allocation for all runs: there may be 14,000.
 	runs := make([]running, 0, placed)
-	for id, t := range p.c.active {
+	for id, t := range p.active {
 		t.progress.Placed(id, func(name job.TaskName, task *job.Task) {
 			n := p.byName[task.Worker]
 			if n == nil || n.state.ID != task.Incarnation {
@@ -199,13 +200,13 @@
 	}
 }
 
-// addUnplacedRuns takes off the nodes what is used by runs that workers list and that are not placed
-// there: orders that arrived late at a new incarnation. They are told to stop, and a worker that doesn't
-// check its capacity would run more than it has.
+// addUnplacedRuns takes off the nodes what is used by runs that workers list and that are not
+// placed there: orders that arrived late at a new incarnation. They are told to stop, and a
+// worker that doesn't check its capacity would run more than it has.
 func (p *plan) addUnplacedRuns() {
 	for _, n := range p.nodes {
 		for id := range n.worker.runs {
-			t := p.c.jobs[id.Task.Job]
+			t := p.jobs[id.Task.Job]
 			if t != nil && id.Task.Step < len(t.job.Steps) && !isPlacedOn(t, n, id) {
 				n.reserve(t.step(id.Task).Reserved())
 			}
@@ -222,18 +223,18 @@
 const (
 	// restartCost is the time from a stop until the task works again elsewhere.
 	restartCost = 500 * time.Millisecond
-	// repeatCost is added to the cost of a stop for each earlier run, as a share of the task's duration:
-	// otherwise the same task would be stopped again and again.
+	// repeatCost is added to the cost of a stop for each earlier run, as a share of the task's
+	// duration: otherwise the same task would be stopped again and again.
 	repeatCost = 0.3
-	// minRemainingDivisor divides the expected duration: a run takes at least that much longer, unless its
-	// progress says otherwise.
+	// minRemainingDivisor divides the expected duration: a run takes at least that much longer,
+	// unless its progress says otherwise.
 	minRemainingDivisor = 10
 )
 
 // estimateRun predicts when a run ends, and what a stop would lose and cost.
 func (p *plan) estimateRun(r *running) {
 	step := r.step()
-	duration := p.c.expectedDuration(r.tracked, r.name.Step)
+	duration := p.predictor.duration(r.tracked, r.name.Step)
 	worked, remaining := time.Duration(0), duration
 	if o, known := r.observed(); known {
 		worked = p.now.Sub(o.startedAt)
--- a/jobs/dispatch/queue.go
+++ b/jobs/dispatch/queue.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// freedKeptFor is how long room that stops have freed is kept for the unit that they were for. It is
-	// longer than a stop takes.
+	// freedKeptFor is how long room that stops have freed is kept for the unit that they were
+	// for. It is longer than a stop takes.
 	freedKeptFor = 1200 * time.Millisecond
 	// expiredFactor is the lateness from which on a job's caller has no use for it any more, as a
 	// multiple of the time from its acceptance to its objective.
@@ -27,8 +27,8 @@
 	duration time.Duration
 	// work is that of all tasks of the job, in core-seconds.
 	work float64
-	// guaranteed says that the team's guarantee covers the job; late that the unit can't be in time any
-	// more; expired that the job is so late that its caller has no use for it.
+	// guaranteed says that the team's guarantee covers the job; late that the unit can't be in
+	// time any more; expired that the job is so late that its caller has no use for it.
 	guaranteed bool
 	late       bool
 	expired    bool
@@ -36,7 +36,8 @@
 	preempting bool
 	// leavesHeadroom says that the unit can wait for room that is not kept for urgent jobs.
 	leavesHeadroom bool
-	// suspicion is that of the most suspected task; suspectedAt is when a worker last crashed under one.
+	// suspicion is that of the most suspected task; suspectedAt is when a worker last crashed
+	// under one.
 	suspicion   suspicionLevel
 	suspectedAt time.Time
 }
@@ -50,7 +51,7 @@
 // queue lists what may start now, in the order in which it is placed.
 func (p *plan) queue() []waitingUnit {
 	var all []waitingUnit
-	for _, t := range p.c.active {
+	for _, t := range p.active {
 		if t.progress.Phase.Final() {
 			continue
 		}
@@ -59,7 +60,7 @@
 		if len(units) == 0 {
 			continue
 		}
-		chain := p.c.longestChain(t)
+		chain := p.predictor.longestChain(t)
 		for _, u := range units {
 			all = append(all, p.newWaitingUnit(t, u, chain))
 		}
@@ -68,9 +69,9 @@
 	return all
 }
 
-// compareUnits orders the queue: by priority; guaranteed jobs first, expired ones last; then by the
-// objective. Urgent jobs that may still be in time come before late ones, and small urgent jobs before
-// large ones: most fit in beside a large one, which waits little longer for that.
+// compareUnits orders the queue: by priority; guaranteed jobs first, expired ones last; then by
+// the objective. Urgent jobs that may still be in time come before late ones, and small urgent
+// jobs before large ones: most fit in beside a large one, which waits little longer for that.
 func (p *plan) compareUnits(a, b waitingUnit) int {
 	return cmp.Or(
 		cmp.Compare(a.tracked.job.Priority, b.tracked.job.Priority),
@@ -97,7 +98,7 @@
 
 func (p *plan) newWaitingUnit(t *trackedJob, u job.Unit, chain time.Duration) waitingUnit {
 	due := t.job.Objective(u.Round, chain)
-	duration := p.c.expectedDuration(t, u.Step)
+	duration := p.predictor.duration(t, u.Step)
 	tooLate := p.now.Sub(due) > expiredFactor*due.Sub(t.job.Accepted)
 	return waitingUnit{
 		tracked:        t,
@@ -105,28 +106,27 @@
 		step:           t.job.Steps[u.Step],
 		due:            due,
 		duration:       duration,
-		work:           p.c.expectedWork(t),
+		work:           p.predictor.work(t),
 		guaranteed:     p.guaranteed[t.job.ID],
 		late:           t.job.Priority == 0 && p.now.Add(duration).After(due),
 		expired:        tooLate && t.job.RoundCount == 0 && !t.job.LongRunning(),
 		preempting:     p.now.Sub(t.preemptedAt[u.Tasks[0]]) < freedKeptFor,
 		leavesHeadroom: p.leavesHeadroom(t, u, due, chain),
 		suspicion:      p.suspicionOfUnit(t, u),
-		suspectedAt:    t.suspectedAt(u, p.now),
+		suspectedAt:    p.suspectedAt(t, u),
 	}
 }
 
-// guaranteedJobs returns the jobs that their team's guarantee covers: urgent jobs that have not ended, in
-// the order of their acceptance, as long as all of them together need no more accelerators than are
-// guaranteed.
+// guaranteedJobs returns the jobs that their team's guarantee covers: urgent jobs that have not
+// ended, in the order of their acceptance, as long as all of them together need no more
+// accelerators than are guaranteed.
 func (p *plan) guaranteedJobs() map[job.ID]bool {
-	c, _ := p.c.catalog.Current()
 	guaranteed := map[job.ID]bool{}
-	if c == nil || !p.has(Guarantees) {
+	if p.catalog == nil || !p.has(Guarantees) {
 		return guaranteed
 	}
 	var urgent []*trackedJob
-	for _, t := range p.c.active {
+	for _, t := range p.active {
 		if t.job.Priority == 0 && !t.progress.Phase.Final() && t.job.Team != "" {
 			urgent = append(urgent, t)
 		}
@@ -137,7 +137,7 @@
 	used := map[string]int{}
 	for _, t := range urgent {
 		used[t.job.Team] += peakAccelerators(t.job)
-		guaranteed[t.job.ID] = used[t.job.Team] <= c.GuaranteedAccelerators(t.job.Team)
+		guaranteed[t.job.ID] = used[t.job.Team] <= p.catalog.GuaranteedAccelerators(t.job.Team)
 	}
 	return guaranteed
 }
--- a/jobs/dispatch/reasons.go
+++ b/jobs/dispatch/reasons.go
@@ -57,12 +57,27 @@
 	workerLeavesSaved = stopReason{"its worker leaves, and its work is saved", stopDraining, lossDrained}
 )
 
-// yieldsTo is the reason of a run that makes room for an urgent unit. The command-line tool finds the
-// unit in the text.
+// yieldsTo is the reason of a run that makes room for an urgent unit. The command-line tool
+// finds the unit in the text.
 func yieldsTo(unit job.TaskName) stopReason {
 	return stopReason{"it yields to " + unit.String(), stopYields, lossYielded}
 }
 
+// waitReason is why a unit waits, for logs.
+type waitReason string
+
+// The reasons for which units wait.
+const (
+	waitPermit       waitReason = "no ticket yet"
+	waitVerdict      waitReason = "whether its last worker crashed is not known yet"
+	waitStops        waitReason = "what was told to stop still ends"
+	waitRoomInTime   waitReason = "room comes in time by itself"
+	waitNothingStops waitReason = "no room, and nothing yields"
+	waitNotWorth     waitReason = "what yields would lose more work than this is worth"
+	waitReserved     waitReason = "room is held back for it"
+	waitNoRoom       waitReason = "no room"
+)
+
 // lostReason is why a run is given up without an end, with its label in metrics.
 type lostReason struct {
 	text  string
@@ -81,8 +96,9 @@
 	cause lossCause
 }
 
-// workLost says why the work of a run that has ended was lost, and how much of it, in core-seconds. Work
-// that saves checkpoints counts as kept, though the newest part of it may not be.
+// workLost says why the work of a run that has ended was lost, and how much of it, in
+// core-seconds. Work that saves checkpoints counts as kept, though the newest part of it may
+// not be.
 func (t *trackedJob) workLost(e assignment.End) (lossCause, float64) {
 	cause := t.lossCause(e)
 	if cause == lossNone {
--- a/jobs/dispatch/tracked.go
+++ b/jobs/dispatch/tracked.go
@@ -31,13 +31,14 @@
 	// preemptedAt is when work was last told to stop for a unit, by the unit's first task.
 	preemptedAt map[job.TaskName]time.Time
 	// waitReasons is why a unit was last logged to wait, by the unit's first task.
-	waitReasons map[job.TaskName]string
+	waitReasons map[job.TaskName]waitReason
 
 	// desiredOn are the workers whose desired state names runs of the job.
 	desiredOn []string
 }
 
-// stopOrder is a run that was told to stop. A stop that was not decided by a plan has neither cause nor time.
+// stopOrder is a run that was told to stop. A stop that was not decided by a plan has neither
+// cause nor time.
 type stopOrder struct {
 	run   int
 	cause lossCause
@@ -55,7 +56,7 @@
 		durations:   map[int]time.Duration{},
 		paces:       map[job.TaskName]*estimate.Pace{},
 		preemptedAt: map[job.TaskName]time.Time{},
-		waitReasons: map[job.TaskName]string{},
+		waitReasons: map[job.TaskName]waitReason{},
 	}
 }
 
