--- a/jobs/runner/delta_test.go
+++ b/jobs/runner/delta_test.go
@@ -43,6 +43,9 @@
 					t.Errorf("with %d runs of which nothing but percentages changes a poll has %d bytes: %s", n, len(data), data)
 				}
 			}
+			if last.Delta == nil {
+				t.Fatalf("with %d runs the newest poll is no delta", n)
+			}
 			full, ok := last.Expand(a.leader.described(last.Delta.Sequence))
 			if !ok || len(full.Runs) != n || full.State == nil || !full.Complete {
 				t.Fatalf("the leader understands %+v", full)
