--- a/sessions/entry/agents.go
+++ b/sessions/entry/agents.go
@@ -8,26 +8,26 @@
 	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
-// agentReport is what an agent last said in a poll.
+// agentReport is the newest poll of an agent and when it arrived.
 type agentReport struct {
 	membership.PollRequest
 	at time.Time
 }
 
-// agentTable has what each agent last said. The control goroutine writes it; the status page
-// reads it.
+// agentTable has the newest report of each agent that polls this entry. The control goroutine
+// writes it; the status page reads it.
 type agentTable struct {
 	mu     sync.Mutex
 	agents map[string]agentReport
 }
 
-// set takes in a poll and reports whether it says anything new.
+// set stores a poll and reports whether it differs from the previous one.
 func (t *agentTable) set(p membership.PollRequest) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	old, found := t.agents[p.Worker]
 	t.agents[p.Worker] = agentReport{PollRequest: p, at: time.Now()}
-	// The revisions that an agent has are for the status page and make no work.
+	// The revisions are only shown on the status page; a change of them needs no action.
 	p.Revision, p.ConfigRevision = old.Revision, old.ConfigRevision
 	return !found || !reflect.DeepEqual(p, old.PollRequest)
 }
@@ -38,7 +38,7 @@
 	delete(t.agents, worker)
 }
 
-// list returns the agents in no order.
+// list returns the reports in no particular order.
 func (t *agentTable) list() []agentReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/sessions/entry/avoidance.go
+++ b/sessions/entry/avoidance.go
@@ -8,43 +8,42 @@
 	"yarrowgrade.example/yarrowgrade/sessions/ledger"
 )
 
-// Settings of an avoidance.
+// How long and how many agents are avoided.
 const (
-	// suspectFor is how long an agent that did not answer well gets no new work. It doubles
-	// with each further failure.
+	// suspectFor is how long an agent gets no new work after a failure. It doubles with each further
+	// failure in a row.
 	suspectFor = time.Second
-	// maxDoublings bounds that to 8 s, about as long as an agent takes to be replaced.
+	// maxDoublings limits this to 8 s, about the time in which an agent is replaced.
 	maxDoublings = 3
-	// leavingFor is how long an agent's word that it leaves counts while the ledger does not
-	// show it.
+	// leavingFor is how long a leaving notice counts before the ledger shows it.
 	leavingFor = time.Minute
-	// maxMarks is how many marks are kept before those that are over are dropped: 1,400 workers
-	// and some teams each.
+	// maxMarks is the number of marks above which expired ones are removed. It fits 1,400 workers
+	// with several teams each.
 	maxMarks = 10_000
 )
 
-// incarnation names one life of a worker's agent.
+// incarnation identifies one run of a worker's agent.
 type incarnation struct{ worker, id string }
 
 func incarnationOf(w ledger.Worker) incarnation {
 	return incarnation{worker: w.Name, id: w.Incarnation}
 }
 
-// suspicion is what failures in a row say about an agent.
+// suspicion counts the failures in a row of an agent.
 type suspicion struct {
 	failures int
-	until    time.Time
+	// until is when the agent may be tried again.
+	until time.Time
 }
 
-// avoidance knows which agents get no new work from this entry, and why. It is safe for
-// concurrent use.
+// avoidance records which agents get no new work from this entry. It is safe for concurrent use.
 type avoidance struct {
 	mu sync.Mutex
-	// left has until when an agent's word that it leaves counts.
+	// left has the agents that are leaving, with the end of leavingFor.
 	left map[incarnation]time.Time
-	// full has until when an agent has no room for a team.
+	// full has until when an agent's queue counts as full for a team.
 	full map[teamAt]time.Time
-	// suspects has those that failed and have not answered well since.
+	// suspects has the agents that failed and have not succeeded since.
 	suspects map[incarnation]suspicion
 }
 
@@ -55,30 +54,34 @@
 }
 
 func newAvoidance() *avoidance {
-	return &avoidance{left: make(map[incarnation]time.Time), full: make(map[teamAt]time.Time), suspects: make(map[incarnation]suspicion)}
+	return &avoidance{
+		left:     make(map[incarnation]time.Time),
+		full:     make(map[teamAt]time.Time),
+		suspects: make(map[incarnation]suspicion),
+	}
 }
 
-// leave notes that an agent takes no new work.
+// leave records that an agent takes no new work.
 func (a *avoidance) leave(agent incarnation) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	mark(a.left, agent, time.Now().Add(leavingFor))
 }
 
-// refuse notes that an agent has no room for a team for a while. It may have for others.
+// refuse records that an agent refused a request of a team. Other teams may still use the agent.
 func (a *avoidance) refuse(agent incarnation, team string, d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	mark(a.full, teamAt{agent: agent, team: team}, time.Now().Add(min(d, suspectFor)))
 }
 
-// fail notes that an agent did not answer, or that its target did not answer in time.
+// fail records that an agent did not answer, or that its target did not answer in time.
 func (a *avoidance) fail(agent incarnation) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := a.suspects[agent]
 	if time.Now().Before(s.until) {
-		// It failed together with the one that made it suspect.
+		// This request was sent before the agent became suspect, so it is no further failure.
 		return
 	}
 	s.until = time.Now().Add(suspectFor << min(s.failures, maxDoublings))
@@ -89,16 +92,15 @@
 	}
 }
 
-// succeed notes that an agent's target has answered.
+// succeed records that an agent's target has answered.
 func (a *avoidance) succeed(agent incarnation) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.suspects, agent)
 }
 
-// usable reports whether an agent may get new work of a team, and whether it is a suspect. One
-// that has been suspect and has not answered since gets one request at a time, to see whether
-// it is well again.
+// usable reports whether an agent may get new work of a team, and whether it is a suspect. After its
+// suspicion has ended, an agent gets one request at a time until one succeeds.
 func (a *avoidance) usable(agent incarnation, team string, inflight int) (ok, suspect bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -110,7 +112,7 @@
 	return true, found && (now.Before(s.until) || inflight > 0)
 }
 
-// mark keeps the later of two times, and drops those that are over when there are too many.
+// mark extends the mark of key to until. It removes expired marks when there are more than maxMarks.
 func mark[K comparable](marks map[K]time.Time, key K, until time.Time) {
 	if until.After(marks[key]) {
 		marks[key] = until
--- a/sessions/entry/callers.go
+++ b/sessions/entry/callers.go
@@ -18,12 +18,12 @@
 	Service string `json:"service"`
 }
 
-// KeyAnswer has a key for one request that must not be repeated.
+// KeyAnswer contains a key for one request that must not be repeated.
 type KeyAnswer struct {
 	Key string `json:"key"`
 }
 
-// serveKey gives a caller a key.
+// serveKey returns a key for an agent of the service that can take work.
 func (e *Entry) serveKey(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var in KeyRequest
 	if err := jsonhttp.Read(w, r, &in); err != nil {
@@ -42,7 +42,7 @@
 	jsonhttp.Write(w, http.StatusOK, KeyAnswer{Key: key.String()})
 }
 
-// serveRequest takes a caller's request and answers with its outcome.
+// serveRequest routes a caller's request to an agent and returns the outcome.
 func (e *Entry) serveRequest(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var call request.Call
 	if err := jsonhttp.Read(w, r, &call); err != nil {
@@ -60,7 +60,8 @@
 		return
 	}
 	if once, name := set.NotRepeatable(subject); once && call.Key == "" {
-		jsonhttp.WriteError(w, fault.BadField("key", "policy %s says that this must not be repeated, so it needs one; POST /v1/keys gives it", name))
+		jsonhttp.WriteError(w, fault.BadField("key",
+			"policy %s says that this must not be repeated, so it needs one; POST /v1/keys gives it", name))
 		return
 	}
 	answer := e.router.route(r.Context(), call)
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// statusOf is the status code of an outcome.
+// statusOf returns the HTTP status of an outcome.
 func statusOf(o request.Outcome) int {
 	switch o {
 	case request.Done:
--- a/sessions/entry/control.go
+++ b/sessions/entry/control.go
@@ -9,50 +9,54 @@
 	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
-// Settings of the control goroutine.
+// Periods and timeouts of the control goroutine.
 const (
-	// controlPeriod is how often wants are looked at that time may bring due.
+	// controlPeriod is how often pending proposals and preparing gangs are checked.
 	controlPeriod = 200 * time.Millisecond
-	// decidePauseFactor is how many times longer than a decision takes the next one waits. A burst of
-	// sessions makes decisions long and changes the state all the time; without a rest nothing
-	// else would be done.
+	// The next decision starts no sooner than decidePauseFactor times the duration of the last one
+	// after its start. In a burst of sessions decisions are slow and the state changes all the time;
+	// without the pause the goroutine would do nothing else.
 	decidePauseFactor = 10
-	// stagger is how much longer each entry behind the preferred one waits before it proposes.
+	// stagger is how long an entry waits for each entry of a lower rank before it makes a shared
+	// proposal.
 	stagger = 700 * time.Millisecond
-	// proposeTimeout bounds one proposal.
+	// proposeTimeout limits one proposal.
 	proposeTimeout = 5 * time.Second
-	// rejectedPause is how long a want rests after its proposal was rejected or failed.
+	// rejectedPause is the pause before a rejected or failed proposal is made again.
 	rejectedPause = time.Second
-	// decidePeriod is how often decisions are made again while nothing changes; waiting times
-	// grow meanwhile.
+	// decidePeriod is how often decisions are made while nothing changes, since the waiting times
+	// still grow.
 	decidePeriod = 5 * time.Second
 )
 
-// control is the state of the control goroutine.
+// control is the state of the control goroutine, which takes in changes of the ledger and reports of
+// agents, and makes proposals.
 type control struct {
 	entry *Entry
-	gone  map[string]bool
-	// dirty says that something has changed since the last pass; dueIn is when to pass again
-	// although nothing has.
+	// gone has the workers that the platform has declared gone.
+	gone map[string]bool
+	// dirty means that something has changed since the last call of reconcile; dueIn is when to
+	// call it again if nothing changes.
 	dirty bool
 	dueIn time.Duration
-	// firstSeenAt has when each want was first seen, and each preparing placement.
+	// firstSeenAt is when each proposal and each preparing placement was first seen.
 	firstSeenAt map[string]time.Time
-	// pausedUntil has until when a want is left alone; a zero time means that its proposal is under
-	// way.
+	// pausedUntil has the proposals that are not to be made again yet. The zero time means that one
+	// is in progress.
 	pausedUntil map[string]time.Time
 	results     chan proposalResult
-	// decided are the wants of the last decision, made at decidedAt for decidedRevision.
+	// decided are the proposals of the last decision, which was made at decidedAt for the state of
+	// decidedRevision.
 	decided        []proposal
 	decidedAt      time.Time
 	decideDuration time.Duration
-	// deferred says that the last decision is out of date, and that the next one has to wait its
-	// turn.
+	// deferred means that the last decision is out of date, but the pause before the next one is not
+	// over.
 	deferred        bool
 	decidedRevision int64
 }
 
-// proposalResult is the end of a proposal.
+// proposalResult is the outcome of a proposal.
 type proposalResult struct {
 	proposal proposal
 	verdict  ledger.Verdict
@@ -61,8 +65,11 @@
 
 func newControl(e *Entry) *control {
 	return &control{
-		entry: e, gone: make(map[string]bool),
-		firstSeenAt: make(map[string]time.Time), pausedUntil: make(map[string]time.Time), results: make(chan proposalResult),
+		entry:       e,
+		gone:        make(map[string]bool),
+		firstSeenAt: make(map[string]time.Time),
+		pausedUntil: make(map[string]time.Time),
+		results:     make(chan proposalResult),
 	}
 }
 
@@ -123,9 +130,11 @@
 	switch v.Status {
 	case ledger.Accepted:
 	case ledger.Unreadable:
-		t.Log.Error().Str("step", "ledger.fold").Int64("offset", v.Offset).Str("reason", v.Reason).Msg("record is unreadable and has no effect")
+		t.Log.Error().Str("step", "ledger.fold").Int64("offset", v.Offset).Str("reason", v.Reason).
+			Msg("record is unreadable and has no effect")
 	default:
-		t.Log.Info().Str("step", "ledger.fold").Int64("offset", v.Offset).Str("status", string(v.Status)).Str("reason", v.Reason).Msg("record has no effect")
+		t.Log.Info().Str("step", "ledger.fold").Int64("offset", v.Offset).Str("status", string(v.Status)).
+			Str("reason", v.Reason).Msg("record has no effect")
 	}
 }
 
@@ -149,13 +158,16 @@
 	if r.err != nil || r.verdict.Status != ledger.Accepted {
 		c.pausedUntil[r.proposal.key] = time.Now().Add(rejectedPause)
 		c.entry.parts.Telemetry.Metrics.Counter("proposals_without_effect").Inc(1)
-		log.Info().Str("step", "entry.propose").Str("want", r.proposal.key).Str("reason", r.verdict.Reason).Err(r.err).Msg("proposal has no effect")
+		log.Info().Str("step", "entry.propose").Str("want", r.proposal.key).Str("reason", r.verdict.Reason).
+			Err(r.err).Msg("proposal has no effect")
 		return
 	}
-	log.Info().Str("step", "entry.propose").Str("want", r.proposal.key).Int64("offset", r.verdict.Offset).Msg("accepted")
+	log.Info().Str("step", "entry.propose").Str("want", r.proposal.key).
+		Int64("offset", r.verdict.Offset).Msg("accepted")
 }
 
-// reconcile compares what is with what should be, and proposes the difference.
+// reconcile derives the proposals from the current state and starts those that are due. Proposals
+// are not queued: one that no longer follows from the state disappears.
 func (c *control) reconcile(ctx context.Context) {
 	c.dirty, c.dueIn = false, decidePeriod
 	if !c.entry.ready.Load() {
@@ -174,12 +186,12 @@
 	}
 }
 
-// nextDue returns when to look again although nothing changes: when the next decision has its
-// turn, soon while something is wanted or a gang prepares, and later for a new decision, since
-// waiting times grow.
-func (c *control) nextDue(state ledger.State, wanted bool) time.Duration {
+// nextDue returns how long to wait before the next call of reconcile if nothing changes:
+// controlPeriod while there are proposals or a gang prepares, otherwise decidePeriod, but no longer
+// than to the end of the pause before a deferred decision.
+func (c *control) nextDue(state ledger.State, pending bool) time.Duration {
 	due := decidePeriod
-	if wanted || state.Preparing() {
+	if pending || state.Preparing() {
 		due = controlPeriod
 	}
 	if c.deferred {
@@ -188,15 +200,15 @@
 	return max(due, 0)
 }
 
-// due reports whether a want is to be proposed now. What any entry could propose waits for the
-// entries preferred.
+// due reports whether to make a proposal now. A shared one is left to the entries of lower rank for
+// the duration of patience.
 func (c *control) due(p proposal, patience time.Duration) bool {
 	now := time.Now()
 	if until, found := c.pausedUntil[p.key]; found && (until.IsZero() || now.Before(until)) {
 		return false
 	}
 	delete(c.pausedUntil, p.key)
-	// The want may be seen for the first time just now, so the time since then is taken after that.
+	// Read the clock after firstSeen, which may set the time to now.
 	return !p.shared || time.Since(c.firstSeen(p.key)) >= patience
 }
 
@@ -209,7 +221,7 @@
 	return now
 }
 
-// forgetStale drops the times of wants that are no more.
+// forgetStale removes the times of proposals that no longer exist.
 func (c *control) forgetStale(proposals []proposal, state ledger.State) {
 	keep := make(map[string]bool)
 	for _, p := range proposals {
@@ -231,7 +243,8 @@
 	}
 }
 
-// propose appends the want's record beside the control goroutine, which never waits on I/O.
+// propose appends a record in a goroutine of its own, because the control goroutine must not wait for
+// I/O. The outcome arrives in results.
 func (c *control) propose(ctx context.Context, p proposal) {
 	c.pausedUntil[p.key] = time.Time{}
 	go func() {
--- a/sessions/entry/entry.go
+++ b/sessions/entry/entry.go
@@ -1,16 +1,28 @@
-// Package entry is the process on an entry box. It takes callers' requests and operators'
-// calls, follows the ledger, decides placements and proposes them, and tells agents what is in
-// force.
+// Package entry implements the process on an entry box. It routes callers' requests to agents,
+// serves operators, follows the ledger, decides and proposes placements, and tells agents what
+// concerns them.
 //
-// Any number of entries run side by side. None is needed for safety: what they propose is
-// settled by its place in the log. To save work, one of them is preferred for what any could
-// propose, and the others wait a little longer.
+// Any number of entries run at the same time, and safety depends on none of them: the order of the
+// log decides between proposals. To avoid useless proposals, entries propose in the order of their
+// ranks, and each waits a little longer than the one before.
+//
+// # State
+//
+// An entry keeps nothing on disk. It owns a replica of the ledger, the newest report of each agent
+// that polls it, and what it knows of other entries and of agents to avoid. After a restart it
+// reads the ledger and agents poll again.
 //
 // # Goroutines
 //
-// One goroutine owns control state (control.go): it folds records in, takes in what agents
-// report, and decides what to propose. It publishes immutable values. Traffic runs on the
-// goroutines of net/http and reads only those.
+// One goroutine owns the control state (control.go): it applies the records of the log, takes in
+// the agents' reports, and decides what to propose. It publishes immutable values. Requests run on
+// the goroutines of net/http and read only these values.
+//
+// # Dependencies
+//
+// The platform's log, its list of boxes and its list of gone workers; see Run for how often each is
+// asked. Without the log an entry takes newer states from other entries, still routes requests, and
+// proposes nothing. Without the list of boxes it uses the entries it knows.
 //
 // # Usage
 //
@@ -18,7 +30,7 @@
 //	go e.Run(ctx)
 //	http.Serve(listener, e.Handler())
 //	...
-//	e.Leave() // fails readiness; the process waits for its balancer, then closes the listener
+//	e.Leave() // fails the readiness check; close the listener once the load balancer has noticed
 package entry
 
 import (
@@ -38,30 +50,35 @@
 	"yarrowgrade.example/yarrowgrade/sessions/policy"
 )
 
-// Settings of an entry.
+// Settings configure an entry.
 type Settings struct {
 	Name string
-	// Region may stay empty where there is one region only. Requests stay in it while a target
-	// there can take them.
+	// Region may be empty if there is only one. Requests go to targets in the entry's region while
+	// one there can take them.
 	Region string
 	Zone   string
-	// Address is the base URL at which agents and other entries reach this one.
+	// Address is the base URL of this entry for agents and other entries.
 	Address string
-	// Peers are the base URLs of other entries. The platform's list of boxes adds to them.
+	// Peers are the base URLs of other entries. Those in the platform's list of boxes are added.
 	Peers []string
 	// PrepareTimeout is how long a gang may prepare before its placement is given up.
 	PrepareTimeout time.Duration
-	// SnapshotRecords and SnapshotAge say when the next snapshot is due.
+	// SnapshotRecords and SnapshotAge are the number of records and the time after which the next
+	// snapshot is due, whichever comes first.
 	SnapshotRecords int64
 	SnapshotAge     time.Duration
 }
 
-// DefaultSettings returns settings with everything but the identity.
+// DefaultSettings returns settings without Name, Region, Zone, Address and Peers.
 func DefaultSettings() Settings {
-	return Settings{PrepareTimeout: 10 * time.Second, SnapshotRecords: 500, SnapshotAge: 10 * time.Minute}
+	return Settings{
+		PrepareTimeout:  10 * time.Second,
+		SnapshotRecords: 500,
+		SnapshotAge:     10 * time.Minute,
+	}
 }
 
-// Validate returns a *fault.Field for the first setting that is wrong.
+// Validate returns a *fault.Field for the first invalid setting.
 func (s Settings) Validate() error {
 	if s.Name == "" {
 		return fault.BadField("name", "must not be empty")
@@ -86,16 +103,16 @@
 	return nil
 }
 
-// Parts are what an entry works with.
+// Parts are the dependencies of an entry.
 type Parts struct {
 	Platform  hosting.Platform
 	Client    *http.Client
 	Telemetry *telemetry.Telemetry
-	// Random returns a number from 0 to n-1. It spreads requests over agents.
+	// Random returns a number from 0 to n-1. It is used to spread requests over agents.
 	Random func(n int) int
 }
 
-// Entry is one entry.
+// Entry is an entry. Its methods are safe for concurrent use.
 type Entry struct {
 	settings Settings
 	parts    Parts
@@ -108,19 +125,18 @@
 	agents   *agentTable
 	log      atomic.Pointer[logHealth]
 	ready    atomic.Bool
-	// staying ends when the entry leaves, by leave.
+	// staying is cancelled by leave when the entry leaves.
 	staying context.Context
 	leave   context.CancelFunc
 	polling atomic.Pointer[pollTerm]
-	// steppedBack says that agents have been sent to entries that reach the log. Only the
-	// goroutine of the peers uses it.
+	// steppedBack means that agents were sent to entries that reach the log. Only checkPeers uses
+	// it.
 	steppedBack bool
-	// began is when the entry was made. It stands for the time of the last snapshot while there
-	// is none.
+	// began is when the entry was created. Until there is a snapshot, its age counts from then.
 	began time.Time
 }
 
-// logHealth is what the last reads of the log said.
+// logHealth says whether the log can be read.
 type logHealth struct {
 	reachable bool
 	// lastRead is when a read last succeeded.
@@ -131,10 +147,13 @@
 func New(s Settings, p Parts) *Entry {
 	replica := ledger.NewReplica()
 	e := &Entry{
-		settings: s, parts: p, replica: replica,
+		settings: s,
+		parts:    p,
+		replica:  replica,
 		proposer: ledger.NewProposer(p.Platform, replica),
-		polls:    make(chan membership.PollRequest), began: time.Now(),
-		agents: &agentTable{agents: make(map[string]agentReport)},
+		polls:    make(chan membership.PollRequest),
+		began:    time.Now(),
+		agents:   &agentTable{agents: make(map[string]agentReport)},
 	}
 	e.staying, e.leave = context.WithCancel(context.Background())
 	e.polling.Store(e.newPollTerm())
@@ -145,8 +164,7 @@
 	return e
 }
 
-// Run follows the ledger and decides until ctx ends. These are all background jobs, with their
-// periods:
+// Run runs the background jobs of the entry until ctx ends:
 //
 //	follow    the log, by long poll
 //	control   on every change, and when time brings something due
@@ -165,13 +183,13 @@
 	wg.Wait()
 }
 
-// checkPeers learns which entries are alive, and steps back if this one is worse off than they.
+// checkPeers pings the other entries, and steps back if they reach the log and this one does not.
 func (e *Entry) checkPeers(ctx context.Context) {
 	e.peers.ping(ctx)
 	e.stepBackIfCut()
 }
 
-// every calls job at once and then once a period, until ctx ends.
+// every calls job now and then once per period, until ctx ends.
 func every(ctx context.Context, period time.Duration, job func(context.Context)) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -184,15 +202,20 @@
 	}
 }
 
-// Leave fails the readiness check, so that the balancer sends no more, and lets agents turn to
-// other entries. Requests are still served.
+// Leave fails the readiness check, so that load balancers send no new requests, and sends the agents
+// to other entries. Requests are still served.
 func (e *Entry) Leave() { e.leave() }
 
 func (e *Entry) isLeaving() bool { return e.staying.Err() != nil }
 
-// Info says where the entry is.
+// Info returns the name, place and address of the entry.
 func (e *Entry) Info() membership.EntryInfo {
-	return membership.EntryInfo{Name: e.settings.Name, Region: e.settings.Region, Zone: e.settings.Zone, Address: e.settings.Address}
+	return membership.EntryInfo{
+		Name:    e.settings.Name,
+		Region:  e.settings.Region,
+		Zone:    e.settings.Zone,
+		Address: e.settings.Address,
+	}
 }
 
 // Periods of the background jobs.
@@ -201,7 +224,7 @@
 	snapshotPeriod = time.Second
 )
 
-// refreshGone hands the platform's word on lost workers to the control goroutine.
+// refreshGone sends the list of gone workers to the control goroutine.
 func (e *Entry) refreshGone(ctx context.Context, out chan<- []string) {
 	bounded, cancel := context.WithTimeout(ctx, gonePeriod)
 	defer cancel()
@@ -216,5 +239,5 @@
 	}
 }
 
-// State returns the newest state of the ledger that the entry has folded in.
+// State returns the newest state of the ledger that the entry has applied.
 func (e *Entry) State() ledger.State { return e.replica.State() }
--- a/sessions/entry/explain.go
+++ b/sessions/entry/explain.go
@@ -8,21 +8,23 @@
 	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
-// explain says in a few lines why a session is where it is.
+// explain returns a few lines that say why a session runs or waits.
 func (e *Entry) explain(state ledger.State, s ledger.Session) []string {
 	switch s.Phase {
 	case ledger.SessionFinished, ledger.SessionCancelled:
 		return []string{fmt.Sprintf("%s since %s.", s.Phase, clock(s.Since))}
 	case ledger.SessionPlaced:
 		p, _ := state.Placement(s.Token)
-		return []string{fmt.Sprintf("placed by placement %d, which is %s on %d workers. %s", p.Token, p.Phase, len(p.Members), p.Reason)}
+		return []string{fmt.Sprintf("placed by placement %d, which is %s on %d workers. %s",
+			p.Token, p.Phase, len(p.Members), p.Reason)}
 	}
 	lines := []string{fmt.Sprintf("waits since %s for %d accelerators in one %s; restarted %d times.",
 		clock(s.Since), s.Shape.Accelerators, placeName(s.Shape.Adjacency), s.Restarts)}
 	in := state.DecisionInput(time.Now(), e.yieldRank(state))
 	lines = append(lines, placement.Explain(in, state.Profile(), s.Name)...)
 	if health := e.log.Load(); !health.reachable {
-		lines = append(lines, fmt.Sprintf("The log has not answered for %s; nothing new is placed until it does.", time.Since(health.lastRead).Round(time.Second)))
+		lines = append(lines, fmt.Sprintf("The log has not answered for %s; nothing new is placed until it does.",
+			time.Since(health.lastRead).Round(time.Second)))
 	}
 	return lines
 }
--- a/sessions/entry/operators.go
+++ b/sessions/entry/operators.go
@@ -21,11 +21,11 @@
 // SessionView is a session as operators see it.
 type SessionView struct {
 	ledger.Session
-	// Placement is where it is; nil while it waits.
+	// Placement is nil while the session waits.
 	Placement *ledger.Placement `json:"placement,omitempty"`
 }
 
-// TeamView is a team with what it uses.
+// TeamView is a team with the use of its guarantees and its number of sessions.
 type TeamView struct {
 	ledger.Team
 	Entitlements []placement.Entitlement `json:"entitlements"`
@@ -39,21 +39,21 @@
 	Author   string          `json:"author"`
 }
 
-// PutAnswer is the answer to an accepted change.
+// PutAnswer is the answer to an accepted change of the configuration.
 type PutAnswer struct {
 	Revision int64 `json:"revision"`
 }
 
-// Explanation says why a session waits.
+// Explanation says why a session runs or waits.
 type Explanation struct {
 	Session ledger.Session `json:"session"`
 	Lines   []string       `json:"lines"`
 }
 
-// Status is what all entries tell.
+// Status is the status of all known entries.
 type Status struct {
 	Entries []membership.EntryStatus `json:"entries"`
-	// Shortfall lists guarantees that could not be had back now.
+	// Shortfall lists the guarantees that could not be met now.
 	Shortfall []placement.Entitlement `json:"shortfall"`
 }
 
@@ -85,11 +85,15 @@
 }
 
 func notFound(kind, name string) error {
-	return &jsonhttp.StatusError{Status: http.StatusNotFound, Message: "no " + kind + " " + strconv.Quote(name), Field: "name"}
+	return &jsonhttp.StatusError{
+		Status:  http.StatusNotFound,
+		Message: "no " + kind + " " + strconv.Quote(name),
+		Field:   "name",
+	}
 }
 
-// serveCreate accepts a session. It answers after the record is in the ledger; asking again for
-// the same is no error.
+// serveCreate creates a session and answers once it is in the ledger. Creating an identical session
+// again is no error.
 func (e *Entry) serveCreate(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var spec ledger.SessionSpec
 	if err := jsonhttp.Read(w, r, &spec); err != nil {
@@ -102,10 +106,14 @@
 		return
 	}
 	if allowed, name := e.policies.Load().set.Allowed(sessionSubject(spec)); !allowed {
-		jsonhttp.WriteError(w, &jsonhttp.StatusError{Status: http.StatusForbidden, Message: "policy " + name + " does not allow it"})
+		jsonhttp.WriteError(w, &jsonhttp.StatusError{
+			Status:  http.StatusForbidden,
+			Message: "policy " + name + " does not allow it",
+		})
 		return
 	}
-	_, err := e.propose(r.Context(), ledger.Record{Create: &ledger.CreateSession{Spec: spec, Trace: e.parts.Telemetry.TraceOf(r.Context())}})
+	create := ledger.CreateSession{Spec: spec, Trace: e.parts.Telemetry.TraceOf(r.Context())}
+	_, err := e.propose(r.Context(), ledger.Record{Create: &create})
 	state := e.replica.State()
 	made, found := state.Session(spec.Name)
 	if err != nil && !(found && made.SessionSpec == spec) {
@@ -196,11 +204,11 @@
 	jsonhttp.Write(w, http.StatusOK, entry)
 }
 
-// configKey is the rest of the path, which may hold a slash.
+// configKey returns the key in the path. Keys may contain a slash.
 func configKey(ps httprouter.Params) string { return strings.TrimPrefix(ps.ByName("key"), "/") }
 
-// servePut changes one entry of the configuration. A change based on another revision than the
-// current one is refused.
+// servePut changes one entry of the configuration. A change that is not based on the current revision
+// of the entry is rejected.
 func (e *Entry) servePut(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
 	var in ConfigPut
 	if err := jsonhttp.Read(w, r, &in); err != nil {
@@ -221,7 +229,7 @@
 	jsonhttp.Write(w, http.StatusOK, PutAnswer{Revision: v.Offset})
 }
 
-// serveCheck compiles a policy without putting it in force.
+// serveCheck validates and compiles a policy without storing it.
 func (e *Entry) serveCheck(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var p policy.Policy
 	if err := jsonhttp.Read(w, r, &p); err != nil {
@@ -235,10 +243,10 @@
 	jsonhttp.Write(w, http.StatusOK, p)
 }
 
-// statusTimeout bounds the question to one peer.
+// statusTimeout limits the status call to one peer.
 const statusTimeout = time.Second
 
-// serveStatus asks all known entries for their status.
+// serveStatus returns the status of this entry and of all known peers.
 func (e *Entry) serveStatus(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	addresses := e.peers.addresses()
 	statuses := make([]membership.EntryStatus, len(addresses)+1)
--- a/sessions/entry/peers.go
+++ b/sessions/entry/peers.go
@@ -16,7 +16,7 @@
 	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
-// Settings of the peers.
+// Periods and timeouts of the calls to other entries.
 const (
 	pingPeriod = time.Second
 	// aliveFor is how long a peer counts as alive after its last answer.
@@ -28,16 +28,16 @@
 // peer is another entry.
 type peer struct {
 	info membership.EntryInfo
-	// seen is when it last answered.
+	// seen is when it last answered; zero if never.
 	seen time.Time
-	// logReachable is what it said then.
+	// logReachable says whether it could reach the log then.
 	logReachable bool
 }
 
 func (p peer) isAlive() bool { return !p.seen.IsZero() && time.Since(p.seen) < aliveFor }
 
-// peers knows the other entries. The platform's list of boxes is a hint; an entry counts by its
-// own answers.
+// peers keeps track of the other entries. The platform's list of boxes is only a hint where to find
+// them; whether an entry is alive is decided by its answers.
 type peers struct {
 	settings Settings
 	parts    Parts
@@ -53,9 +53,8 @@
 	return ps
 }
 
-// ping asks all known peers, and learns new ones from the platform's list. The list is asked
-// at the same time as the peers: if it came first, an entry that is cut off the platform would take all
-// peers for dead.
+// ping pings all known peers and discovers new ones. Both happen at the same time, because an entry
+// that cannot reach the platform would otherwise consider all peers dead.
 func (ps *peers) ping(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
@@ -67,6 +66,8 @@
 	wg.Wait()
 }
 
+// discover adds the entries in the platform's list of boxes. An error is ignored: the known peers
+// remain, and the next ping asks again.
 func (ps *peers) discover(ctx context.Context) {
 	boxes, err := ps.parts.Platform.Boxes(ctx)
 	if err != nil {
@@ -106,12 +107,12 @@
 	return list
 }
 
-// alive returns the peers that answered lately, by name.
+// alive returns the peers that are alive, by name.
 func (ps *peers) alive() []membership.EntryInfo {
 	return ps.filter(func(p peer) bool { return p.isAlive() })
 }
 
-// withLog returns those of them that reach the log.
+// withLog returns the peers that are alive and reach the log, by name.
 func (ps *peers) withLog() []membership.EntryInfo {
 	return ps.filter(func(p peer) bool { return p.isAlive() && p.logReachable })
 }
@@ -129,7 +130,8 @@
 	return list
 }
 
-// rank is this entry's place among those alive: zero for the preferred one.
+// rank returns this entry's place in the order of the live entries. The entry of rank zero proposes
+// first.
 func (ps *peers) rank() int {
 	names := []string{ps.settings.Name}
 	for _, info := range ps.alive() {
@@ -143,8 +145,8 @@
 	return 0
 }
 
-// NewerState implements ledger.PeerStates: it asks the peers in turn, those that are alive if
-// any are.
+// NewerState implements ledger.PeerStates. It asks the live peers in turn or, if there are none, all
+// known ones.
 func (ps *peers) NewerState(ctx context.Context, revision int64) (ledger.State, bool) {
 	addresses := ps.addresses()
 	if alive := ps.alive(); len(alive) > 0 {
@@ -172,7 +174,8 @@
 	}
 	s, err := ledger.DecodeState(data)
 	if err != nil {
-		ps.parts.Telemetry.Log.Error().Str("step", "entry.state").Str("peer", address).Err(err).Msg("peer's state is unreadable")
+		ps.parts.Telemetry.Log.Error().Str("step", "entry.state").Str("peer", address).Err(err).
+			Msg("peer's state is unreadable")
 		return ledger.State{}, false
 	}
 	return s, s.Revision() > revision
--- a/sessions/entry/polls.go
+++ b/sessions/entry/polls.go
@@ -14,8 +14,7 @@
 	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
-// serveJoin records an agent's incarnation. The same incarnation may ask again when an answer
-// was lost.
+// serveJoin records an agent's incarnation in the ledger. The call may be repeated.
 func (e *Entry) serveJoin(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var worker ledger.Worker
 	if err := jsonhttp.Read(w, r, &worker); err != nil {
@@ -26,7 +25,8 @@
 		jsonhttp.WriteError(w, err)
 		return
 	}
-	if known, found := e.replica.State().Worker(worker.Name); found && known.Incarnation == worker.Incarnation && !known.Leaving {
+	known, found := e.replica.State().Worker(worker.Name)
+	if found && known.Incarnation == worker.Incarnation && !known.Leaving {
 		jsonhttp.Write(w, http.StatusOK, membership.JoinAnswer{Joined: known.Joined})
 		return
 	}
@@ -35,12 +35,13 @@
 		jsonhttp.WriteError(w, err)
 		return
 	}
-	e.parts.Telemetry.Log.Info().Str("step", "entry.join").Str("worker", worker.Name).Int64("offset", v.Offset).Msg("agent joined")
+	e.parts.Telemetry.Log.Info().Str("step", "entry.join").Str("worker", worker.Name).Int64("offset", v.Offset).
+		Msg("agent joined")
 	jsonhttp.Write(w, http.StatusOK, membership.JoinAnswer{Joined: v.Offset})
 }
 
-// propose appends a record for a caller who waits, and turns a rejection into an answer with
-// status 409.
+// propose appends a record on behalf of a waiting caller. A rejection becomes an error with status
+// 409.
 func (e *Entry) propose(ctx context.Context, r ledger.Record) (ledger.Verdict, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -54,7 +55,8 @@
 	return v, nil
 }
 
-// servePoll takes in what an agent says and answers as soon as there is something newer for it.
+// servePoll passes an agent's report to the control goroutine and answers as soon as there is
+// something newer for the agent.
 func (e *Entry) servePoll(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var in membership.PollRequest
 	if err := jsonhttp.Read(w, r, &in); err != nil {
@@ -74,11 +76,12 @@
 	stop := jsonhttp.KeepAlive(w, membership.KeepAlive)
 	v := e.awaitView(r.Context(), in)
 	stop()
-	// The status has been sent with the first newline.
+	// KeepAlive has sent the status already, so an error can no longer be answered.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// refusePoll checks that the agent is the one that the ledger knows.
+// refusePoll returns an error if the agent is not the worker's current incarnation or if this entry
+// cannot serve it.
 func (e *Entry) refusePoll(state ledger.State, in membership.PollRequest) error {
 	worker, known := state.Worker(in.Worker)
 	switch {
@@ -94,16 +97,16 @@
 	return &jsonhttp.StatusError{Status: http.StatusConflict, Message: "another incarnation has replaced this one"}
 }
 
-// awaitView waits up to membership.PollWait for a view that is newer than what the poll names.
-// If there is none, or the agent is replaced meanwhile, the answer has nothing new and the
-// agent polls again.
+// awaitView waits up to membership.PollWait for a view that is newer than the revisions in the poll.
+// If there is none, or the agent is replaced in the meantime, it returns a view with nothing new.
 func (e *Entry) awaitView(ctx context.Context, in membership.PollRequest) membership.View {
 	ctx, cancel := context.WithTimeout(ctx, membership.PollWait)
 	defer cancel()
 	defer context.AfterFunc(e.polling.Load().ctx, cancel)()
 	state, err := e.replica.WaitWorker(ctx, in.Worker, func(s ledger.State) bool {
 		worker, known := s.Worker(in.Worker)
-		return !known || worker.Incarnation != in.Incarnation || worker.Revision > in.Revision || s.ConfigRevision() > in.ConfigRevision
+		replaced := !known || worker.Incarnation != in.Incarnation
+		return replaced || worker.Revision > in.Revision || s.ConfigRevision() > in.ConfigRevision
 	})
 	worker, known := state.Worker(in.Worker)
 	if err != nil || !known || worker.Incarnation != in.Incarnation {
@@ -112,8 +115,8 @@
 	return membership.NewView(state, worker, in.ConfigRevision, e.entries())
 }
 
-// entries lists the entries that an agent should poll: those that are alive, this one too
-// unless it leaves. If this one is cut off the log and others are not, it lists only them.
+// entries returns the entries that an agent should poll: all live ones, including this one unless it
+// is leaving. If this entry cannot reach the log and others can, it returns only those.
 func (e *Entry) entries() []membership.EntryInfo {
 	if e.isLeaving() {
 		return e.peers.alive()
@@ -124,7 +127,8 @@
 	return append([]membership.EntryInfo{e.Info()}, e.peers.alive()...)
 }
 
-// pollTerm is a time during which polls are held. It ends when the entry steps back or leaves.
+// pollTerm is a period during which polls are held open. Its end answers all of them; it ends when
+// the entry steps back or leaves.
 type pollTerm struct {
 	ctx context.Context
 	end context.CancelFunc
@@ -135,20 +139,22 @@
 	return &pollTerm{ctx: ctx, end: end}
 }
 
-// stepBackIfCut ends all open polls when this entry is cut off the log and others are not. What
-// agents report here could not be recorded: gangs that are ready would not start, and work that
-// is done would not be released. The agents turn to the entries that the answers name. Those
-// who still come, because they reach no other, are served as usual.
+// stepBackIfCut answers all open polls when this entry loses the log while other entries reach it.
+// Reports of agents could not be recorded here, so ready gangs would not start and finished ones
+// would not be released. The answers name the other entries. Agents that still poll this entry,
+// because they reach no other, are served as usual.
 func (e *Entry) stepBackIfCut() {
 	cut := e.ready.Load() && !e.log.Load().reachable && len(e.peers.withLog()) > 0
 	if cut && !e.steppedBack {
-		e.parts.Telemetry.Log.Warn().Str("step", "entry.stepBack").Msg("cut off the log while others are not; agents are sent to them")
+		e.parts.Telemetry.Log.Warn().Str("step", "entry.stepBack").
+			Msg("this entry cannot reach the log, others can; agents are sent to them")
 		e.polling.Swap(e.newPollTerm()).end()
 	}
 	e.steppedBack = cut
 }
 
-// serveLeaving drops an agent from routing at once, and records that it leaves.
+// serveLeaving stops sending requests to an agent that is leaving. The ledger learns of it through
+// the agent's poll.
 func (e *Entry) serveLeaving(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var in membership.LeavingNotice
 	if err := jsonhttp.Read(w, r, &in); err != nil {
@@ -163,8 +169,8 @@
 	jsonhttp.Write(w, http.StatusOK, struct{}{})
 }
 
-// serveState hands the whole state to a peer that cannot read the log, or 204 if there is
-// nothing newer.
+// serveState returns the whole state to a peer that cannot read the log, or status 204 if the peer's
+// state is as new.
 func (e *Entry) serveState(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	newerThan, err := queryNumber(r, "newer_than")
 	if err != nil {
@@ -185,18 +191,25 @@
 	_, _ = w.Write(data)
 }
 
-// ownStatus is what the entry tells of itself.
+// ownStatus returns the status of this entry.
 func (e *Entry) ownStatus() membership.EntryStatus {
 	state := e.replica.State()
 	health := e.log.Load()
 	s := membership.EntryStatus{
-		EntryInfo: e.Info(), Revision: state.Revision(), ConfigRevision: state.ConfigRevision(),
-		LogReachable: health.reachable, SinceLogMillis: time.Since(health.lastRead).Milliseconds(), Leaving: e.isLeaving(),
+		EntryInfo:      e.Info(),
+		Revision:       state.Revision(),
+		ConfigRevision: state.ConfigRevision(),
+		LogReachable:   health.reachable,
+		SinceLogMillis: time.Since(health.lastRead).Milliseconds(),
+		Leaving:        e.isLeaving(),
 	}
 	for _, a := range e.agents.list() {
 		s.Agents = append(s.Agents, membership.AgentStatus{
-			Worker: a.Worker, Incarnation: a.Incarnation, ConfigRevision: a.ConfigRevision,
-			Leaving: a.Leaving, SinceViewMillis: time.Since(a.at).Milliseconds(),
+			Worker:          a.Worker,
+			Incarnation:     a.Incarnation,
+			ConfigRevision:  a.ConfigRevision,
+			Leaving:         a.Leaving,
+			SinceViewMillis: time.Since(a.at).Milliseconds(),
 		})
 	}
 	return s
--- a/sessions/entry/proposals.go
+++ b/sessions/entry/proposals.go
@@ -10,18 +10,20 @@
 	"yarrowgrade.example/yarrowgrade/sessions/policy"
 )
 
-// proposal is a record that should be in the ledger.
+// proposal is a record that this entry wants to append to the ledger.
 type proposal struct {
-	// key names the want, so that it is proposed once at a time.
+	// key identifies the proposal, so that it is made once at a time.
 	key    string
 	record ledger.Record
-	// shared wants could come from any entry; the others rest on what an agent told only this one.
+	// shared proposals follow from what all entries know. The others follow from what an agent
+	// reported to this entry only.
 	shared bool
 }
 
 func prepareKey(token int64) string { return fmt.Sprintf("prepare/%d", token) }
 
-// reportedProposals returns what follows from the polls of the agents that this entry serves.
+// reportedProposals returns the proposals that follow from the polls of agents. It forgets agents
+// that have been replaced.
 func (c *control) reportedProposals(state ledger.State) []proposal {
 	var proposals []proposal
 	for _, a := range c.entry.agents.list() {
@@ -46,7 +48,7 @@
 	}
 }
 
-// stoppedProposals releases what the agent says has stopped.
+// stoppedProposals releases the members that the agent reports as stopped.
 func stoppedProposals(state ledger.State, a agentReport) []proposal {
 	var proposals []proposal
 	for _, s := range a.Stopped {
@@ -61,8 +63,13 @@
 
 func releaseProposal(token int64, worker string, cause ledger.ReleaseCause, progress time.Duration) proposal {
 	return proposal{
-		key:    fmt.Sprintf("release/%d/%s", token, worker),
-		record: ledger.Record{Release: &ledger.Release{Token: token, Worker: worker, Cause: cause, Progress: progress}},
+		key: fmt.Sprintf("release/%d/%s", token, worker),
+		record: ledger.Record{Release: &ledger.Release{
+			Token:    token,
+			Worker:   worker,
+			Cause:    cause,
+			Progress: progress,
+		}},
 	}
 }
 
@@ -78,21 +85,27 @@
 		case r.Failed != "" && p.Phase != ledger.Stopping:
 			proposals = append(proposals, stopProposal(r.Token, r.Failed, ""))
 		case r.Finished && p.Phase == ledger.Running:
-			proposals = append(proposals, proposal{key: fmt.Sprintf("finish/%d", r.Token), record: ledger.Record{Finish: &ledger.Finish{Token: r.Token}}})
+			proposals = append(proposals, proposal{
+				key:    fmt.Sprintf("finish/%d", r.Token),
+				record: ledger.Record{Finish: &ledger.Finish{Token: r.Token}},
+			})
 		case p.Phase == ledger.Running && r.Progress >= savedProgress(state, p)+minProgressStep:
 			proposals = append(proposals, proposal{
 				key:    fmt.Sprintf("checkpoint/%d", r.Token),
 				record: ledger.Record{Checkpoint: &ledger.Checkpoint{Token: r.Token, Progress: r.Progress}},
 			})
 		case r.Ready && p.Phase == ledger.Preparing:
-			proposals = append(proposals, proposal{key: fmt.Sprintf("start/%d", r.Token), record: ledger.Record{Start: &ledger.Start{Token: r.Token}}})
+			proposals = append(proposals, proposal{
+				key:    fmt.Sprintf("start/%d", r.Token),
+				record: ledger.Record{Start: &ledger.Start{Token: r.Token}},
+			})
 		}
 	}
 	return proposals
 }
 
-// minProgressStep is the least work for which a record is written. With 700 gangs and a checkpoint
-// every 10 minutes that is about one record a second.
+// minProgressStep is the smallest increase of the saved work that is recorded. 700 gangs with a
+// checkpoint every 10 min write about one record/s.
 const minProgressStep = time.Minute
 
 func savedProgress(state ledger.State, p ledger.Placement) time.Duration {
@@ -107,13 +120,13 @@
 	}
 }
 
-// asShared returns the want as one that any entry could propose.
+// asShared returns the proposal as one that any entry can make.
 func (p proposal) asShared() proposal {
 	p.shared = true
 	return p
 }
 
-// sharedProposals returns what follows from the ledger, the clock and the platform alone.
+// sharedProposals returns the proposals that follow from the ledger, the clock and the platform.
 func (c *control) sharedProposals(state ledger.State) []proposal {
 	var proposals []proposal
 	for _, p := range state.Placements() {
@@ -150,8 +163,8 @@
 	return proposals
 }
 
-// decisions returns the starts and reclaims that package placement wants. While some are under
-// way none are added, because the state does not show them yet.
+// decisions returns the starts and reclaims that package placement decides on. It returns none while
+// earlier ones are being proposed, because the state does not show those yet.
 func (c *control) decisions(state ledger.State) []proposal {
 	for key, until := range c.pausedUntil {
 		if until.IsZero() && (strings.HasPrefix(key, "place/") || strings.HasPrefix(key, "reclaim/")) {
@@ -181,8 +194,12 @@
 func decisionProposals(d placement.Decision) []proposal {
 	if len(d.Members) > 0 {
 		return []proposal{{
-			key:    "place/" + d.Session,
-			record: ledger.Record{Place: &ledger.Place{Session: d.Session, Members: d.Members, Borrowed: d.Borrowed}},
+			key: "place/" + d.Session,
+			record: ledger.Record{Place: &ledger.Place{
+				Session:  d.Session,
+				Members:  d.Members,
+				Borrowed: d.Borrowed,
+			}},
 			shared: true,
 		}}
 	}
@@ -195,7 +212,7 @@
 	return proposals
 }
 
-// yieldRank asks the policies for the place of a placement in the order of victims.
+// yieldRank returns a function that asks the policies for the yield rank of a placement.
 func (e *Entry) yieldRank(state ledger.State) func(ledger.Placement) int {
 	set := e.policies.Load().set
 	return func(p ledger.Placement) int {
@@ -206,7 +223,12 @@
 
 func sessionSubject(s ledger.SessionSpec) policy.Subject {
 	return policy.Subject{
-		Kind: policy.SessionKind, Team: s.Team, Session: s.Name, Accelerators: s.Shape.Accelerators,
-		Adjacency: string(s.Shape.Adjacency), Urgent: s.Urgent, WorkSeconds: int(s.Work),
+		Kind:         policy.SessionKind,
+		Team:         s.Team,
+		Session:      s.Name,
+		Accelerators: s.Shape.Accelerators,
+		Adjacency:    string(s.Shape.Adjacency),
+		Urgent:       s.Urgent,
+		WorkSeconds:  int(s.Work),
 	}
 }
--- a/sessions/entry/router.go
+++ b/sessions/entry/router.go
@@ -15,31 +15,36 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// Settings of the router.
+// Constants of the router.
 const (
-	// noTargetRetry is when to come back where no target can take the request.
+	// noTargetRetry is the Retry-After if no target can take a request or its agent did not answer.
 	noTargetRetry = time.Second
-	// maxMargin is taken off the time that an agent gets, so that its answer is back before the
-	// caller's deadline.
+	// maxMargin is how much earlier than the caller's deadline an agent must answer, so that the
+	// answer still reaches the caller.
 	maxMargin = 20 * time.Millisecond
-	// budgetCap is how many retries can be saved up.
+	// budgetCap is the most retries that can be saved up.
 	budgetCap = 50.0
 )
 
-// router sends requests to agents.
+// router sends requests to agents and retries them within a budget.
 type router struct {
 	entry     *Entry
 	avoidance *avoidance
 
 	mu sync.Mutex
-	// inflight counts this entry's requests at each worker.
+	// inflight counts the requests of this entry that each worker is handling.
 	inflight map[string]int
-	// budget is the number of retries that may be made now.
+	// budget is the number of retries that are allowed now.
 	budget float64
 }
 
 func newRouter(e *Entry) *router {
-	return &router{entry: e, avoidance: newAvoidance(), inflight: make(map[string]int), budget: budgetCap}
+	return &router{
+		entry:     e,
+		avoidance: newAvoidance(),
+		inflight:  make(map[string]int),
+		budget:    budgetCap,
+	}
 }
 
 // newKey returns a key for an agent of the service that can take work.
@@ -52,8 +57,7 @@
 	return key, err == nil
 }
 
-// pick chooses between two random agents of the service the one with the smaller share of its
-// slots in use.
+// pick picks two random candidates and returns the one with the smaller share of its slots in use.
 func (r *router) pick(service, team string, tried map[string]bool) (ledger.Worker, bool) {
 	candidates := r.candidates(service, team, tried)
 	if len(candidates) == 0 {
@@ -77,9 +81,9 @@
 	return r.inflight[w.Name]
 }
 
-// candidates lists the agents of the service that may take a request of the team: those of the
-// entry's own region, or else those of the others. Suspects count only where there is no other:
-// if all are suspect, the cause is more likely the callers' deadlines than the agents.
+// candidates returns the agents of the service that may take a request of the team: those of the
+// entry's region or, if there are none, those of other regions. Suspects are returned only if there
+// is no other agent; then the callers' deadlines are a likelier cause than the agents.
 func (r *router) candidates(service, team string, tried map[string]bool) []ledger.Worker {
 	var near, far, suspects []ledger.Worker
 	for _, w := range r.entry.replica.State().Workers() {
@@ -105,7 +109,7 @@
 	return suspects
 }
 
-// earn adds to the retry budget for one first attempt.
+// earn adds the retries earned by one request to the budget.
 func (r *router) earn() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -113,7 +117,7 @@
 	r.budget = min(budgetCap, r.budget+percent/100)
 }
 
-// spend takes one retry from the budget, if there is one.
+// spend takes one retry from the budget and reports whether there was one.
 func (r *router) spend() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -124,7 +128,7 @@
 	return true
 }
 
-// route sends a request and returns its outcome. Only a request without a key is tried at more
+// route sends a request and returns its outcome. Only a request without a key may be sent to more
 // than one agent.
 func (r *router) route(ctx context.Context, call request.Call) request.Answer {
 	id := uuid.NewString()
@@ -138,7 +142,7 @@
 	return r.routeAnywhere(ctx, id, call)
 }
 
-// routeKey sends the request to the one incarnation that may run it.
+// routeKey sends the request to the incarnation that its key names.
 func (r *router) routeKey(ctx context.Context, id string, call request.Call) request.Answer {
 	key, err := request.ParseKey(call.Key)
 	if err != nil {
@@ -150,15 +154,15 @@
 	}
 	answer, err := r.send(ctx, id, call, w)
 	if err != nil {
-		// Another entry may have sent the same key, so even an agent that was not reached does
-		// not make this NotRun.
+		// The outcome is not NotRun even if the agent was not reached, because another entry may
+		// have sent the same key.
 		return request.Uncertain(id, err.Error(), noTargetRetry)
 	}
 	return answer
 }
 
-// routeAnywhere tries agents until one gives a final answer, the budget is spent, or the
-// deadline passes.
+// routeAnywhere tries agents until one answers with Done, the budget is spent, or the deadline
+// passes. The outcome is NotRun only if no attempt may have run.
 func (r *router) routeAnywhere(ctx context.Context, id string, call request.Call) request.Answer {
 	tried := make(map[string]bool)
 	last := request.Refusal(id, "no target of the service can take it", noTargetRetry)
@@ -186,8 +190,7 @@
 	return last
 }
 
-// attempted turns an attempt without a Done answer into an outcome, and reports whether it may
-// have run.
+// attempted returns the outcome of an attempt that did not end as Done, and whether it may have run.
 func attempted(id string, answer request.Answer, err error) (request.Answer, bool) {
 	switch {
 	case err == nil:
@@ -198,7 +201,7 @@
 	return request.Uncertain(id, err.Error(), noTargetRetry), true
 }
 
-// errBadAnswer says that an agent's answer was that of another request, or harmed. It is dropped.
+// errBadAnswer means that an agent's answer belongs to another request or is corrupt.
 var errBadAnswer = errors.New("the agent's answer was crossed or cut")
 
 // send makes one attempt at one agent.
@@ -209,11 +212,16 @@
 	left := time.Until(deadline)
 	margin := min(maxMargin, left/10)
 	hop := request.Hop{
-		ID: id, Service: call.Service, Team: call.Team, Key: call.Key,
-		LeftMillis: (left - margin).Milliseconds(), Body: call.Body,
+		ID:         id,
+		Service:    call.Service,
+		Team:       call.Team,
+		Key:        call.Key,
+		LeftMillis: (left - margin).Milliseconds(),
+		Body:       call.Body,
 	}
 	var answer request.Answer
-	err := jsonhttp.Call(ctx, r.entry.parts.Client, "entry.send", http.MethodPost, w.Address, "/internal/requests", hop, &answer)
+	client := r.entry.parts.Client
+	err := jsonhttp.Call(ctx, client, "entry.send", http.MethodPost, w.Address, "/internal/requests", hop, &answer)
 	if err == nil && !answer.Whole(id) {
 		err = errBadAnswer
 	}
@@ -221,9 +229,8 @@
 	return answer, err
 }
 
-// recordOutcome keeps new work away from agents that leave, have no room or do not answer, and from
-// targets that do not answer in time: a slow target looks like a good one until its requests
-// time out.
+// recordOutcome tells avoidance how an attempt ended. An Unknown outcome counts as a failure, because
+// a slow target is otherwise noticed by nothing but requests that time out.
 func (r *router) recordOutcome(w ledger.Worker, team string, answer request.Answer, err error) {
 	agent := incarnationOf(w)
 	switch {
--- a/sessions/entry/routes.go
+++ b/sessions/entry/routes.go
@@ -10,7 +10,7 @@
 	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
-// Handler serves the entry's interfaces. This is the list of all its routes.
+// Handler serves all routes of the entry.
 func (e *Entry) Handler() http.Handler {
 	r := httprouter.New()
 
@@ -41,7 +41,7 @@
 	r.GET("/internal/state", e.serveState)
 	r.GET("/internal/status", e.serveOwnStatus)
 
-	// The box.
+	// The box's checks.
 	r.GET("/health", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		jsonhttp.Write(w, http.StatusOK, membership.Health{Healthy: true})
 	})
@@ -50,7 +50,7 @@
 	return e.parts.Telemetry.Handler(r)
 }
 
-// whenReady refuses what needs the ledger until the entry has read it once.
+// whenReady rejects requests until the entry has read the ledger once.
 func (e *Entry) whenReady(h httprouter.Handle) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
 		if !e.ready.Load() {
@@ -61,7 +61,7 @@
 	}
 }
 
-// errNotReady is answered as 503 with a time to come back.
+// errNotReady is answered with status 503 and a Retry-After.
 var errNotReady = errors.New("this entry has not read the ledger yet")
 
 func (e *Entry) servePing(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
--- a/sessions/entry/snapshots.go
+++ b/sessions/entry/snapshots.go
@@ -7,9 +7,9 @@
 	"yarrowgrade.example/yarrowgrade/sessions/ledger"
 )
 
-// saveIfDue writes a snapshot when enough records or time have passed since the last one. The
-// preferred entry does it; the others step in when it is overdue by half as much again for each
-// place that they stand behind.
+// saveIfDue writes a snapshot if enough records or time have passed since the last one. The entry
+// of rank zero does it when it is due. The others wait half as long again for each rank, so that
+// they write one only if the entries before them have failed.
 func (e *Entry) saveIfDue(ctx context.Context) {
 	if !e.ready.Load() {
 		return
@@ -22,7 +22,8 @@
 	if at != 0 {
 		age = ledger.Age(at, time.Now())
 	}
-	due := records >= patience*float64(e.settings.SnapshotRecords) || (records > 0 && float64(age) >= patience*float64(e.settings.SnapshotAge))
+	due := records >= patience*float64(e.settings.SnapshotRecords) ||
+		(records > 0 && float64(age) >= patience*float64(e.settings.SnapshotAge))
 	if !due || state.Revision() == 0 {
 		return
 	}
@@ -33,8 +34,9 @@
 		return
 	}
 	_, err := e.proposer.Propose(bounded, ledger.Record{Saved: &ledger.Saved{Revision: state.Revision()}})
-	e.parts.Telemetry.Log.Info().Str("step", "entry.snapshot").Int64("revision", state.Revision()).Err(err).Msg("snapshot written")
+	e.parts.Telemetry.Log.Info().Str("step", "entry.snapshot").Int64("revision", state.Revision()).Err(err).
+		Msg("snapshot written")
 }
 
-// snapshotTimeout bounds the writing of one snapshot.
+// snapshotTimeout limits the writing of one snapshot.
 const snapshotTimeout = 20 * time.Second
