--- a/sessions/ledger/config.go
+++ b/sessions/ledger/config.go
@@ -10,8 +10,7 @@
 	"yarrowgrade.example/yarrowgrade/sessions/policy"
 )
 
-// Keys of the configuration. Teams and policies have one entry for each, "team/NAME" and
-// "policy/NAME".
+// Keys of the configuration. Each team has the key "team/NAME", each policy "policy/NAME".
 const (
 	LimitsKey    = "limits"
 	PlacementKey = "placement"
@@ -19,14 +18,14 @@
 	PolicyPrefix = "policy/"
 )
 
-// historyLimit is how many earlier values of an entry are kept.
+// historyLimit is the number of earlier values kept for an entry.
 const historyLimit = 8
 
-// maxValueBytes bounds one value. At 450 changes a day and 140 agents behind an entry, values
-// of this size would be 12 KB/s; the usual team of 200 bytes makes 150 B/s.
+// maxValueBytes is the maximum size of a value. With 450 changes a day and 140 agents at an entry,
+// values of this size cause 12 KB/s of polls.
 const maxValueBytes = 16 << 10
 
-// Change is one value that an entry had.
+// Change is a value of an entry and who set it when, in ms since 1970.
 type Change struct {
 	Revision int64           `json:"revision"`
 	Value    json.RawMessage `json:"value"`
@@ -34,7 +33,7 @@
 	At       int64           `json:"at"`
 }
 
-// ConfigEntry is the value of a key with its newest earlier values, newest first.
+// ConfigEntry is the value of a key. History has earlier values, the newest first.
 type ConfigEntry struct {
 	Key string `json:"key"`
 	Change
@@ -53,15 +52,15 @@
 	return ConfigEntry{Key: e.Key, Change: c, History: history}
 }
 
-// Team is a customer with what it is guaranteed.
+// Team is a team of users with its guarantees.
 type Team struct {
 	Name       string                `json:"name"`
 	Guarantees []placement.Guarantee `json:"guarantees"`
-	// Share is the team's weight when requests compete for slots, 1 to 1000.
+	// Share is the team's weight when teams compete for the slots of a target, 1 to 1000.
 	Share int `json:"share"`
 }
 
-// Defaults returns the team with its optional fields filled.
+// Defaults returns the team with defaults for omitted fields.
 func (t Team) Defaults() Team {
 	if t.Share == 0 {
 		t.Share = 1
@@ -104,17 +103,17 @@
 	return nil
 }
 
-// Limits bound the request path.
+// Limits are the limits of the request path.
 type Limits struct {
-	// QueueLength is the most requests that wait at an agent.
+	// QueueLength is the maximum number of requests that wait at an agent.
 	QueueLength int `json:"queue_length"`
-	// RetryPercent is the share of an entry's recent requests that may be sent again.
+	// RetryPercent is how many retries an entry may make per 100 requests.
 	RetryPercent int `json:"retry_percent"`
-	// MaxDeadlineMillis bounds the deadline that a caller may ask for, in milliseconds.
+	// MaxDeadlineMillis is the longest deadline that a caller may ask for, in ms.
 	MaxDeadlineMillis int64 `json:"max_deadline_ms"`
 }
 
-// DefaultLimits are in force until an operator puts others.
+// DefaultLimits are used until an operator sets others.
 func DefaultLimits() Limits {
 	return Limits{QueueLength: 64, RetryPercent: 10, MaxDeadlineMillis: 60_000}
 }
@@ -139,7 +138,7 @@
 	return nil
 }
 
-// PlacementConfig chooses how the measures are weighed.
+// PlacementConfig selects the placement profile.
 type PlacementConfig struct {
 	// Profile is "completion" or "fragmentation".
 	Profile string `json:"profile"`
@@ -159,7 +158,7 @@
 	return nil
 }
 
-// ValidateConfig checks a value for its key. Its errors name the field.
+// ValidateConfig validates the value of a key. Its errors name the field.
 func ValidateConfig(key string, value json.RawMessage) error {
 	if len(value) > maxValueBytes {
 		return fault.BadField("value", "want at most %d bytes, got %d", maxValueBytes, len(value))
@@ -183,10 +182,11 @@
 		}
 		return sameName(p.Name, strings.TrimPrefix(key, PolicyPrefix))
 	}
-	return fault.BadField("key", "want %s, %s, %sNAME or %sNAME, got %q", LimitsKey, PlacementKey, TeamPrefix, PolicyPrefix, key)
+	return fault.BadField("key", "want %s, %s, %sNAME or %sNAME, got %q",
+		LimitsKey, PlacementKey, TeamPrefix, PolicyPrefix, key)
 }
 
-// validator is a value that checks itself.
+// validator is a value that can validate itself.
 type validator interface{ Validate() error }
 
 func decodeValid(value json.RawMessage, out validator) error {
--- a/sessions/ledger/follower.go
+++ b/sessions/ledger/follower.go
@@ -9,49 +9,48 @@
 	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 )
 
-// Settings of the follower.
+// Timeouts of the follower.
 const (
 	// readLimit is how many records one read asks for.
 	readLimit = 256
-	// readWait is how long a read waits for the next record. With readGrace it is how long the
-	// silent loss of the way to the log goes unnoticed, which has to leave time for a peer's
-	// state within the 7 s of a configuration.
+	// readWait is how long a read waits for the next record. A link that drops packets is noticed
+	// after readWait + readGrace. This must leave time to get a peer's state, since a change of the
+	// configuration has to take effect within 7 s.
 	readWait = 3 * time.Second
-	// readGrace is how much longer than its wait a read may take. A link that is cut says nothing.
+	// readGrace is how much longer than its wait a read may take.
 	readGrace = time.Second
 	// readRetry is the pause after a failed read.
 	readRetry = 250 * time.Millisecond
-	// loadTimeout bounds the loading of a snapshot.
+	// loadTimeout limits the loading of a snapshot.
 	loadTimeout = 5 * time.Second
 )
 
-// PeerStates asks other processes for a state newer than a revision.
+// PeerStates gets states from other processes.
 type PeerStates interface {
-	// NewerState returns the newest state that a peer has, if one is newer than the revision.
+	// NewerState returns a state of a peer that is newer than the revision, if there is one.
 	NewerState(ctx context.Context, revision int64) (State, bool)
 }
 
-// Update is something for the goroutine that owns the replica to take in.
+// Update is a change for the goroutine that owns the replica.
 type Update struct {
 	// Records are the next records of the log.
 	Records []hosting.Record
-	// State is a whole state from a snapshot or from a peer, if not nil.
+	// State is a whole state from a snapshot or from a peer; nil if there is none.
 	State *State
-	// FromPeer says that State came from a process that is running, so that it is as new as
-	// that one's.
+	// FromPeer means that State came from a running process, so it is as new as that one's.
 	FromPeer bool
-	// AtEnd says that the log had nothing more when it was read.
+	// AtEnd means that the log had no further records when it was read.
 	AtEnd bool
-	// Err is the failure of a read; the log may be down.
+	// Err is the error of a failed read.
 	Err error
 }
 
-// Follower reads the log for one replica. It never guesses: where records are missing it asks
-// for a whole state.
+// Follower reads the log for a replica. If records are missing, it gets a whole state from the newest
+// snapshot or from a peer.
 type Follower struct {
 	log   hosting.Log
 	peers PeerStates
-	// next is the offset to read next. Only Run's goroutine uses it.
+	// next is the offset of the next read. Only Run's goroutine uses it.
 	next int64
 }
 
@@ -60,16 +59,16 @@
 	return &Follower{log: log, peers: peers, next: 1}
 }
 
-// Run reads until ctx ends and hands every update to out.
+// Run reads until ctx ends and sends every update to out.
 func (f *Follower) Run(ctx context.Context, out chan<- Update) {
 	f.loadSnapshot(ctx, out)
-	// The first reads do not wait: the process is ready when it has seen the end, and an empty
-	// log has nothing to wait for.
+	// The first reads do not wait for records, because the process is ready once it has seen the
+	// end of the log.
 	wait := time.Duration(0)
 	for ctx.Err() == nil {
 		batch, err := f.read(ctx, wait)
 		if err != nil {
-			// Reads that do not wait find out sooner whether the log is back.
+			// A read that does not wait for records shows sooner that the log is back.
 			wait = 0
 			f.recover(ctx, out, err)
 			continue
@@ -91,7 +90,7 @@
 	return f.log.Read(ctx, hosting.LedgerStream, f.next, readLimit, wait)
 }
 
-// loadSnapshot jumps to the newest snapshot, if there is one, before the first read.
+// loadSnapshot continues from the newest snapshot, if there is one that can be read.
 func (f *Follower) loadSnapshot(ctx context.Context, out chan<- Update) {
 	bounded, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
@@ -108,8 +107,8 @@
 	send(ctx, out, Update{State: &s, FromPeer: fromPeer})
 }
 
-// recover handles a failed read: expired records need a snapshot, and whatever failed a peer
-// may know more.
+// recover handles a failed read. If the records have expired, it loads a snapshot. In any case it asks
+// the peers for a newer state.
 func (f *Follower) recover(ctx context.Context, out chan<- Update, err error) {
 	send(ctx, out, Update{Err: err})
 	if errors.Is(err, hosting.ErrExpired) {
--- a/sessions/ledger/placing.go
+++ b/sessions/ledger/placing.go
@@ -10,7 +10,7 @@
 
 func decimal(n int64) string { return strconv.FormatInt(n, 10) }
 
-// place accepts a gang whole or rejects it whole.
+// place accepts all members of a gang or none.
 func (s State) place(offset, at int64, p Place) (State, error) {
 	session, found := s.sessions.Get(p.Session)
 	if !found {
@@ -27,8 +27,14 @@
 		return s, err
 	}
 	made := Placement{
-		Token: offset, Session: session.Name, Team: session.Team, Shape: session.Shape,
-		Borrowed: p.Borrowed, Phase: Preparing, Members: p.Members, Since: at,
+		Token:    offset,
+		Session:  session.Name,
+		Team:     session.Team,
+		Shape:    session.Shape,
+		Borrowed: p.Borrowed,
+		Phase:    Preparing,
+		Members:  p.Members,
+		Since:    at,
 	}
 	next := s.withPlacement(made)
 	for _, m := range p.Members {
@@ -45,7 +51,8 @@
 	return next, nil
 }
 
-// shapeToMeet is the session's shape, or that of the guarantee that it is to use.
+// shapeToMeet returns the shape that the members must have: the session's or, if the placement is not
+// borrowed, that of the guarantee that it uses.
 func (s State) shapeToMeet(session Session, borrowed bool) (placement.Shape, error) {
 	if borrowed {
 		return session.Shape, nil
@@ -53,13 +60,15 @@
 	entitlements := s.Entitlements()
 	i := placement.UnusedEntitlement(entitlements, session.Team, session.Shape)
 	if i < 0 {
-		return placement.Shape{}, fault.BadField("borrowed", "team %q has no unused guarantee for %d accelerators in one %s", session.Team, session.Shape.Accelerators, session.Shape.Adjacency)
+		return placement.Shape{}, fault.BadField("borrowed",
+			"team %q has no unused guarantee for %d accelerators in one %s",
+			session.Team, session.Shape.Accelerators, session.Shape.Adjacency)
 	}
 	return entitlements[i].Shape, nil
 }
 
-// checkMembers checks that the members have the shape, and that every accelerator is free on a
-// worker that stays.
+// checkMembers checks that the members have the shape, and that their accelerators are free and their
+// workers not leaving.
 func (s State) checkMembers(shape placement.Shape, members []placement.Member) error {
 	count := 0
 	regions, zones, racks, names := map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}
@@ -113,18 +122,18 @@
 	return nil
 }
 
-// checkGuarantees checks that all guarantees can still be reclaimed as shapes after a placement that
-// uses one. A borrowed placement needs no check, because everything it holds can be taken back.
-// Where guarantees could not be had back before, such as after the loss of a worker, it must
-// not become more.
+// checkGuarantees checks that a placement that uses a guarantee does not increase the number of
+// guarantees that cannot be met. There may be some before it, for example after the loss of workers.
+// Borrowed placements need no check, because they can be reclaimed.
 func (s State) checkGuarantees(next State) error {
 	if short := next.Shortfall(); len(short) > len(s.Shortfall()) {
-		return fault.BadField("members", "team %q could not have its guarantee of %d accelerators back", short[0].Team, short[0].Shape.Accelerators)
+		return fault.BadField("members", "team %q could not have its guarantee of %d accelerators back",
+			short[0].Team, short[0].Shape.Accelerators)
 	}
 	return nil
 }
 
-// Entitlements returns every guarantee with the number of it that held placements use.
+// Entitlements returns all guarantees with the number of placements that use each.
 func (s State) Entitlements() []placement.Entitlement {
 	var list []placement.Entitlement
 	for _, t := range s.Teams() {
@@ -143,9 +152,8 @@
 	return list
 }
 
-// Shortfall returns the guarantees that could not be had back now, as shapes, from free and
-// borrowed accelerators. It is empty in a healthy system; losing workers, or guaranteeing more
-// than there is, fills it.
+// Shortfall returns the guarantees that could not be met now even if all borrowed accelerators were
+// reclaimed. It is empty unless workers were lost or more was guaranteed than there is.
 func (s State) Shortfall() []placement.Entitlement {
 	workers := s.PlacementWorkers()
 	borrowed := make(map[int64]bool)
@@ -153,18 +161,24 @@
 		borrowed[p.Token] = p.Borrowed
 	}
 	usable := func(holder int64) bool { return holder == 0 || borrowed[holder] }
-	room := placement.NewCapacity(placement.NewTopology(workers), workers, usable)
-	return placement.Shortfall(room, s.Entitlements())
+	capacity := placement.NewCapacity(placement.NewTopology(workers), workers, usable)
+	return placement.Shortfall(capacity, s.Entitlements())
 }
 
-// PlacementWorkers returns the workers that stay, in the form of package placement.
+// PlacementWorkers returns the workers with accelerators that are not leaving.
 func (s State) PlacementWorkers() []placement.Worker {
 	list := make([]placement.Worker, 0, s.workers.Len())
 	for _, w := range s.Workers() {
 		if w.Leaving || w.Accelerators == 0 {
 			continue
 		}
-		list = append(list, placement.Worker{Name: w.Name, Rack: w.Rack, Zone: w.Zone, Region: w.Region, Holders: w.Holders})
+		list = append(list, placement.Worker{
+			Name:    w.Name,
+			Rack:    w.Rack,
+			Zone:    w.Zone,
+			Region:  w.Region,
+			Holders: w.Holders,
+		})
 	}
 	return list
 }
@@ -174,7 +188,7 @@
 	return s
 }
 
-// touch marks the workers of a placement as changed, so that their agents are told.
+// touch marks the workers of a placement as changed, so that their agents get a new view.
 func (s State) touch(offset int64, p Placement) State {
 	for _, m := range p.Members {
 		if w, found := s.workers.Get(m.Worker); found {
@@ -221,8 +235,8 @@
 	return s.withPlacement(p).touch(offset, p)
 }
 
-// placedSession returns a placement and the session that it is for, if that has not ended or
-// moved on.
+// placedSession returns a placement and its session. It is an error if the session has ended or has
+// another placement.
 func (s State) placedSession(token int64) (Placement, Session, error) {
 	p, found := s.placements.Get(token)
 	if !found {
@@ -247,7 +261,7 @@
 	return s.endSession(offset, at, session, SessionFinished), nil
 }
 
-// checkpoint keeps the work that a loss of a member would otherwise take with it.
+// checkpoint records saved work, from which the session continues if a member is lost.
 func (s State) checkpoint(r Checkpoint) (State, error) {
 	_, session, err := s.placedSession(r.Token)
 	if err != nil {
@@ -258,8 +272,8 @@
 	return s, nil
 }
 
-// release frees one member. The gang has lost it, so the others stop as well; the last one
-// sends the session back to waiting unless it has ended.
+// release frees the accelerators of one member and stops the rest of the gang. After the last release
+// the session waits again unless it has ended.
 func (s State) release(offset, at int64, r Release) (State, error) {
 	p, found := s.placements.Get(r.Token)
 	if !found {
@@ -290,7 +304,7 @@
 	return s.backToWaiting(at, p), nil
 }
 
-// withReleased returns the placement with one more member released.
+// withReleased returns the placement with another member released.
 func (p Placement) withReleased(r Release) Placement {
 	if len(p.Released) == 0 || r.Progress < p.Progress {
 		p.Progress = r.Progress
@@ -299,13 +313,14 @@
 	return p
 }
 
-// backToWaiting lets the session of an ended placement wait again, from its last whole checkpoint.
+// backToWaiting makes the session of an ended placement wait again. It will continue from the newest
+// checkpoint that all members have.
 func (s State) backToWaiting(at int64, p Placement) State {
 	session, found := s.sessions.Get(p.Session)
 	if !found || session.Token != p.Token {
 		return s
 	}
-	// A member without a checkpoint has progress zero, and so has the gang.
+	// A member without a checkpoint reports zero, which makes the placement's progress zero.
 	session.Progress = max(session.Progress, p.Progress)
 	session.Phase, session.Token, session.Since = SessionWaiting, 0, at
 	session.Restarts++
@@ -313,7 +328,7 @@
 	return s
 }
 
-// Preparing reports whether a gang prepares, which may come to nothing by time alone.
+// Preparing reports whether any placement is in phase Preparing, which is subject to a timeout.
 func (s State) Preparing() bool {
 	for itr := s.placements.Iterator(); !itr.Done(); {
 		_, p, _ := itr.Next()
@@ -324,23 +339,35 @@
 	return false
 }
 
-// DecisionInput turns the state into what package placement looks at.
-// yieldRank gives each running placement its place in the order of victims.
+// DecisionInput returns the input of package placement. yieldRank returns the yield rank of a
+// placement.
 func (s State) DecisionInput(now time.Time, yieldRank func(Placement) int) placement.Input {
 	in := placement.Input{Workers: s.PlacementWorkers(), Entitlements: s.Entitlements()}
 	for _, p := range s.Placements() {
 		session, _ := s.sessions.Get(p.Session)
 		ran := Age(p.Since, now)
 		in.Running = append(in.Running, placement.Running{
-			Token: p.Token, Session: p.Session, Team: p.Team, Shape: p.Shape, Borrowed: p.Borrowed, Urgent: session.Urgent,
-			Stopping: p.Phase == Stopping, For: p.For, YieldRank: yieldRank(p), Unsaved: ran,
-			Left: max(0, session.workTime()-session.Progress-ran),
+			Token:     p.Token,
+			Session:   p.Session,
+			Team:      p.Team,
+			Shape:     p.Shape,
+			Borrowed:  p.Borrowed,
+			Urgent:    session.Urgent,
+			Stopping:  p.Phase == Stopping,
+			For:       p.For,
+			YieldRank: yieldRank(p),
+			Unsaved:   ran,
+			Left:      max(0, session.workTime()-session.Progress-ran),
 		})
 	}
 	for _, session := range s.Waiting() {
 		in.Waiting = append(in.Waiting, placement.Waiting{
-			Session: session.Name, Team: session.Team, Shape: session.Shape, Urgent: session.Urgent,
-			Waited: Age(session.Since, now), Estimate: max(0, session.workTime()-session.Progress),
+			Session:  session.Name,
+			Team:     session.Team,
+			Shape:    session.Shape,
+			Urgent:   session.Urgent,
+			Waited:   Age(session.Since, now),
+			Estimate: max(0, session.workTime()-session.Progress),
 		})
 	}
 	return in
--- a/sessions/ledger/proposer.go
+++ b/sessions/ledger/proposer.go
@@ -11,35 +11,35 @@
 	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 )
 
-// Settings of the proposer.
+// Timeouts of the proposer.
 const (
-	// appendTimeout bounds one append.
+	// appendTimeout limits one append.
 	appendTimeout = 2 * time.Second
-	// settleWait is how long the proposer looks for its record after an append that failed,
-	// before it appends again.
+	// settleWait is how long the proposer waits for its record after a failed append, which may
+	// have had its effect, before it appends again.
 	settleWait = 300 * time.Millisecond
-	// withdrawWait is how long the proposer tries to settle a record that it gives up.
+	// withdrawWait limits the attempts to void a record that is given up.
 	withdrawWait = time.Second
 )
 
-// ErrUnsettled says that a proposal may still be accepted or not: the log gives no answer.
+// ErrUnsettled means that a proposal may or may not be accepted, because the log does not answer.
 var ErrUnsettled = errors.New("the log gives no answer; the change may or may not take effect")
 
-// Proposer appends records and waits for their verdicts.
+// Proposer appends records and waits for their verdicts. It is safe for concurrent use.
 type Proposer struct {
 	log     hosting.Log
 	replica *Replica
 	newID   func() string
 }
 
-// NewProposer returns a proposer that names its records with random ids.
+// NewProposer returns a proposer. The replica must follow the same log.
 func NewProposer(log hosting.Log, replica *Replica) *Proposer {
 	return &Proposer{log: log, replica: replica, newID: uuid.NewString}
 }
 
-// Propose appends the record and returns its verdict once the replica has folded it in. If ctx
-// ends first it withdraws the record, so that the verdict is still certain whenever the log
-// answers; else the error is ErrUnsettled.
+// Propose appends the record and returns its verdict once the replica has applied it. If ctx ends
+// first, Propose voids the record, so that the verdict is certain as long as the log answers. If the
+// log does not answer, the error wraps ErrUnsettled.
 func (p *Proposer) Propose(ctx context.Context, r Record) (Verdict, error) {
 	r = p.fill(r)
 	data, err := r.Encode()
@@ -63,8 +63,8 @@
 	return r
 }
 
-// tryAppend appends once and waits for the verdict: to the end of ctx after a good answer, a
-// moment after a failure.
+// tryAppend appends once and waits for the verdict: until ctx ends if the append succeeded, and for
+// settleWait if it failed.
 func (p *Proposer) tryAppend(ctx context.Context, id string, data []byte) (Verdict, bool) {
 	bounded, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
@@ -88,8 +88,8 @@
 	return s.Verdict(id)
 }
 
-// withdraw settles a record that may or may not be in the log: whichever of it and the void
-// comes first stands.
+// withdraw appends a Void for a record that may or may not be in the log. Whichever of the two comes
+// first counts.
 func (p *Proposer) withdraw(ctx context.Context, id string) (Verdict, error) {
 	ctx, cancel := context.WithTimeout(ctx, withdrawWait)
 	defer cancel()
--- a/sessions/ledger/record.go
+++ b/sessions/ledger/record.go
@@ -1,24 +1,34 @@
-// Package ledger is the one ordered history of everything that must last or be agreed.
+// Package ledger defines the durable state of sessions, workers and the configuration as the result
+// of an ordered log of records.
 //
-// An append to the platform's log is only a proposal. State.With folds the records in the order
-// of their offsets, and the verdict of a record depends on nothing but the records before it.
-// Two proposers that race are therefore settled by order, the same in every process, without a
-// lock and without a leader.
+// A record in the platform's log is only a proposal. State.With applies the records in the order of
+// their offsets, and the verdict on a record depends only on the records before it. Every process
+// therefore decides between competing proposals in the same way, without locks or a leader.
+//
+// # State
+//
+// The package owns the streams hosting.LedgerStream and hosting.SnapshotStream of the log. A process
+// that starts reads the newest snapshot and the records after it.
+//
+// # Dependencies
+//
+// The platform's log, and other processes (PeerStates) for newer states while the log cannot be
+// read. Package placement defines shapes and guarantees, package policy validates policies.
 //
 // # Usage
 //
 //	state, verdict := state.With(offset, data)
 //
-// A Follower reads the log and publishes the newest State; a Proposer appends records and waits
-// for their verdicts.
+// A Follower reads the log, a Replica holds the newest State, and a Proposer appends records and
+// waits for their verdicts.
 //
-// # Lost answers
+// # Retries
 //
-// Every record has an id and the revision on which it was based. The fold drops a second record
-// with the same id. It remembers the newest seenLimit ids, and rejects a record whose base is
-// older than the oldest of them, so that a record that arrives late can never take effect
-// twice. A proposer that wants to give up appends Void with the id: whichever of the two comes
-// first stands.
+// An append whose answer was lost is retried. Every record has an ID and the revision on which it is
+// based. A second record with the same ID has no effect. State remembers the newest seenLimit IDs
+// and rejects records whose base is older than the oldest of them, so that a delayed record cannot
+// take effect twice. To give up, a proposer appends a Void with the ID; whichever of the two comes
+// first counts.
 package ledger
 
 import (
@@ -29,14 +39,14 @@
 	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
-// Record is one proposal. Exactly one of the pointers is set.
+// Record is a proposal. Exactly one of the pointers is set.
 type Record struct {
-	// ID names the proposal. It is unique; a proposal that is appended again keeps its id.
+	// ID is unique. A record that is appended again keeps its ID.
 	ID string `json:"id"`
-	// Base is the revision that the proposer had seen.
+	// Base is the revision of the state on which the proposal is based.
 	Base int64 `json:"base"`
-	// At is the proposer's clock in milliseconds since 1970. It is for people and for waiting
-	// times, never for order.
+	// At is the proposer's clock in ms since 1970. It is used for waiting times and shown to people,
+	// but never used for ordering.
 	At int64 `json:"at"`
 
 	Void       *Void          `json:"void,omitempty"`
@@ -54,7 +64,7 @@
 	Checkpoint *Checkpoint    `json:"checkpoint,omitempty"`
 }
 
-// Void settles that the record with the given id has no effect unless it came before.
+// Void cancels the record with the given ID unless it came before.
 type Void struct {
 	ID string `json:"id"`
 }
@@ -63,17 +73,17 @@
 type PutConfig struct {
 	Key   string          `json:"key"`
 	Value json.RawMessage `json:"value"`
-	// Revision is the revision of the entry that is replaced; zero for one that does not exist.
+	// Revision is the revision of the entry to replace; zero to create one.
 	Revision int64  `json:"revision"`
 	Author   string `json:"author"`
 }
 
-// JoinWorker makes a worker with its agent known, or replaces the agent's incarnation.
+// JoinWorker adds a worker, or replaces the incarnation of its agent.
 type JoinWorker struct {
 	Worker Worker `json:"worker"`
 }
 
-// LeaveWorker says that an agent takes no new work.
+// LeaveWorker records that a worker takes no new work.
 type LeaveWorker struct {
 	Worker      string `json:"worker"`
 	Incarnation string `json:"incarnation"`
@@ -82,50 +92,50 @@
 // CreateSession adds a session.
 type CreateSession struct {
 	Spec SessionSpec `json:"spec"`
-	// Trace is the W3C traceparent of the operator's call, if that was traced. It is carried to
-	// whatever runs the session.
+	// Trace is the W3C traceparent of the operator's call; empty if it was not traced. It is passed
+	// on to the agents.
 	Trace string `json:"trace,omitempty"`
 }
 
-// CancelSession ends a session by an operator's word.
+// CancelSession cancels a session.
 type CancelSession struct {
 	Session string `json:"session"`
 }
 
-// Place gives a waiting session its accelerators, all or none. The record's offset is the
-// placement's fencing token.
+// Place assigns accelerators to a waiting session, all or none. The offset of the record becomes the
+// token of the placement.
 type Place struct {
 	Session  string             `json:"session"`
 	Members  []placement.Member `json:"members"`
 	Borrowed bool               `json:"borrowed"`
 }
 
-// Start says that all members are ready, so that the gang runs.
+// Start records that all members are ready and the gang runs.
 type Start struct {
 	Token int64 `json:"token"`
 }
 
-// Stop takes a placement back; its session waits again.
+// Stop stops a placement. Its session waits again once all members are released.
 type Stop struct {
 	Token  int64  `json:"token"`
 	Reason string `json:"reason"`
-	// For is the session that the room is meant for, if any.
+	// For is the session for which the accelerators are reclaimed; empty if there is none.
 	For string `json:"for,omitempty"`
 }
 
-// Finish says that the work of the placement's session is done.
+// Finish records that the placement's session has done its work.
 type Finish struct {
 	Token int64 `json:"token"`
 }
 
-// ReleaseCause says why accelerators are known to be free.
+// ReleaseCause is how it is known that accelerators are free.
 type ReleaseCause string
 
-// The causes. Silence is none of them.
+// The causes. A worker that merely does not answer may still run its task.
 const (
-	// StoppedByAgent is the word of the agent beside the worker.
+	// StoppedByAgent means that the worker's agent reported the end of the task.
 	StoppedByAgent ReleaseCause = "agent"
-	// WorkerGone is the platform's word that the worker is gone.
+	// WorkerGone means that the platform declared the worker gone.
 	WorkerGone ReleaseCause = "gone"
 )
 
@@ -134,26 +144,25 @@
 	Token  int64        `json:"token"`
 	Worker string       `json:"worker"`
 	Cause  ReleaseCause `json:"cause"`
-	// Progress is the work that the member's checkpoint holds, in nanoseconds; zero if there is
-	// none.
+	// Progress is the work that the member's checkpoint holds; zero if there is none.
 	Progress time.Duration `json:"progress_ns"`
 }
 
-// Saved says that a whole snapshot of the revision is in the snapshot stream.
+// Saved records that the snapshot stream has a complete snapshot of the revision.
 type Saved struct {
 	Revision int64 `json:"revision"`
 }
 
-// Checkpoint says that checkpoints of all members of a placement hold some work.
+// Checkpoint records the work that the checkpoints of all members of a placement hold.
 type Checkpoint struct {
 	Token    int64         `json:"token"`
 	Progress time.Duration `json:"progress_ns"`
 }
 
-// Encode returns the record's stored form.
+// Encode returns the stored form of the record.
 func (r Record) Encode() ([]byte, error) { return json.Marshal(r) }
 
-// DecodeRecord reads a stored record. Its errors name the field.
+// DecodeRecord parses the stored form of a record. Its errors name the field.
 func DecodeRecord(data []byte) (Record, error) {
 	var r Record
 	if err := fault.Decode(data, &r); err != nil {
@@ -183,10 +192,10 @@
 	return n
 }
 
-// Status is the outcome of a record.
+// Status is the decision on a record.
 type Status string
 
-// The outcomes.
+// The statuses. Only an accepted record has an effect.
 const (
 	Accepted   Status = "accepted"
 	Rejected   Status = "rejected"
@@ -194,7 +203,7 @@
 	Unreadable Status = "unreadable"
 )
 
-// Verdict is what the fold decided about one record.
+// Verdict is the decision on one record and its reason.
 type Verdict struct {
 	Offset int64  `json:"offset"`
 	ID     string `json:"id"`
--- a/sessions/ledger/replica.go
+++ b/sessions/ledger/replica.go
@@ -9,19 +9,24 @@
 	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 )
 
-// Replica holds a process's newest state. One goroutine calls Apply and Replace; any may read.
+// Replica holds the newest state that a process knows. One goroutine calls Apply and Replace; any
+// goroutine may call the other methods.
 type Replica struct {
 	mu      sync.Mutex
 	state   State
 	changed chan struct{}
-	// workerWaiters has for each worker that someone waits for the channel to close when something
-	// changes for it.
+	// workerWaiters has a channel for each worker that a goroutine waits for. It is closed when
+	// something changes for that worker.
 	workerWaiters map[string]chan struct{}
 }
 
 // NewReplica returns a replica of the empty state.
 func NewReplica() *Replica {
-	return &Replica{state: NewState(), changed: make(chan struct{}), workerWaiters: make(map[string]chan struct{})}
+	return &Replica{
+		state:         NewState(),
+		changed:       make(chan struct{}),
+		workerWaiters: make(map[string]chan struct{}),
+	}
 }
 
 // State returns the newest state.
@@ -30,17 +35,16 @@
 	return s
 }
 
-// Watch returns the newest state and a channel that is closed when there is a newer one.
+// Watch returns the newest state and a channel that is closed when a newer one arrives.
 func (r *Replica) Watch() (State, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.state, r.changed
 }
 
-// WatchWorker returns the newest state and a channel that is closed when there is one with a
-// newer revision of the worker or of the configuration. With 1,400 workers nearly every record
-// concerns only a few of them: waking all open polls for each record made the processor time of
-// an entry grow with the square of its agents.
+// WatchWorker returns the newest state and a channel that is closed when the worker or the
+// configuration changes. Most records concern few workers, so open polls use this instead of Watch:
+// waking all of them for each record would take time quadratic in the number of agents.
 func (r *Replica) WatchWorker(name string) (State, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -52,8 +56,8 @@
 	return r.state, c
 }
 
-// Apply folds records in and returns their verdicts. Records that are not newer than the state
-// are passed over, and a gap ends the call: the state never skips a record and never goes back.
+// Apply applies records and returns their verdicts. It skips records that the state already includes
+// and stops at a gap, so the state neither misses a record nor goes back.
 func (r *Replica) Apply(records []hosting.Record) []Verdict {
 	state := r.State()
 	var verdicts []Verdict
@@ -76,7 +80,7 @@
 	return verdicts
 }
 
-// Replace takes a whole state if it is newer, and reports whether it did.
+// Replace replaces the state if s is newer, and reports whether it was.
 func (r *Replica) Replace(s State) bool {
 	if s.revision <= r.State().revision {
 		return false
@@ -85,8 +89,8 @@
 	return true
 }
 
-// publish makes the state the newest and wakes those who wait for it: of those who wait for a
-// worker the ones touched, or all of them when the configuration has changed too.
+// publish sets the newest state and wakes the goroutines that wait for it. Waiters for a worker are
+// woken if the worker was touched, if the configuration changed, or if all is set.
 func (r *Replica) publish(s State, touched []string, all bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -104,12 +108,13 @@
 	}
 }
 
-// Wait returns the first state that satisfies ok, or the error of ctx.
+// Wait returns the first state that satisfies ok. If ctx ends first, it returns the newest state and
+// the error of ctx.
 func (r *Replica) Wait(ctx context.Context, ok func(State) bool) (State, error) {
 	return wait(ctx, r.Watch, ok)
 }
 
-// WaitWorker is Wait for a condition on one worker and the configuration.
+// WaitWorker is like Wait, for a condition that depends only on one worker and the configuration.
 func (r *Replica) WaitWorker(ctx context.Context, name string, ok func(State) bool) (State, error) {
 	return wait(ctx, func() (State, <-chan struct{}) { return r.WatchWorker(name) }, ok)
 }
--- a/sessions/ledger/session.go
+++ b/sessions/ledger/session.go
@@ -8,36 +8,37 @@
 	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
-// namePattern is what sessions, teams and policies may be called. Names stand in paths and logs.
+// namePattern matches valid names of sessions, teams and workers, which occur in URL paths and logs.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
-// maxWork bounds the expected run time of a session.
+// maxWork is the longest run time of a session.
 const maxWork = 90 * 24 * time.Hour
 
-// maxTrace bounds a traceparent, in bytes; it has 55 today.
+// maxTrace is the maximum length of a traceparent in bytes; version 00 has 55.
 const maxTrace = 128
 
-// SessionSpec is what an operator asks for.
+// SessionSpec describes a session as an operator creates it.
 type SessionSpec struct {
 	Name  string          `json:"name"`
 	Team  string          `json:"team"`
 	Shape placement.Shape `json:"shape"`
-	// Urgent sessions go first and may take borrowed room back.
+	// Urgent sessions come before others and may reclaim borrowed accelerators.
 	Urgent bool `json:"urgent,omitempty"`
-	// Work is how long the session runs, in seconds; zero runs until it is cancelled.
+	// Work is the run time of the session in seconds. With zero it runs until it is cancelled.
 	Work int64 `json:"work_seconds,omitempty"`
 }
 
-// Defaults returns the spec with its optional fields filled.
+// Defaults returns the spec with defaults for omitted fields.
 func (s SessionSpec) Defaults() SessionSpec {
 	s.Shape = s.Shape.Defaults()
 	return s
 }
 
-// Validate returns a *fault.Field for the first field that is wrong.
+// Validate returns a *fault.Field for the first invalid field.
 func (s SessionSpec) Validate() error {
 	if !namePattern.MatchString(s.Name) {
-		return fault.BadField("name", "want 1 to 63 of a-z, 0-9, '.', '_' and '-', starting with a letter or digit, got %q", s.Name)
+		return fault.BadField("name",
+			"want 1 to 63 of a-z, 0-9, '.', '_' and '-', starting with a letter or digit, got %q", s.Name)
 	}
 	if !namePattern.MatchString(s.Team) {
 		return fault.BadField("team", "want the name of a team, got %q", s.Team)
@@ -48,10 +49,11 @@
 	return s.Shape.Validate("shape")
 }
 
-// SessionPhase is the stage of a session's life.
+// SessionPhase is the phase of a session.
 type SessionPhase string
 
-// The phases. A session leaves SessionWaiting and SessionPlaced only through a record that ends it.
+// The phases of a session. It alternates between waiting and placed until a record finishes or cancels
+// it.
 const (
 	SessionWaiting   SessionPhase = "waiting"
 	SessionPlaced    SessionPhase = "placed"
@@ -59,29 +61,29 @@
 	SessionCancelled SessionPhase = "cancelled"
 )
 
-// Session is a long gang job. It stays until a record ends it.
+// Session is a long-running gang job, started again after each interruption until it is finished or
+// cancelled.
 type Session struct {
 	SessionSpec
 	Phase SessionPhase `json:"phase"`
-	// Token is that of the current placement while Phase is SessionPlaced.
+	// Token is the token of the placement while Phase is SessionPlaced, otherwise zero.
 	Token int64 `json:"token,omitempty"`
-	// Progress is the work that the last whole checkpoint holds.
+	// Progress is the work that the checkpoints of all members hold.
 	Progress time.Duration `json:"progress_ns"`
-	// Since is when the current phase began, by the clock of the record's proposer, in
-	// milliseconds.
+	// Since is when the phase began, by the clock of the record's proposer, in ms since 1970.
 	Since int64 `json:"since"`
-	// Created is the offset of the record that created it.
+	// Created is the offset of the record that created the session.
 	Created int64 `json:"created"`
-	// Restarts counts the placements that ended before the work was done.
+	// Restarts is the number of placements that ended before the work was done.
 	Restarts int `json:"restarts"`
-	// Trace is the W3C traceparent of the call that created it, if that was traced.
+	// Trace is the W3C traceparent of the call that created the session; empty if it was not traced.
 	Trace string `json:"trace,omitempty"`
 }
 
-// Ended reports whether the session's life is over.
+// Ended reports whether the session is finished or cancelled.
 func (s Session) Ended() bool { return s.Phase == SessionFinished || s.Phase == SessionCancelled }
 
-// PlacementPhase is the stage of a placement.
+// PlacementPhase is the phase of a placement.
 type PlacementPhase string
 
 // The phases of a placement.
@@ -91,9 +93,9 @@
 	Stopping  PlacementPhase = "stopping"
 )
 
-// Placement is a gang's hold on its accelerators.
+// Placement is the assignment of accelerators to the gang of a session.
 type Placement struct {
-	// Token is the offset of the record that made it, and its fencing token.
+	// Token is the offset of the Place record. It is also the fencing token of the tasks.
 	Token    int64              `json:"token"`
 	Session  string             `json:"session"`
 	Team     string             `json:"team"`
@@ -101,18 +103,18 @@
 	Borrowed bool               `json:"borrowed"`
 	Phase    PlacementPhase     `json:"phase"`
 	Members  []placement.Member `json:"members"`
-	// Released has the names of the workers that are free again.
+	// Released has the workers whose accelerators are free again.
 	Released []string `json:"released,omitempty"`
-	// Progress is the least work that the checkpoints of the released members hold.
+	// Progress is the least work that a checkpoint of the released members holds.
 	Progress time.Duration `json:"progress_ns"`
 	Reason   string        `json:"reason,omitempty"`
-	// For is the session that a stopping placement makes room for.
+	// For is the session for which a stopping placement was reclaimed.
 	For string `json:"for,omitempty"`
-	// Since is when it was placed, in milliseconds.
+	// Since is when the session was placed, in ms since 1970.
 	Since int64 `json:"since"`
 }
 
-// IsReleased reports whether the member on the worker has been released.
+// IsReleased reports whether the member on the worker was released.
 func (p Placement) IsReleased(worker string) bool {
 	for _, name := range p.Released {
 		if name == worker {
@@ -122,7 +124,7 @@
 	return false
 }
 
-// Member returns the part on the worker.
+// Member returns the member on the worker, if there is one.
 func (p Placement) Member(worker string) (placement.Member, bool) {
 	for _, m := range p.Members {
 		if m.Worker == worker {
--- a/sessions/ledger/snapshot.go
+++ b/sessions/ledger/snapshot.go
@@ -16,12 +16,11 @@
 	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 )
 
-// chunkBytes is the size of one record of a snapshot. The platform takes some hundred appends a
-// second; a state of 1 MB compressed is then 16 appends.
+// chunkBytes is the size of one record of a snapshot. A compressed state of 1 MB takes 16 appends.
 const chunkBytes = 64 << 10
 
-// maxStateBytes bounds a decoded state, so that a bad snapshot can't take the memory budget of
-// 256 MB.
+// maxStateBytes is the maximum size of a decoded state, so that a corrupt snapshot can't exhaust the
+// memory.
 const maxStateBytes = 64 << 20
 
 // storedState is the stored form of a State.
@@ -41,9 +40,15 @@
 // EncodeState returns the compressed stored form of a state.
 func EncodeState(s State) ([]byte, error) {
 	form := storedState{
-		Revision: s.revision, ConfigRevision: s.configRevision,
-		SavedRevision: s.savedRevision, SavedAt: s.savedAt, Config: s.Config(), Workers: s.Workers(),
-		Sessions: s.Sessions(), Placements: s.Placements(), Ended: make(map[int64]string),
+		Revision:       s.revision,
+		ConfigRevision: s.configRevision,
+		SavedRevision:  s.savedRevision,
+		SavedAt:        s.savedAt,
+		Config:         s.Config(),
+		Workers:        s.Workers(),
+		Sessions:       s.Sessions(),
+		Placements:     s.Placements(),
+		Ended:          make(map[int64]string),
 	}
 	for itr := s.ended.Iterator(); !itr.Done(); {
 		offset, name, _ := itr.Next()
@@ -65,7 +70,7 @@
 	return buffer.Bytes(), nil
 }
 
-// DecodeState reads the stored form of a state.
+// DecodeState parses the stored form of a state.
 func DecodeState(data []byte) (State, error) {
 	zip, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
@@ -123,7 +128,7 @@
 
 // chunk is one record of the snapshot stream.
 type chunk struct {
-	// Writer tells apart two processes that write a snapshot of the same revision.
+	// Writer distinguishes processes that write snapshots of the same revision.
 	Writer   string `json:"writer"`
 	Revision int64  `json:"revision"`
 	Index    int    `json:"index"`
@@ -131,8 +136,8 @@
 	Data     []byte `json:"data"`
 }
 
-// WriteSnapshot appends the whole state to the snapshot stream, in chunks. A snapshot that is
-// cut short is ignored by readers, and so is a chunk that was appended twice.
+// WriteSnapshot appends the whole state to the snapshot stream in chunks. Readers ignore incomplete
+// snapshots and duplicate chunks.
 func WriteSnapshot(ctx context.Context, log hosting.Log, writer string, s State) error {
 	data, err := EncodeState(s)
 	if err != nil {
@@ -152,16 +157,16 @@
 	return nil
 }
 
-// snapshotKey names one snapshot of the stream.
+// snapshotKey identifies a snapshot in the stream.
 type snapshotKey struct {
 	writer   string
 	revision int64
 }
 
-// errNoSnapshot says that the stream holds no whole snapshot.
+// errNoSnapshot means that the stream has no complete snapshot.
 var errNoSnapshot = errors.New("no whole snapshot")
 
-// ReadSnapshot returns the newest whole snapshot of the stream.
+// ReadSnapshot returns the newest complete snapshot in the stream.
 func ReadSnapshot(ctx context.Context, log hosting.Log) (State, error) {
 	parts := make(map[snapshotKey]map[int][]byte)
 	var newest State
@@ -188,8 +193,8 @@
 	return newest, nil
 }
 
-// collect adds a chunk and returns the state if its snapshot is whole now. Unreadable chunks
-// are passed over.
+// collect adds a chunk and returns the state if its snapshot is complete now. It ignores unreadable
+// chunks.
 func collect(parts map[snapshotKey]map[int][]byte, data []byte) (State, bool) {
 	var c chunk
 	if err := fault.Decode(data, &c); err != nil || c.Index < 0 || c.Index >= c.Total {
--- a/sessions/ledger/state.go
+++ b/sessions/ledger/state.go
@@ -12,15 +12,14 @@
 	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
-// seenLimit is how many ids the fold remembers. At the design size a day has about 750 jobs of
-// some ten records, 450 configuration changes and 200 joins and leaves, so this many cover most
-// of a day.
+// seenLimit is the number of record IDs remembered. About 8,000 records a day are expected: 750
+// sessions with ten records each, 450 changes of the configuration, 200 joins and leaves.
 const seenLimit = 8192
 
-// endedLimit is how many ended sessions the state keeps for operators to look at.
+// endedLimit is the number of ended sessions that are kept for operators.
 const endedLimit = 1000
 
-// State is what the records up to a revision add up to. It is immutable and safe to share.
+// State is the result of all records up to a revision. It is immutable.
 type State struct {
 	revision       int64
 	configRevision int64
@@ -34,7 +33,7 @@
 	seen           *immutable.Map[string, Verdict]
 	seenOrder      *immutable.SortedMap[int64, string] // offset to id
 	teams          *immutable.SortedMap[string, Team]  // decoded form of the team entries of config
-	// touched names the workers that the last record changed something for.
+	// touched has the workers for which the last record changed something.
 	touched []string
 }
 
@@ -52,19 +51,18 @@
 	}
 }
 
-// Revision is the offset of the last record that was folded in; zero before the first.
+// Revision returns the offset of the last record applied; zero before the first.
 func (s State) Revision() int64 { return s.revision }
 
-// ConfigRevision is the offset of the last accepted change of the configuration.
+// ConfigRevision returns the offset of the last accepted change of the configuration.
 func (s State) ConfigRevision() int64 { return s.configRevision }
 
-// Saved returns the revision of the newest snapshot, and when it was taken by its writer's
-// clock, in milliseconds.
+// Saved returns the revision of the newest snapshot and when it was taken by its writer's clock, in
+// ms since 1970.
 func (s State) Saved() (revision, at int64) { return s.savedRevision, s.savedAt }
 
-// With folds one record in. The offset must be the next one; a reader that has a gap must load
-// a snapshot instead. An unreadable record changes nothing but the revision, in every process
-// alike.
+// With returns the state after the record and the verdict on it. The offset must be the next one. A
+// record that is not accepted changes only the revision and the remembered IDs.
 func (s State) With(offset int64, data []byte) (State, Verdict) {
 	s.revision, s.touched = offset, nil
 	r, err := DecodeRecord(data)
@@ -72,10 +70,12 @@
 		return s, Verdict{Offset: offset, Status: Unreadable, Reason: err.Error()}
 	}
 	if earlier, found := s.seen.Get(r.ID); found {
-		return s, Verdict{Offset: offset, ID: r.ID, Status: Duplicate, Reason: "settled at offset " + decimal(earlier.Offset)}
+		reason := "settled at offset " + decimal(earlier.Offset)
+		return s, Verdict{Offset: offset, ID: r.ID, Status: Duplicate, Reason: reason}
 	}
 	if floor := s.seenFloor(); r.Base < floor {
-		return s, Verdict{Offset: offset, ID: r.ID, Status: Rejected, Reason: "based on revision " + decimal(r.Base) + ", older than the ids remembered"}
+		reason := "based on revision " + decimal(r.Base) + ", older than the ids remembered"
+		return s, Verdict{Offset: offset, ID: r.ID, Status: Rejected, Reason: reason}
 	}
 	if r.Void != nil {
 		return s.void(offset, r)
@@ -90,17 +90,18 @@
 	return next.withSeen(r.ID, verdict), verdict
 }
 
-// void settles an id that has not come: a record that brings it later is a duplicate. Only the
-// settled id is remembered, not that of the void record itself, because settling an id twice
-// does no harm.
+// void rejects the record with an ID that has not been seen, so that it counts as a duplicate when it
+// comes later. The ID of the void record itself is not remembered, because applying it twice does no
+// harm.
 func (s State) void(offset int64, r Record) (State, Verdict) {
 	if _, found := s.seen.Get(r.Void.ID); !found {
-		s = s.withSeen(r.Void.ID, Verdict{Offset: offset, ID: r.Void.ID, Status: Rejected, Reason: "given up by its proposer"})
+		rejected := Verdict{Offset: offset, ID: r.Void.ID, Status: Rejected, Reason: "given up by its proposer"}
+		s = s.withSeen(r.Void.ID, rejected)
 	}
 	return s, Verdict{Offset: offset, ID: r.ID, Status: Accepted}
 }
 
-// seenFloor is the revision below which ids may have been forgotten.
+// seenFloor returns the revision below which IDs may have been forgotten.
 func (s State) seenFloor() int64 {
 	if s.seenOrder.Len() < seenLimit {
 		return 0
@@ -122,7 +123,7 @@
 	return s
 }
 
-// Verdict returns what was decided about the id, if it is settled. A voided id is rejected.
+// Verdict returns the verdict on the record with the ID, if there is one. A voided ID is rejected.
 func (s State) Verdict(id string) (Verdict, bool) {
 	return s.seen.Get(id)
 }
@@ -159,7 +160,8 @@
 func (s State) putConfig(offset, at int64, put PutConfig) (State, error) {
 	entry, _ := s.config.Get(put.Key)
 	if entry.Revision != put.Revision {
-		return s, fault.BadField("revision", "%s is at revision %d, not %d: someone else changed it", put.Key, entry.Revision, put.Revision)
+		return s, fault.BadField("revision", "%s is at revision %d, not %d: someone else changed it",
+			put.Key, entry.Revision, put.Revision)
 	}
 	if err := ValidateConfig(put.Key, put.Value); err != nil {
 		return s, err
@@ -172,7 +174,8 @@
 		s.teams = s.teams.Set(team.Name, team)
 	}
 	entry.Key = put.Key
-	s.config = s.config.Set(put.Key, entry.WithChange(Change{Revision: offset, Value: put.Value, Author: put.Author, At: at}))
+	change := Change{Revision: offset, Value: put.Value, Author: put.Author, At: at}
+	s.config = s.config.Set(put.Key, entry.WithChange(change))
 	s.configRevision = offset
 	return s, nil
 }
@@ -195,15 +198,15 @@
 	return s.withWorker(w.WithRevision(offset)), nil
 }
 
-// withWorker replaces a worker that the record being folded in has changed. Its agent is told.
+// withWorker replaces a worker and marks it as touched, so that its agent gets a new view.
 func (s State) withWorker(w Worker) State {
 	s.workers = s.workers.Set(w.Name, w)
 	s.touched = append(s.touched[:len(s.touched):len(s.touched)], w.Name)
 	return s
 }
 
-// Touched names the workers that the last record changed something for, some perhaps twice. A
-// change of the configuration concerns all workers and names none.
+// Touched returns the workers for which the last record changed something, possibly with duplicates.
+// A change of the configuration concerns all workers and touches none.
 func (s State) Touched() []string { return s.touched }
 
 func (w Worker) held() bool {
@@ -241,7 +244,13 @@
 	if _, found := s.teams.Get(spec.Team); !found {
 		return s, fault.BadField("team", "%q is not known; put %s%s first", spec.Team, TeamPrefix, spec.Team)
 	}
-	s.sessions = s.sessions.Set(spec.Name, Session{SessionSpec: spec, Phase: SessionWaiting, Since: at, Created: offset, Trace: r.Trace})
+	s.sessions = s.sessions.Set(spec.Name, Session{
+		SessionSpec: spec,
+		Phase:       SessionWaiting,
+		Since:       at,
+		Created:     offset,
+		Trace:       r.Trace,
+	})
 	return s, nil
 }
 
@@ -333,13 +342,13 @@
 	return list
 }
 
-// Age is the time between a proposer's clock reading, in milliseconds, and now. It is never
-// negative.
+// Age returns the time from a proposer's clock reading, in ms since 1970, to now. It is at least zero,
+// also if the clocks differ.
 func Age(since int64, now time.Time) time.Duration {
 	return max(0, now.Sub(time.UnixMilli(since)))
 }
 
-// Waiting returns the sessions that wait, in the order in which they were created.
+// Waiting returns the waiting sessions in the order of their creation.
 func (s State) Waiting() []Session {
 	var list []Session
 	for _, session := range s.Sessions() {
--- a/sessions/ledger/worker.go
+++ b/sessions/ledger/worker.go
@@ -12,37 +12,39 @@
 	maxSlots        = 1024
 )
 
-// Worker is a machine with the agent beside its target.
+// Worker is a machine with a target and its agent.
 type Worker struct {
 	Name string `json:"name"`
-	// Region is where the availability zone is. It may stay empty where there is one region only.
+	// Region may be empty if there is only one.
 	Region       string `json:"region,omitempty"`
 	Zone         string `json:"zone"`
 	Rack         string `json:"rack"`
 	Accelerators int    `json:"accelerators"`
-	// Service is the name of the service of the target; empty if the worker has no target.
+	// Service is the service of the target; empty if the worker has no target.
 	Service string `json:"service,omitempty"`
 	// Address is the base URL of the agent.
 	Address string `json:"address"`
-	// Incarnation is the id that the agent took when it started.
+	// Incarnation is the random ID of this run of the agent.
 	Incarnation string `json:"incarnation"`
-	// Slots is how many requests the target serves at once.
+	// Slots is how many requests the target serves at the same time.
 	Slots int `json:"slots"`
-	// Leaving says that it takes no new work.
+	// Leaving means that the worker takes no new work.
 	Leaving bool `json:"leaving,omitempty"`
-	// Joined is the offset of the record by which the incarnation joined. The fold owns it.
+	// Joined is the offset of the record by which the incarnation joined. State sets it.
 	Joined int64 `json:"joined,omitempty"`
-	// Holders has the token on each accelerator, zero where it is free. The fold owns it.
+	// Holders has the token of the placement on each accelerator; zero if it is free. State sets it.
 	Holders []int64 `json:"holders,omitempty"`
-	// Revision is the offset of the last record that changed something for this worker. The
-	// fold owns it.
+	// Revision is the offset of the last record that changed something for this worker. State sets
+	// it.
 	Revision int64 `json:"revision,omitempty"`
 }
 
-// Validate returns a *fault.Field for the first field that is wrong.
+// Validate returns a *fault.Field for the first invalid field.
 func (w Worker) Validate() error {
 	for _, f := range []struct{ name, value string }{
-		{"worker.name", w.Name}, {"worker.zone", w.Zone}, {"worker.rack", w.Rack},
+		{"worker.name", w.Name},
+		{"worker.zone", w.Zone},
+		{"worker.rack", w.Rack},
 	} {
 		if !namePattern.MatchString(f.value) {
 			return fault.BadField(f.name, "want 1 to 63 of a-z, 0-9, '.', '_' and '-', got %q", f.value)
@@ -77,7 +79,7 @@
 	return w
 }
 
-// WithRevision returns the worker as changed at the revision.
+// WithRevision returns the worker with the given revision.
 func (w Worker) WithRevision(revision int64) Worker {
 	w.Revision = revision
 	return w
