--- a/sessions/placement/decide.go
+++ b/sessions/placement/decide.go
@@ -5,43 +5,50 @@
 	"time"
 )
 
-// Profile weighs the measures against each other.
+// Profile has the parameters that trade completion time against fragmentation.
 type Profile struct {
-	// Reservations is how many waiting gangs may hold room back at once; zero turns
-	// reservations off.
+	// Reservations is the maximum number of waiting gangs with a reservation at the same time.
 	Reservations int `json:"reservations"`
-	// ReserveFrom is the smallest number of accelerators for which room is held back.
+	// ReserveFrom is the smallest number of accelerators that gets a reservation.
 	ReserveFrom int `json:"reserve_from"`
-	// ShortFirst is how much an hour of estimated run time counts against a session, in waiting
-	// time.
+	// ShortFirst is the waiting time by which each hour of estimated run time sets a session back.
 	ShortFirst time.Duration `json:"short_first_ns"`
-	// LargeShortFirst replaces ShortFirst for gangs of ReserveFrom accelerators and more.
+	// LargeShortFirst is used instead of ShortFirst for gangs of ReserveFrom accelerators and more.
 	LargeShortFirst time.Duration `json:"large_short_first_ns"`
-	// NoBackfill keeps all other work out of reserved room, also what would end in time.
+	// NoBackfill keeps other sessions out of reserved accelerators even if they would end in time.
 	NoBackfill bool `json:"no_backfill"`
-	// Scoring chooses among the places that have room; empty is ScoreBest.
+	// Scoring chooses among the domains that fit; empty is ScoreBest.
 	Scoring Scoring `json:"scoring"`
 }
 
 // Scoring names a Scorer.
 type Scoring string
 
-// The scorings. ScoreFirst is a baseline of the measurements.
+// The scorings.
 const (
 	ScoreFirst Scoring = "first"
 	ScoreBest  Scoring = "best"
 )
 
-// CompletionProfile puts completion time first: short work goes ahead, and one large gang at a
-// time has room held back. docs/MEASUREMENTS.md has the figures that chose the values.
+// CompletionProfile favors completion time: short sessions go ahead, and one large gang at a time has
+// a reservation.
 func CompletionProfile() Profile {
-	return Profile{Reservations: 1, ReserveFrom: 8, ShortFirst: 20 * time.Hour, LargeShortFirst: 210 * time.Minute}
+	return Profile{
+		Reservations:    1,
+		ReserveFrom:     8,
+		ShortFirst:      20 * time.Hour,
+		LargeShortFirst: 210 * time.Minute,
+	}
 }
 
-// FragmentationProfile puts fragmentation first: large gangs go ahead, and two at a time have
-// room held back.
+// FragmentationProfile favors large gangs: their run time does not count against them, and two at a
+// time have a reservation.
 func FragmentationProfile() Profile {
-	return Profile{Reservations: 2, ReserveFrom: 8, ShortFirst: 20 * time.Hour}
+	return Profile{
+		Reservations: 2,
+		ReserveFrom:  8,
+		ShortFirst:   20 * time.Hour,
+	}
 }
 
 // decider is the working state of one call of Decide.
@@ -51,28 +58,29 @@
 	topology     *Topology
 	running      map[int64]*Running
 	entitlements []Entitlement
-	free         *Capacity
-	// unheld is free without what is held back for sessions that victims make room for.
+	// free has the free accelerators.
+	free *Capacity
+	// unheld is free without what is held for sessions whose victims are stopping.
 	unheld *Capacity
 	// reclaimable has the free accelerators and those of borrowed placements.
 	reclaimable *Capacity
 	reserved    []reservation
 	decisions   []Decision
-	// awaiting has the sessions for which placements are being stopped.
+	// awaiting has the sessions for which placements are stopping.
 	awaiting map[string]bool
-	// noFit has searches that found no room since the room last changed, so the same one is in
-	// vain again. Most of the sessions that wait in a full system ask for one of a few shapes.
+	// noFit has the searches that found no place since the free accelerators last changed. In a full
+	// system most waiting sessions have one of a few shapes, so the same search would be repeated.
 	noFit map[search]bool
 }
 
-// search is a look for room: a shape, and the reservations that it must leave alone, one bit each.
+// search identifies a search by its shape and the reservations that it respects, one bit each.
 type search struct {
 	shape    Shape
 	reserved uint64
 }
 
-// Decide returns what to do now. It starts sessions where there is room, takes borrowed room
-// back for guaranteed and urgent sessions, and holds room back for large gangs that wait.
+// Decide returns what to do now. It starts sessions on free accelerators, reclaims borrowed ones for
+// guaranteed and urgent sessions, and reserves accelerators for large waiting gangs.
 func Decide(input Input, profile Profile) []Decision {
 	d := newDecider(input, profile)
 	for _, w := range d.order() {
@@ -124,10 +132,10 @@
 	return found && p.Borrowed
 }
 
-// order sorts the waiting sessions: those with an unused guarantee first, the urgent ones among
-// them ahead, then other urgent ones, then the rest by priority. A guarantee goes before
-// urgency: else urgent sessions of others would take the room that an owner has just got back,
-// for ever.
+// order sorts the waiting sessions: first those with an unused guarantee, the urgent ones ahead, then
+// other urgent ones, then the rest. Within these classes the order is by priority. Guarantees come
+// before urgency, because urgent sessions of other teams could otherwise take what was just
+// reclaimed for an owner, again and again.
 func (d *decider) order() []Waiting {
 	list := append([]Waiting(nil), d.input.Waiting...)
 	class := func(w Waiting) int {
@@ -160,8 +168,8 @@
 	return list
 }
 
-// priority is the waiting time, less for long work. Gangs for which room is held back lose less
-// by it: they are few, and would otherwise wait behind every short job.
+// priority returns the waiting time less a malus for the estimated run time. The malus is smaller for
+// gangs that can have a reservation, which would otherwise wait behind all short sessions.
 func (d *decider) priority(w Waiting) time.Duration {
 	malus := d.profile.ShortFirst
 	if w.Shape.Accelerators >= d.profile.ReserveFrom {
@@ -170,7 +178,8 @@
 	return w.Waited - time.Duration(w.Estimate.Hours()*float64(malus))
 }
 
-// entitlement returns the index of the loosest unused guarantee that covers the session, or -1.
+// entitlement returns the index of the loosest unused guarantee of the session's team that covers it,
+// or -1.
 func (d *decider) entitlement(w Waiting) int {
 	return UnusedEntitlement(d.entitlements, w.Team, w.Shape)
 }
@@ -190,14 +199,14 @@
 	return found
 }
 
-// place decides for one session.
+// place decides about one session.
 func (d *decider) place(w Waiting) {
 	held := d.entitlement(w)
 	if held >= 0 && d.startHeld(w, held) {
 		return
 	}
 	if held >= 0 {
-		// What is taken back for the owner has to be as close together as the guarantee says.
+		// What is reclaimed for the owner must have the adjacency of the guarantee.
 		w.Shape = d.entitlements[held].Shape
 	}
 	if d.startBorrowed(w) {
@@ -212,14 +221,14 @@
 	d.reserve(w)
 }
 
-func (d *decider) findPlace(r *Capacity, shape Shape) []share {
+func (d *decider) findPlace(c *Capacity, shape Shape) []share {
 	if d.profile.Scoring == ScoreFirst {
-		return findPlace(r, FirstFit{}, shape)
+		return findPlace(c, FirstFit{}, shape)
 	}
-	return findPlace(r, BestFit{}, shape)
+	return findPlace(c, BestFit{}, shape)
 }
 
-// startHeld starts the session under a guarantee, if the other guarantees stay feasible.
+// startHeld starts the session under a guarantee if it fits and the other guarantees stay feasible.
 func (d *decider) startHeld(w Waiting, held int) bool {
 	shares := d.findPlace(d.unheld, d.entitlements[held].Shape)
 	if shares == nil {
@@ -238,7 +247,7 @@
 	return true
 }
 
-// startBorrowed starts the session in room that no reservation needs.
+// startBorrowed starts the session without a guarantee if it fits beside the reservations.
 func (d *decider) startBorrowed(w Waiting) bool {
 	s := search{shape: w.Shape, reserved: d.reservedFor(w)}
 	if d.noFit[s] {
@@ -262,7 +271,8 @@
 	d.decisions = append(d.decisions, Decision{Session: w.Session, Members: list, Borrowed: borrowed})
 }
 
-// takenHolder marks accelerators that this decision has given away: neither free nor reclaimable.
+// takenHolder marks accelerators that were assigned in this call of Decide. They are neither free nor
+// reclaimable.
 const takenHolder = -1
 
 func (d *decider) markTaken(shares []share, list []Member) {
--- a/sessions/placement/explain.go
+++ b/sessions/placement/explain.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// explainHolders is how many holders an explanation names.
+// explainHolders is the maximum number of holders that an explanation lists.
 const explainHolders = 8
 
-// Explain says why a waiting session does not start: what is short, who holds it, and what
-// would free it.
+// Explain returns lines that say why a waiting session does not start: where it would fit best, who
+// holds the accelerators there, and what it waits for.
 func Explain(input Input, profile Profile, session string) []string {
 	d := newDecider(input, profile)
 	var w Waiting
@@ -58,8 +58,8 @@
 	return fmt.Sprintf("Team %s has no unused guarantee for this shape, so it waits for free room.", w.Team)
 }
 
-// mostReclaimable returns the domain large enough for the session in which the most
-// accelerators are free or borrowed.
+// mostReclaimable returns the domain large enough for the session with the most free accelerators and,
+// among those, the most borrowed ones. It returns -1 if no domain is large enough.
 func (d *decider) mostReclaimable(w Waiting) int {
 	found := -1
 	for _, at := range d.topology.domains(w.Shape.Adjacency) {
@@ -74,7 +74,7 @@
 	return found
 }
 
-// domainName names a domain by a worker in it.
+// domainName returns a description of a domain.
 func (d *decider) domainName(at int) string {
 	first := Worker{}
 	d.eachWorker(at, func(worker int) {
@@ -138,5 +138,6 @@
 	if p.Left > 0 {
 		notes = append(notes, "ends in about "+p.Left.Round(1e9).String())
 	}
-	return fmt.Sprintf("%d held by session %s of team %s (placement %d, %s)", count, p.Session, p.Team, token, strings.Join(notes, ", "))
+	return fmt.Sprintf("%d held by session %s of team %s (placement %d, %s)",
+		count, p.Session, p.Team, token, strings.Join(notes, ", "))
 }
--- a/sessions/placement/placement.go
+++ b/sessions/placement/placement.go
@@ -1,20 +1,20 @@
-// Package placement is the decision core: which waiting session starts where, and what has to
-// be taken back for it.
+// Package placement decides which waiting sessions start on which accelerators, and which running
+// placements are reclaimed for them.
 //
-// Everything here is a pure function of its arguments. There is no clock, no I/O and no random
-// source, so that the same input gives the same decisions in every process, and a test or an
-// experiment can call it directly.
+// Its functions are pure: they use no clock, no I/O and no random numbers, so the same input gives
+// the same decisions in every process. The package owns no state and depends on nothing but its
+// input.
 //
 // # Terms
 //
-// A Shape is a number of accelerators with an adjacency. A Guarantee gives a team a number of
-// shapes that it can have back at any time. A placement that uses a guarantee of its team is
-// held; any other is borrowed, and yields.
+// A Shape is a number of accelerators with an adjacency. A Guarantee entitles a team to a number of
+// shapes at any time. A placement that uses a guarantee of its team is held; any other placement is
+// borrowed and can be reclaimed.
 //
 // # Usage
 //
-//	topology := placement.NewTopology(workers)
-//	decisions := placement.Decide(placement.Input{Topology: topology, ...}, placement.CompletionProfile())
+//	input := placement.Input{Workers: workers, Running: running, Waiting: waiting, Entitlements: entitlements}
+//	decisions := placement.Decide(input, placement.CompletionProfile())
 package placement
 
 import (
@@ -23,11 +23,11 @@
 	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
-// Adjacency says how close the accelerators of a shape must be to each other.
+// Adjacency is the domain that all accelerators of a shape must share.
 type Adjacency string
 
-// The adjacencies, from the loosest to the tightest. AnyPlace is anywhere in one region:
-// regions lose each other for minutes, and a gang that spans two would stop each time.
+// The adjacencies, from the loosest to the tightest. AnyPlace means anywhere in one region, because
+// the connection between regions can be lost for minutes, which would stop a gang.
 const (
 	AnyPlace   Adjacency = "any"
 	SameZone   Adjacency = "zone"
@@ -35,16 +35,16 @@
 	SameWorker Adjacency = "worker"
 )
 
-// MaxGang is the largest number of accelerators of one gang.
+// MaxGang is the maximum number of accelerators of a gang.
 const MaxGang = 64
 
-// Shape is what a gang asks for.
+// Shape is the number and the adjacency of the accelerators of a gang.
 type Shape struct {
 	Accelerators int       `json:"accelerators"`
 	Adjacency    Adjacency `json:"adjacency"`
 }
 
-// Defaults returns the shape with an adjacency.
+// Defaults returns the shape with AnyPlace if it has no adjacency.
 func (s Shape) Defaults() Shape {
 	if s.Adjacency == "" {
 		s.Adjacency = AnyPlace
@@ -52,7 +52,7 @@
 	return s
 }
 
-// Validate returns a *fault.Field whose name starts with the given prefix.
+// Validate returns a *fault.Field for the first invalid field. Its name starts with the prefix.
 func (s Shape) Validate(prefix string) error {
 	if s.Accelerators < 1 || s.Accelerators > MaxGang {
 		return fault.BadField(prefix+".accelerators", "want 1 to %d, got %d", MaxGang, s.Accelerators)
@@ -64,7 +64,7 @@
 	return fault.BadField(prefix+".adjacency", "want any, zone, rack or worker, got %q", s.Adjacency)
 }
 
-// tightness orders adjacencies: a higher one is harder to satisfy.
+// tightness returns the level of the topology at which the adjacency is satisfied.
 func (a Adjacency) tightness() int {
 	switch a {
 	case SameWorker:
@@ -77,34 +77,33 @@
 	return regionLevel
 }
 
-// Covers reports whether a guarantee of the shape s serves a session of the other shape: one of
-// the same size that asks for no closer adjacency. The session is then placed as s says. A
-// smaller one is not served, because its end would have to leave room for the whole of s, which
-// nothing would have kept together.
+// Covers reports whether a guarantee of shape s can be used by a session of the other shape, which
+// must have the same size and no tighter adjacency. The session is then placed with the shape s. A
+// smaller session is not covered, because the remaining accelerators of s could be taken by others.
 func (s Shape) Covers(other Shape) bool {
 	return s.Accelerators == other.Accelerators && s.Adjacency.tightness() >= other.Adjacency.tightness()
 }
 
-// Guarantee is a number of shapes that a team can always have back.
+// Guarantee entitles a team to a number of placements of a shape.
 type Guarantee struct {
 	Shape
-	// Count is how many of the shape the team holds at once.
+	// Count is how many placements of the shape are guaranteed at the same time.
 	Count int `json:"count"`
 }
 
-// Member is the part of a placement that lies on one worker.
+// Member is the part of a placement on one worker.
 type Member struct {
 	Worker       string `json:"worker"`
 	Accelerators []int  `json:"accelerators"`
 }
 
-// Worker is a machine with the holders of its accelerators.
+// Worker is a machine and the use of its accelerators.
 type Worker struct {
 	Name   string
 	Rack   string
 	Zone   string
 	Region string
-	// Holders has the token of the placement on each accelerator, zero where it is free.
+	// Holders has the token of the placement on each accelerator; zero if it is free.
 	Holders []int64
 }
 
@@ -114,36 +113,36 @@
 	Session string
 	Team    string
 	Shape   Shape
-	// Borrowed placements yield to guarantees and to urgent work.
+	// Borrowed placements can be reclaimed for guarantees and urgent sessions.
 	Borrowed bool
-	// Urgent placements yield to guarantees only: two urgent sessions would otherwise take from
-	// each other for ever.
+	// Urgent placements can be reclaimed for guarantees only. Otherwise two urgent sessions would
+	// reclaim from each other forever.
 	Urgent bool
-	// Stopping placements release their accelerators soon.
+	// Stopping placements will release their accelerators.
 	Stopping bool
-	// For is the session that a stopping placement makes room for.
+	// For is the session for which a stopping placement was reclaimed.
 	For string
-	// YieldRank orders victims: lower yields first.
+	// YieldRank is the order of reclaiming, the lowest first.
 	YieldRank int
-	// Unsaved is the work lost if it is stopped now and its checkpoint fails.
+	// Unsaved is the work lost if the placement stops now and its checkpoint fails.
 	Unsaved time.Duration
-	// Left is the expected time until it ends; zero if it is not known.
+	// Left is the expected time until the placement ends; zero if unknown.
 	Left time.Duration
 }
 
-// Waiting is a session that wants to start.
+// Waiting is a session that waits to start.
 type Waiting struct {
 	Session string
 	Team    string
 	Shape   Shape
 	Urgent  bool
-	// Waited is the time since the session began to wait.
+	// Waited is the time for which it has been waiting.
 	Waited time.Duration
-	// Estimate is the expected run time; zero if it is not known.
+	// Estimate is the expected run time; zero if unknown.
 	Estimate time.Duration
 }
 
-// Entitlement is one guarantee of a team with the number of it that running placements use.
+// Entitlement is a guarantee of a team and how many placements use it.
 type Entitlement struct {
 	Team  string
 	Shape Shape
@@ -151,7 +150,7 @@
 	Used  int
 }
 
-// Input is all that a decision looks at.
+// Input is everything that decisions depend on.
 type Input struct {
 	Workers      []Worker
 	Running      []Running
@@ -159,13 +158,13 @@
 	Entitlements []Entitlement
 }
 
-// Decision is one thing to do. Exactly one of Members and Victims is set.
+// Decision starts a session or reclaims placements for it. Exactly one of Members and Victims is set.
 type Decision struct {
 	Session string
-	// Members is where the session starts.
+	// Members are the accelerators on which the session starts.
 	Members []Member
-	// Borrowed says that the start uses no guarantee.
+	// Borrowed means that the session uses no guarantee.
 	Borrowed bool
-	// Victims are the tokens of the placements to take back for the session.
+	// Victims are the tokens of the placements to reclaim for the session.
 	Victims []int64
 }
--- a/sessions/placement/reclaim.go
+++ b/sessions/placement/reclaim.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// reclaim takes back borrowed placements until the session fits. It picks the domain that loses
-// the least.
+// reclaim decides to stop borrowed placements so that the session fits, in the domain with the lowest
+// cost. It reports false if there is no such domain.
 func (d *decider) reclaim(w Waiting) bool {
 	var victims []*Running
 	lowest, node := victimCost{}, -1
@@ -33,8 +33,8 @@
 	return true
 }
 
-// awaitVictims keeps the room together that is being made for the session, and reports whether
-// it will be enough.
+// awaitVictims holds the accelerators that are being reclaimed for the session. It reports false if
+// they will not be enough, or if none are being reclaimed.
 func (d *decider) awaitVictims(w Waiting) bool {
 	if !d.awaiting[w.Session] {
 		return false
@@ -52,7 +52,7 @@
 	return true
 }
 
-// comingFor counts the accelerators below the node that are being freed for the session.
+// comingFor counts the accelerators of the node that are being reclaimed for the session.
 func (d *decider) comingFor(session string, at int) int {
 	n := 0
 	d.eachWorker(at, func(worker int) {
@@ -65,15 +65,16 @@
 	return n
 }
 
-// holdFree keeps free room of the domain away from all sessions that come after, so that what
-// victims free part by part is not taken again, by the victims themselves first of all.
+// holdFree holds the free accelerators that the session needs in addition to those still to be
+// released. The victims release them one by one; without this other sessions, the victims first of
+// all, would take them again.
 func (d *decider) holdFree(w Waiting, at int) {
 	clear(d.noFit)
 	d.withhold(d.unheld, at, max(0, w.Shape.Accelerators-d.comingFor(w.Session, at)))
 }
 
-// victimCost orders sets of victims: by the highest rank among them, then by the work lost, then
-// by their number.
+// victimCost is the cost of reclaiming a set of placements: their highest yield rank, then the work
+// lost, then their number.
 type victimCost struct {
 	rank  int
 	lost  time.Duration
@@ -90,8 +91,8 @@
 	return c.count < other.count
 }
 
-// victims returns borrowed placements whose end makes room for n accelerators below the node.
-// Only the owner of a guarantee takes from urgent placements.
+// victims returns borrowed placements whose end leaves n accelerators of the node free. Only the owner
+// of a guarantee may reclaim urgent placements.
 func (d *decider) victims(at, n int, owner bool) ([]*Running, victimCost, bool) {
 	short := n - d.free.free[at]
 	if d.reclaimable.free[at] < n {
@@ -118,12 +119,16 @@
 		}
 		list = append(list, p)
 		short -= here[p.Token]
-		cost = victimCost{rank: max(cost.rank, p.YieldRank), lost: cost.lost + p.Unsaved*time.Duration(p.Shape.Accelerators), count: cost.count + 1}
+		cost = victimCost{
+			rank:  max(cost.rank, p.YieldRank),
+			lost:  cost.lost + p.Unsaved*time.Duration(p.Shape.Accelerators),
+			count: cost.count + 1,
+		}
 	}
 	return list, cost, short <= 0 && len(list) > 0
 }
 
-// yieldsBefore orders victims by rank, then by work lost for each accelerator that they free here.
+// yieldsBefore orders victims by yield rank, then by the work lost per accelerator freed in the domain.
 func (d *decider) yieldsBefore(a, b *Running, here map[int64]int) bool {
 	if a.YieldRank != b.YieldRank {
 		return a.YieldRank < b.YieldRank
@@ -136,6 +141,7 @@
 	return a.Token < b.Token
 }
 
+// eachWorker calls visit for each worker of a domain.
 func (d *decider) eachWorker(at int, visit func(worker int)) {
 	n := d.topology.nodes[at]
 	if n.worker >= 0 {
--- a/sessions/placement/reserve.go
+++ b/sessions/placement/reserve.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// unknownLeft is assumed for a placement that gives no estimate.
+// unknownLeft is the assumed rest of the run time of a placement without an estimate.
 const unknownLeft = 24 * time.Hour
 
-// maxReservations is how many reservations fit into the bits of a search.
+// maxReservations is the number of bits for reservations in a search.
 const maxReservations = 64
 
-// reservation holds the room of a domain back for a gang that waits until others end.
+// reservation holds free accelerators of a domain for a gang that waits for placements there to end.
 type reservation struct {
 	node int
-	// hold is how many of the domain's free accelerators are held back.
+	// hold is how many of the domain's free accelerators are held.
 	hold int
-	// starts is the expected time until the domain has room. What ends before may use the room
-	// meanwhile.
+	// starts is the expected time until the gang can start. Sessions that end before then may use
+	// the held accelerators.
 	starts time.Duration
 }
 
-// reserve holds back the domain in which the session can be expected to start first.
+// reserve reserves the domain in which the session is expected to be able to start first.
 func (d *decider) reserve(w Waiting) {
 	if len(d.reserved) >= min(d.profile.Reservations, maxReservations) || w.Shape.Accelerators < d.profile.ReserveFrom {
 		return
@@ -51,7 +51,8 @@
 	return false
 }
 
-// expectedStart returns the time until n accelerators below the node can be expected to be free.
+// expectedStart returns the expected time until n accelerators of the node are free. It reports false
+// if the node has fewer.
 func (d *decider) expectedStart(at, n int) (time.Duration, bool) {
 	type ending struct {
 		left  time.Duration
@@ -99,50 +100,50 @@
 	return p.Left
 }
 
-// reservedFor returns the reservations that the session has to leave alone, one bit each. A
-// session that ends before a reservation starts may use what that one holds, and urgent work
-// looks at firm reservations only.
+// reservedFor returns the reservations that the session must respect, one bit each. Urgent sessions
+// respect none, and a session that is expected to end before a reserved gang starts may use what is
+// held for it.
 func (d *decider) reservedFor(w Waiting) uint64 {
 	var bits uint64
 	for i, r := range d.reserved {
-		inTime := w.Urgent || (!d.profile.NoBackfill && w.Estimate > 0 && w.Estimate <= r.starts)
-		if !inTime {
+		mayUse := w.Urgent || (!d.profile.NoBackfill && w.Estimate > 0 && w.Estimate <= r.starts)
+		if !mayUse {
 			bits |= 1 << i
 		}
 	}
 	return bits
 }
 
-// unreserved returns the free room without what the given reservations hold back.
+// unreserved returns the free accelerators without those of the given reservations.
 func (d *decider) unreserved(reserved uint64) *Capacity {
 	if reserved == 0 {
 		return d.unheld
 	}
-	room := d.unheld.Clone()
+	rest := d.unheld.Clone()
 	for i, r := range d.reserved {
 		if reserved&(1<<i) != 0 {
-			d.withhold(room, r.node, r.hold)
+			d.withhold(rest, r.node, r.hold)
 		}
 	}
-	return room
+	return rest
 }
 
-// withhold takes n accelerators below the node out of the room, from the emptiest workers
-// first, so that what is left are the fragments.
-func (d *decider) withhold(room *Capacity, node, n int) {
+// withhold takes n accelerators of the node out of the capacity. It starts with the workers that have
+// the most, so that the fragments remain usable.
+func (d *decider) withhold(c *Capacity, node, n int) {
 	var leaves []int
 	d.eachWorker(node, func(worker int) {
-		if leaf := d.topology.leaf[worker]; room.free[leaf] > 0 {
+		if leaf := d.topology.leaf[worker]; c.free[leaf] > 0 {
 			leaves = append(leaves, leaf)
 		}
 	})
-	slices.SortStableFunc(leaves, func(a, b int) int { return room.free[b] - room.free[a] })
+	slices.SortStableFunc(leaves, func(a, b int) int { return c.free[b] - c.free[a] })
 	for _, leaf := range leaves {
-		part := min(n, room.free[leaf])
+		part := min(n, c.free[leaf])
 		if part == 0 {
 			break
 		}
-		room.add(room.free, leaf, -part)
+		c.add(c.free, leaf, -part)
 		n -= part
 	}
 }
--- a/sessions/placement/room.go
+++ b/sessions/placement/room.go
@@ -2,24 +2,24 @@
 
 import "sort"
 
-// node is a domain of adjacency: the root, a region, an availability zone, a rack or a worker.
+// node is a domain: the root, a region, an availability zone, a rack or a worker.
 type node struct {
 	parent   int
 	children []int
-	worker   int // index into workers for a leaf, -1 for the others
+	worker   int // index of the worker; -1 for other levels
 	level    int
 }
 
 // Topology is the tree of regions, zones, racks and workers. It is immutable.
 type Topology struct {
 	nodes []node
-	// leaf has the node of each worker.
+	// leaf has the node of each worker, by its index.
 	leaf []int
 	// levels lists the nodes of each level, from the root to the workers.
 	levels [workerLevel + 1][]int
 }
 
-// The levels of the tree. A domain of a level satisfies the adjacency of that tightness.
+// The levels of the tree.
 const (
 	rootLevel = iota
 	regionLevel
@@ -28,7 +28,7 @@
 	workerLevel
 )
 
-// NewTopology builds the tree. Regions, zones, racks and workers keep the order of their names.
+// NewTopology returns the tree of the workers, ordered by name at each level.
 func NewTopology(workers []Worker) *Topology {
 	t := &Topology{nodes: []node{{parent: -1, worker: -1}}, leaf: make([]int, len(workers))}
 	t.levels[rootLevel] = []int{0}
@@ -78,20 +78,21 @@
 	return n
 }
 
-// domains lists the places that satisfy an adjacency.
+// domains returns the domains that satisfy an adjacency.
 func (t *Topology) domains(a Adjacency) []int { return t.levels[a.tightness()] }
 
-// Capacity counts the accelerators that may be used, for each domain of a topology.
+// Capacity counts the usable accelerators of each domain of a topology.
 type Capacity struct {
 	topology *Topology
-	free     []int
-	// size is the number of accelerators of each domain, used or not.
+	// free is the number of usable accelerators of each domain.
+	free []int
+	// size is the number of all accelerators of each domain.
 	size []int
 }
 
-// NewCapacity counts for each worker the accelerators whose holder satisfies usable.
+// NewCapacity returns the capacity in which an accelerator counts if usable accepts its holder.
 func NewCapacity(t *Topology, workers []Worker, usable func(holder int64) bool) *Capacity {
-	r := &Capacity{topology: t, free: make([]int, len(t.nodes)), size: make([]int, len(t.nodes))}
+	c := &Capacity{topology: t, free: make([]int, len(t.nodes)), size: make([]int, len(t.nodes))}
 	for i, w := range workers {
 		count := 0
 		for _, h := range w.Holders {
@@ -99,73 +100,75 @@
 				count++
 			}
 		}
-		r.add(r.free, t.leaf[i], count)
-		r.add(r.size, t.leaf[i], len(w.Holders))
+		c.add(c.free, t.leaf[i], count)
+		c.add(c.size, t.leaf[i], len(w.Holders))
 	}
-	return r
+	return c
 }
 
-func (r *Capacity) add(counts []int, leaf, n int) {
-	for at := leaf; at >= 0; at = r.topology.nodes[at].parent {
+// add adds n to the counts of a leaf and of all domains that contain it.
+func (c *Capacity) add(counts []int, leaf, n int) {
+	for at := leaf; at >= 0; at = c.topology.nodes[at].parent {
 		counts[at] += n
 	}
 }
 
-// Clone returns a copy that can be taken from independently.
-func (r *Capacity) Clone() *Capacity {
-	return &Capacity{topology: r.topology, free: append([]int(nil), r.free...), size: r.size}
+// Clone returns an independent copy.
+func (c *Capacity) Clone() *Capacity {
+	return &Capacity{topology: c.topology, free: append([]int(nil), c.free...), size: c.size}
 }
 
-// share is a number of accelerators of one worker.
+// share is a number of accelerators on one worker.
 type share struct {
 	worker int
 	count  int
 }
 
 // take marks the shares as used.
-func (r *Capacity) take(shares []share) {
+func (c *Capacity) take(shares []share) {
 	for _, s := range shares {
-		r.add(r.free, r.topology.leaf[s.worker], -s.count)
+		c.add(c.free, c.topology.leaf[s.worker], -s.count)
 	}
 }
 
-// Scorer says which domain n accelerators should use. The domain with the lowest cost is taken,
-// the first among equals.
+// Scorer rates the domains in which n accelerators could be placed. The domain with the lowest cost is
+// used, or the first of those.
 type Scorer interface {
-	// Cost is called with the number of free accelerators of a domain that has at least n.
+	// Cost returns the cost of a domain with the given number of free accelerators, which is at least
+	// n.
 	Cost(free, n int) int
 }
 
-// FirstFit takes the first domain that fits.
+// FirstFit uses the first domain that fits.
 type FirstFit struct{}
 
 // Cost implements Scorer.
 func (FirstFit) Cost(int, int) int { return 0 }
 
-// BestFit takes the domain in which the fewest accelerators stay free.
+// BestFit uses the domain in which the fewest accelerators remain free.
 type BestFit struct{}
 
 // Cost implements Scorer.
 func (BestFit) Cost(free, n int) int { return free - n }
 
-// findPlace returns shares for the shape, or nil if there is no room.
-func findPlace[S Scorer](r *Capacity, scorer S, shape Shape) []share {
-	at := cheapest(r, scorer, r.topology.domains(shape.Adjacency), shape.Accelerators)
+// findPlace returns shares for the shape, or nil if it does not fit anywhere.
+func findPlace[S Scorer](c *Capacity, scorer S, shape Shape) []share {
+	at := cheapest(c, scorer, c.topology.domains(shape.Adjacency), shape.Accelerators)
 	if at < 0 {
 		return nil
 	}
 	var shares []share
-	return pack(r, scorer, at, shape.Accelerators, shares)
+	return pack(c, scorer, at, shape.Accelerators, shares)
 }
 
-// cheapest returns the cheapest of the nodes with room for n, or -1.
-func cheapest[S Scorer](r *Capacity, scorer S, nodes []int, n int) int {
+// cheapest returns the node with the lowest cost among those with n free accelerators, or -1.
+func cheapest[S Scorer](c *Capacity, scorer S, nodes []int, n int) int {
 	found, lowest := -1, 0
 	for _, at := range nodes {
-		if r.free[at] < n {
+		if c.free[at] < n {
 			continue
 		}
-		cost := scorer.Cost(r.free[at], n)
+		cost := scorer.Cost(c.free[at], n)
 		if found < 0 || cost < lowest {
 			found, lowest = at, cost
 		}
@@ -173,35 +176,35 @@
 	return found
 }
 
-// pack spreads n accelerators below a node that has room for them over as few domains as it can:
-// one child if that has room, else the fullest child whole and the rest again.
-func pack[S Scorer](r *Capacity, scorer S, at, n int, shares []share) []share {
-	leaf := r.topology.nodes[at].worker
+// pack places n accelerators in a node that has as many free, using few of its children: a single
+// child if one has enough, otherwise all of the child with the most and the rest in the same way.
+func pack[S Scorer](c *Capacity, scorer S, at, n int, shares []share) []share {
+	leaf := c.topology.nodes[at].worker
 	if leaf >= 0 {
 		return append(shares, share{worker: leaf, count: n})
 	}
-	children := r.topology.nodes[at].children
-	if child := cheapest(r, scorer, children, n); child >= 0 {
-		return pack(r, scorer, child, n, shares)
+	children := c.topology.nodes[at].children
+	if child := cheapest(c, scorer, children, n); child >= 0 {
+		return pack(c, scorer, child, n, shares)
 	}
 	order := append([]int(nil), children...)
-	sort.SliceStable(order, func(i, j int) bool { return r.free[order[i]] > r.free[order[j]] })
+	sort.SliceStable(order, func(i, j int) bool { return c.free[order[i]] > c.free[order[j]] })
 	for i, child := range order {
-		if r.free[child] == 0 {
+		if c.free[child] == 0 {
 			break
 		}
-		if r.free[child] < n {
-			shares = pack(r, scorer, child, r.free[child], shares)
-			n -= r.free[child]
+		if c.free[child] < n {
+			shares = pack(c, scorer, child, c.free[child], shares)
+			n -= c.free[child]
 			continue
 		}
-		last := cheapest(r, scorer, order[i:], n)
-		return pack(r, scorer, last, n, shares)
+		last := cheapest(c, scorer, order[i:], n)
+		return pack(c, scorer, last, n, shares)
 	}
 	return shares
 }
 
-// members turns shares into accelerator numbers whose holder satisfies usable.
+// members turns shares into the numbers of accelerators whose holder usable accepts.
 func members(workers []Worker, shares []share, usable func(holder int64) bool) []Member {
 	var list []Member
 	for _, s := range shares {
@@ -216,17 +219,16 @@
 	return list
 }
 
-// Feasible reports whether all the unused parts of the entitlements fit into the room at once.
-// The room must hold the free accelerators and those of borrowed placements. The search is
-// greedy, tightest and largest first: it may say no where a way exists, never yes where none
-// does.
-func Feasible(r *Capacity, entitlements []Entitlement) bool {
-	return len(Shortfall(r, entitlements)) == 0
+// Feasible reports whether all unused guarantees fit into the capacity at the same time. The capacity
+// must count free and borrowed accelerators. The search is greedy, the tightest and largest shapes
+// first: it may return false although a solution exists, but never true if none does.
+func Feasible(c *Capacity, entitlements []Entitlement) bool {
+	return len(Shortfall(c, entitlements)) == 0
 }
 
-// Shortfall returns the entitlements of which not all unused parts fit, in the order in which
-// they were tried.
-func Shortfall(r *Capacity, entitlements []Entitlement) []Entitlement {
+// Shortfall returns the entitlements whose unused guarantees do not all fit into the capacity; see
+// Feasible. They are in the order of the search.
+func Shortfall(c *Capacity, entitlements []Entitlement) []Entitlement {
 	order := append([]Entitlement(nil), entitlements...)
 	sort.SliceStable(order, func(i, j int) bool {
 		a, b := order[i].Shape, order[j].Shape
@@ -235,16 +237,16 @@
 		}
 		return a.Accelerators > b.Accelerators
 	})
-	room := r.Clone()
+	rest := c.Clone()
 	var short []Entitlement
 	for _, e := range order {
 		for range e.Count - e.Used {
-			shares := findPlace(room, BestFit{}, e.Shape)
+			shares := findPlace(rest, BestFit{}, e.Shape)
 			if shares == nil {
 				short = append(short, e)
 				break
 			}
-			room.take(shares)
+			rest.take(shares)
 		}
 	}
 	return short
