--- a/sessions/hosting/client.go
+++ b/sessions/hosting/client.go
@@ -13,13 +13,14 @@
 	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
 )
 
-// Client is a Platform that is reached over HTTP with JSON.
+// Client is a Platform reached over HTTP with JSON.
 type Client struct {
 	address string
 	client  *http.Client
 }
 
-// NewClient returns a Client for the platform at address, such as "http://127.0.0.1:7400".
+// NewClient returns a Client for the platform at the base URL address, such as
+// "http://127.0.0.1:7400".
 func NewClient(address string, client *http.Client) *Client {
 	return &Client{address: address, client: client}
 }
@@ -34,7 +35,7 @@
 	Progress time.Duration `json:"progress_ns"`
 }
 
-// sentinels are the errors that cross the wire by their text.
+// sentinels are the errors that are recognized by their text in an answer.
 var sentinels = []error{ErrExpired, ErrFenced, ErrNoTask, ErrGone, ErrBusy}
 
 // Append implements Log.
--- a/sessions/placement/placement.go
+++ b/sessions/placement/placement.go
@@ -13,7 +13,7 @@
 //
 // # Usage
 //
-//	input := placement.Input{Workers: workers, Running: running, Waiting: waiting, Entitlements: entitlements}
+//	input := state.DecisionInput(now, yieldRank) // or a placement.Input of the caller's own
 //	decisions := placement.Decide(input, placement.CompletionProfile())
 package placement
 
--- a/sessions/policy/policy.go
+++ b/sessions/policy/policy.go
@@ -1,23 +1,26 @@
-// Package policy checks and runs the short programs by which operators state who may use what,
-// what yields first, and what must never be repeated.
+// Package policy validates and runs the expressions by which operators decide who may use the
+// system, which sessions are reclaimed first, and which requests must not be repeated.
 //
-// A policy is one expression of the expr language. It decides one Question about one Subject,
-// which is a request or a session:
+// A policy is an expression of the expr language that decides one Question about a Subject, which
+// is a request or a session:
 //
-//	allow           a boolean: may the subject use the system? Every allow policy must say true.
-//	not_repeatable  a boolean: must the subject run at most once? One policy that says true is enough.
-//	yield_rank      a number from 0 to 100: what yields first? Lower yields first; the highest answer counts.
+//	allow           boolean: whether the subject may use the system. All allow policies must be true.
+//	not_repeatable  boolean: whether the subject must run at most once. One true policy is enough.
+//	yield_rank      number from 0 to 100: subjects with a lower rank are reclaimed first. The highest
+//	                rank of all policies counts.
+//
+// The package owns no state; the ledger stores the policies. It depends only on the expr library.
 //
 // # Usage
 //
-//	set := policy.NewSet(policies)
-//	if set.NotRepeatable(policy.Subject{Kind: "request", Service: "parkpay"}) { ... }
+//	set := policy.NewSet(policies, onFailure)
+//	once, name := set.NotRepeatable(policy.Subject{Kind: policy.RequestKind, Service: "parkpay"})
 //
-// # Bounds
+// # Limits
 //
-// A program has at most maxNodes nodes and no loops: ranges and the functions that walk over
-// lists are refused when the policy is checked. One that fails all the same falls to the safe
-// side: not allowed, not repeatable, yields last.
+// A program has at most maxNodes nodes and no loops: Validate rejects ranges and functions that
+// iterate over lists. A program that fails at run time has the safe result: not allowed, not
+// repeatable, reclaimed last.
 package policy
 
 import (
@@ -45,24 +48,25 @@
 	YieldRank     Question = "yield_rank"
 )
 
-// Bounds of a policy.
+// Limits of a policy.
 const (
-	maxNodes  = 200
+	maxNodes = 200
+	// maxSource is the maximum length of the source in bytes.
 	maxSource = 4 << 10
-	// LastRank is the rank of what yields last.
+	// LastRank is the rank of subjects that are reclaimed last.
 	LastRank = 100
 )
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
-// Policy is a program with its name, as an operator publishes it.
+// Policy is a policy as an operator publishes it.
 type Policy struct {
 	Name    string   `json:"name"`
 	Decides Question `json:"decides"`
 	Source  string   `json:"source"`
 }
 
-// Subject is what a policy looks at. Fields that do not apply to its kind are empty.
+// Subject is the input of a policy. Fields that do not apply to its kind are empty.
 type Subject struct {
 	// Kind is "request" or "session".
 	Kind    string `expr:"kind"`
@@ -84,14 +88,13 @@
 	SessionKind = "session"
 )
 
-// Validate checks the policy and compiles its program. Its errors name the field, and the place
-// in the source.
+// Validate compiles the policy. Its error is a *fault.Field and has the position in the source.
 func (p Policy) Validate() error {
 	_, err := p.compile()
 	return err
 }
 
-// walkers are the functions that look at every element of a list.
+// walkers are the functions of the expr language that iterate over lists.
 var walkers = []string{
 	"all", "none", "any", "one", "filter", "map", "count", "sum", "find", "findIndex", "findLast", "findLastIndex",
 	"groupBy", "sortBy", "reduce", "repeat", "split", "splitAfter", "flatten", "concat", "join",
@@ -111,7 +114,7 @@
 	if !found {
 		return nil, fault.BadField("decides", "want %s, %s or %s, got %q", Allow, NotRepeatable, YieldRank, p.Decides)
 	}
-	// The optimizer would hide ranges and constant results from the checks, so it runs after them.
+	// The optimizer may remove ranges and constant results, so they are checked without it.
 	plain, err := expr.Compile(p.Source, append(options(), expr.Optimize(false))...)
 	if err != nil {
 		return nil, sourceError(err)
@@ -129,8 +132,12 @@
 	return program, nil
 }
 
-// kinds has the type that each question wants.
-var kinds = map[Question]reflect.Kind{Allow: reflect.Bool, NotRepeatable: reflect.Bool, YieldRank: reflect.Int}
+// kinds has the result type of each question.
+var kinds = map[Question]reflect.Kind{
+	Allow:         reflect.Bool,
+	NotRepeatable: reflect.Bool,
+	YieldRank:     reflect.Int,
+}
 
 func options() []expr.Option {
 	list := []expr.Option{expr.Env(Subject{}), expr.MaxNodes(maxNodes)}
@@ -148,7 +155,7 @@
 	return fault.BadField("source", "%v", err)
 }
 
-// rangeFinder looks for the range operator, which is the one loop that no function name shows.
+// rangeFinder searches for the range operator, the only loop that is not a function.
 type rangeFinder struct{ found bool }
 
 // Visit implements ast.Visitor.
@@ -167,20 +174,21 @@
 	return nil
 }
 
-// rule is a compiled policy; program is nil for one that does not compile here.
+// rule is a compiled policy. program is nil if this version cannot compile it.
 type rule struct {
 	policy  Policy
 	program *vm.Program
 }
 
-// Set is all policies in force. It is immutable.
+// Set is a set of compiled policies. It is immutable.
 type Set struct {
 	rules []rule
-	// onFailure is told of each policy that fails while it runs.
+	// onFailure is called for each policy that does not compile or fails at run time.
 	onFailure func(policy string, err error)
 }
 
-// NewSet compiles the policies. onFailure may be nil.
+// NewSet compiles the policies. onFailure, which may be nil, is called for each policy that does not
+// compile, and later for each that fails at run time.
 func NewSet(policies []Policy, onFailure func(policy string, err error)) *Set {
 	if onFailure == nil {
 		onFailure = func(string, error) {}
@@ -196,8 +204,8 @@
 	return s
 }
 
-// Allowed reports whether every allow policy says true, and else the name of the first one that
-// does not.
+// Allowed reports whether all allow policies are true. If not, it also returns the name of the first
+// one that is not.
 func (s *Set) Allowed(subject Subject) (bool, string) {
 	for _, r := range s.rules {
 		if r.policy.Decides != Allow {
@@ -211,8 +219,8 @@
 	return true, ""
 }
 
-// NotRepeatable reports whether one of the policies says that the subject must run at most
-// once, and its name.
+// NotRepeatable reports whether a policy demands that the subject runs at most once, and the name of
+// the policy.
 func (s *Set) NotRepeatable(subject Subject) (bool, string) {
 	for _, r := range s.rules {
 		if r.policy.Decides != NotRepeatable {
@@ -227,7 +235,7 @@
 	return false, ""
 }
 
-// YieldRank returns the subject's place in the order of yielding, 0 to LastRank.
+// YieldRank returns the subject's rank in the order of reclaiming, 0 to LastRank.
 func (s *Set) YieldRank(subject Subject) int {
 	highest := 0
 	for _, r := range s.rules {
