--- a/client/client.go
+++ b/client/client.go
@@ -1,16 +1,16 @@
 // Package client calls the HTTP interfaces that entries offer to operators and callers.
 //
-// A Client calls one entry. Most methods are for entries of the scheduler for sessions; Jobs, Job, JobsStatus and
-// JobWorkers are for those of the scheduler for jobs. It owns no state but the address, and doesn't retry, except in
-// PutConfigWhenReady.
+// A Client calls one entry. Most methods are for entries of the scheduler for sessions; Jobs, Job,
+// JobsStatus and JobWorkers are for those of the scheduler for jobs. It owns no state but the
+// address, and doesn't retry, except in PutConfigWhenReady.
 //
 // # Usage
 //
 //	c := client.New("http://127.0.0.1:7100", http.DefaultClient)
 //	sessions, err := c.Sessions(ctx)
 //
-// Errors are *fault.Error with the step and the entry's address. If the entry answered with an error they wrap a
-// *jsonhttp.StatusError.
+// Errors are *fault.Error with the step and the entry's address. If the entry answered with an
+// error they wrap a *jsonhttp.StatusError.
 package client
 
 import (
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,14 +1,15 @@
-// Command soak runs the real programs as separate processes on one machine under faults, while callers submit jobs, and
-// checks what callers and workers see.
+// Command soak runs the real programs as separate processes on one machine under faults, while
+// callers submit jobs, and checks what callers and workers see.
 //
-// Package platform/standin plays the users' platform in this process. All traffic of the programs goes through links
-// that are cut in one or both directions, slowed down and reset. Processes are paused, killed, stopped and restarted.
-// The store goes down, is slow, and loses answers. Workers crash, drain, become unreachable and carry out orders late.
-// Faults overlap. On every fourth day (a run of one seed is called a day) only planned stops, reloads and cordons
-// happen, and no call may be cut or delayed by them.
+// Package platform/standin plays the users' platform in this process. All traffic of the programs
+// goes through links that are cut in one or both directions, slowed down and reset. Processes are
+// paused, killed, stopped and restarted. The store goes down, is slow, and loses answers. Workers
+// crash, drain, become unreachable and carry out orders late. Faults overlap. On every fourth day
+// (a run of one seed is called a day) only planned stops, reloads and cordons happen, and no call
+// may be cut or delayed by them.
 //
-// With --troubled some tasks also crash every worker that starts them, and the capacity of workers changes. With
-// --same-ids workers restart all the time, mostly under the ID that they had before.
+// With --troubled some tasks also crash every worker that starts them, and the capacity of workers
+// changes. With --same-ids workers restart all the time, mostly under the ID that they had before.
 //
 // # Usage
 //
@@ -18,8 +19,9 @@
 //	bin/soak --program bin/yarrowgraded --seeds 10 --parallel 3 --same-ids
 //	bin/soak --program bin/yarrowgraded --seed 7            one day again, with its logs in --logs
 //
-// It prints a line for each day, and a line for each violation. The same seed draws the same jobs and faults, but the
-// machine schedules the processes, so a day doesn't repeat exactly. The exit code is 1 if a day had a violation.
+// It prints a line for each day, and a line for each violation. The same seed draws the same jobs
+// and faults, but the machine schedules the processes, so a day doesn't repeat exactly. The exit
+// code is 1 if a day had a violation.
 package main
 
 import (
@@ -52,7 +54,7 @@
 	Length   time.Duration `help:"How long faults are injected in a day." default:"20s"`
 	Entries  int           `help:"Entries of a day." default:"3"`
 	Workers  int           `help:"Workers of a day, each with its agent." default:"6"`
-	Troubled bool          `help:"Let some tasks crash the workers that start them, and change the capacity of workers."`
+	Troubled bool          `help:"Let some tasks crash their workers, and change the capacity of workers."`
 	SameIDs  bool          `help:"Restart workers all the time, mostly under the IDs that they had." name:"same-ids"`
 	Logs     string        `help:"Directory for the logs of days with violations." default:"soak-logs"`
 }
--- a/cmd/soak/soak_test.go
+++ b/cmd/soak/soak_test.go
@@ -36,7 +36,8 @@
 				t.Error(v)
 			}
 			if report.accepted < 3 || len(report.injected) < 3 {
-				t.Errorf("%d jobs were accepted and %d faults injected: the day proves nothing", report.accepted, len(report.injected))
+				t.Errorf("%d jobs were accepted and %d faults injected: the day proves nothing",
+					report.accepted, len(report.injected))
 			}
 			if t.Failed() {
 				printLogs(t, logs)
--- a/cmd/yarrowgrade/config.go
+++ b/cmd/yarrowgrade/config.go
@@ -13,8 +13,8 @@
 
 const configUsage = `
 The configuration is a set of entries by key: "limits", "placement", "team/NAME" and "policy/NAME". Each has a revision.
-"put" names the revision that it replaces, and is refused if somebody else changed the entry first. Without --revision it
-creates an entry. An accepted change is in force on every entry and agent within seconds, and never reverts.
+"put" names the revision that it replaces, and is refused if somebody else changed the entry first. Without --revision
+it creates an entry. An accepted change is in force on every entry and agent within seconds, and never reverts.
 
 Examples:
 
--- a/cmd/yarrowgrade/losses.go
+++ b/cmd/yarrowgrade/losses.go
@@ -13,7 +13,8 @@
 
 const lossesUsage = `
 losses sums up, from entries' logs, the work that was lost: by cause, for which urgent jobs and whether these were
-completed in time, and how often the same task was stopped. Work is in core-seconds; an accelerator counts as eight cores.
+completed in time, and how often the same task was stopped. Work is in core-seconds; an accelerator counts as eight
+cores.
 
 Example:
 
--- a/cmd/yarrowgrade/tables_test.go
+++ b/cmd/yarrowgrade/tables_test.go
@@ -29,11 +29,17 @@
 		list   bool
 	}{
 		{[]string{"session", "list", "--all"}, "/v1/sessions", "sessions/entry/testdata/session-view.json", true},
-		{[]string{"session", "show", "session-1"}, "/v1/sessions/session-1", "sessions/entry/testdata/session-view.json", false},
+		{
+			[]string{"session", "show", "session-1"}, "/v1/sessions/session-1",
+			"sessions/entry/testdata/session-view.json", false,
+		},
 		{[]string{"team", "list"}, "/v1/teams", "sessions/entry/testdata/team-view.json", true},
 		{[]string{"worker", "list"}, "/v1/workers", "sessions/ledger/testdata/worker.json", true},
 		{[]string{"config", "get"}, "/v1/config", "sessions/ledger/testdata/config-entry.json", true},
-		{[]string{"config", "history", "placement"}, "/v1/config/placement", "sessions/ledger/testdata/config-entry.json", false},
+		{
+			[]string{"config", "history", "placement"}, "/v1/config/placement",
+			"sessions/ledger/testdata/config-entry.json", false,
+		},
 		{[]string{"status"}, "/v1/status", "sessions/entry/testdata/status.json", false},
 		{[]string{"job", "list"}, "/v1/jobs", "jobs/admission/testdata/job-summary.json", true},
 		{[]string{"job", "show", "a"}, "/v1/jobs/a", "jobs/admission/testdata/job-detail.json", false},
--- a/cmd/yarrowgraded/entry.go
+++ b/cmd/yarrowgraded/entry.go
@@ -32,10 +32,10 @@
 	Listen          string        `help:"IP address and port to listen on." default:"127.0.0.1:7100"`
 	Address         string        `help:"Base URL at which others reach this entry. Default: http:// and --listen."`
 	Platform        string        `help:"Base URL of the platform." required:""`
-	Peers           []string      `help:"Base URLs of other entries, separated by commas. The platform's list adds to them."`
-	PrepareTimeout  time.Duration `help:"How long a gang may prepare before its placement is given up, 1s to 1m." default:"10s"`
-	SnapshotRecords int64         `help:"Number of records after which a snapshot is written, at least 10." default:"500"`
-	SnapshotAge     time.Duration `help:"Age after which a snapshot is written; keep it well below the log's retention." default:"10m"`
+	Peers           []string      `help:"Base URLs of other entries, separated by commas."`
+	PrepareTimeout  time.Duration `help:"How long a gang may prepare, 1s to 1m." default:"10s"`
+	SnapshotRecords int64         `help:"Records between two snapshots, at least 10." default:"500"`
+	SnapshotAge     time.Duration `help:"Age of a snapshot; well below the log's retention." default:"10m"`
 	Drain           time.Duration `help:"How long to serve on after /ready fails." default:"3s"`
 	StopTimeout     time.Duration `help:"How long a planned stop may take in all." default:"60s"`
 }
--- a/cmd/yarrowgraded/jobentry.go
+++ b/cmd/yarrowgraded/jobentry.go
@@ -54,7 +54,7 @@
 const statusMargin = time.Minute
 
 type jobEntryCommand struct {
-	Advertise string   `help:"IP address and port at which agents and entries reach this process. Default: its own."`
+	Advertise string   `help:"IP address and port at which other processes reach this one. Default: its own."`
 	Without   []string `help:"Mechanisms of the scheduler to switch off, for experiments; see package dispatch." sep:","`
 	LogLevel  string   `help:"Lowest level that is logged: trace, debug, info, warn or error." default:"info"`
 }
@@ -122,9 +122,9 @@
 	e.replica = jobstore.NewReplica(jobsLog, e.directory.Count, t.Log).
 		WithSuspension(suspension).
 		WithStandby(func() bool { return e.directory.IsStandby(s.Node) })
-	relay := topic.NewRelayClient(
+	operatorLog := topic.NewRelayClient(
 		openTopic(platform.OperatorTopic), catalog.NewsPath, client, e.relayAddresses, t.Log)
-	e.catalog = catalog.NewFollower(relay, platform.OperatorFormat(s.ZoneNames()), t.Log).
+	e.catalog = catalog.NewFollower(operatorLog, platform.OperatorFormat(s.ZoneNames()), t.Log).
 		WithSuspension(suspension).
 		WithReaders(e.directory.Count, e.replica.Leading)
 	// The writer shares the latency of the replica's reads, which notice a slow log before the
@@ -138,20 +138,26 @@
 		Logger:  t.Log,
 		Metrics: t.Metrics,
 	})
-	e.candidate = leader.New(leaderSettings(s, address, policy), leader.Dependencies{
+	e.candidate = e.newCandidate(leaderSettings(s, address, policy), jobsLog, client, suspension)
+	return e
+}
+
+func (e *jobEntry) newCandidate(
+	s leader.Settings, jobsLog topic.Log, client *http.Client, suspension suspend.Clock,
+) *leader.Candidate {
+	return leader.New(s, leader.Dependencies{
 		Log:          jobsLog,
 		Replica:      e.replica,
 		Catalog:      e.catalog,
 		DirectoryLog: e.directoryLog,
 		Directory:    e.directory,
-		Permits:      platform.NewAdvice(s, client),
+		Permits:      platform.NewAdvice(e.settings, client),
 		Latency:      e.replica.Latency(),
 		Client:       client,
-		Logger:       t.Log,
-		Metrics:      t.Metrics,
+		Logger:       e.telemetry.Log,
+		Metrics:      e.telemetry.Metrics,
 		Suspension:   suspension,
 	})
-	return e
 }
 
 // leaderSettings returns the settings of an entry's candidacy, under a new incarnation of the
--- a/cmd/yarrowgraded/main.go
+++ b/cmd/yarrowgraded/main.go
@@ -8,11 +8,11 @@
 //	yarrowgraded job-entry    the process on an entry box of the users' platform
 //	yarrowgraded job-agent    the process beside a worker of the users' platform
 //
-// Every flag can be set by an environment variable, YARROWGRADE_ and the flag's name. SIGTERM and SIGINT are planned
-// stops: requests in flight are finished.
+// Every flag can be set by an environment variable, YARROWGRADE_ and the flag's name. SIGTERM and
+// SIGINT are planned stops: requests in flight are finished.
 //
-// entry and agent are the programs of the scheduler for sessions (folder sessions/); job-entry and job-agent are those
-// of the scheduler for jobs on the users' platform (jobs/ and platform/).
+// entry and agent are the programs of the scheduler for sessions (folder sessions/); job-entry and
+// job-agent are those of the scheduler for jobs on the users' platform (jobs/ and platform/).
 package main
 
 import (
--- a/e2e/capacity_agent_test.go
+++ b/e2e/capacity_agent_test.go
@@ -65,13 +65,21 @@
 	for i := range members - 1 {
 		go newMember(i, e.address, p, beats).Run(ctx)
 	}
+	s.runGang(ctx, members)
+	report(b, a.ID(), bytes.Load)
+}
+
+// runGang waits for the agents of a gang, creates its session, and waits until its last member
+// runs.
+func (s *swarm) runGang(ctx context.Context, members int) {
+	s.b.Helper()
 	s.eventually(func() bool {
 		workers, err := s.client.Workers(ctx)
 		return err == nil && len(workers) == members
 	})
 	team := ledger.Team{Name: "wards", Share: 1}
 	if _, err := s.client.PutConfigWhenReady(ctx, ledger.TeamPrefix+team.Name, team, "capacity"); err != nil {
-		b.Fatal(err)
+		s.b.Fatal(err)
 	}
 	spec := ledger.SessionSpec{
 		Name:  "gang",
@@ -79,13 +87,12 @@
 		Shape: placement.Shape{Accelerators: members, Adjacency: placement.SameZone},
 	}
 	if _, err := s.client.CreateSession(ctx, spec); err != nil {
-		b.Fatal(err)
+		s.b.Fatal(err)
 	}
 	s.eventually(func() bool {
-		v, err := s.client.Session(ctx, "gang")
+		v, err := s.client.Session(ctx, spec.Name)
 		return err == nil && v.Placement != nil && s.runs(v.Placement.Members[members-1].Worker, v.Placement.Token)
 	})
-	report(b, a.ID(), bytes.Load)
 }
 
 // newMember returns an agent of one accelerator that is a member of the gang.
--- a/e2e/cli_test.go
+++ b/e2e/cli_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// runProgram runs a built program to its end and returns its exit code and all that it printed.
+// runProgram runs a program to its end and returns its exit code and output.
 func runProgram(t *testing.T, name string, args ...string) (int, string) {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), filepath.Join(binaries, name), args...)
@@ -22,8 +22,7 @@
 	return cmd.ProcessState.ExitCode(), out.String()
 }
 
-// TestBadSettings starts daemons with settings that won't do. Each says which one, and what would
-// do.
+// TestBadSettings: a daemon with an invalid setting names it and what is valid.
 func TestBadSettings(t *testing.T) {
 	entry := []string{"entry", "--name", "e", "--zone", "z", "--platform", "http://127.0.0.1:1"}
 	agent := []string{
@@ -56,7 +55,7 @@
 	}
 }
 
-// TestClient runs each command against a cluster as an operator would.
+// TestClient runs each command of the command-line tool against a cluster.
 func TestClient(t *testing.T) {
 	c := newCluster(t)
 	c.putTeam(plates)
--- a/e2e/cluster_test.go
+++ b/e2e/cluster_test.go
@@ -1,5 +1,5 @@
-// Package e2e runs the built programs as separate processes on loopback, against the platform's
-// stand-in.
+// Package e2e runs the built programs for sessions as separate processes on loopback, against the
+// stand-in of the platform.
 package e2e
 
 import (
@@ -25,8 +25,8 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// patience bounds every poll. It is far above what any step takes, so that no verdict rests on the
-// machine's speed.
+// patience bounds every wait. It is far longer than any step takes, so that no result depends on
+// the machine's speed.
 const patience = 60 * time.Second
 
 // binaries is where TestMain built the programs.
@@ -44,14 +44,13 @@
 	inbound, platform *loopback.Link
 }
 
-// newProcess returns a process of the daemon. Its log goes to a file that is printed if the test
-// fails.
+// newProcess returns a process of the daemon, with its log in a file.
 func newProcess(t testing.TB, name, address, log string, args ...string) *process {
 	path := filepath.Join(binaries, "yarrowgraded")
 	return &process{Process: &loopback.Process{Path: path, Args: args, Log: log}, t: t, name: name, address: address}
 }
 
-// start runs the program, again if it ran before.
+// start starts the program, also after it has ended.
 func (p *process) start() {
 	p.t.Helper()
 	if err := p.Start(); err != nil {
@@ -66,10 +65,10 @@
 	}
 }
 
-// kill ends the process at once and waits until it is gone.
+// kill ends the process at once.
 func (p *process) kill() { p.Kill() }
 
-// newLink returns a link that ends with the test. Where it goes is set before it is used.
+// newLink returns a link that ends with the test.
 func newLink(t testing.TB) *loopback.Link {
 	t.Helper()
 	l, err := loopback.NewLink()
@@ -80,13 +79,13 @@
 	return l
 }
 
-// target is a back end that records what it runs.
+// target is a target that records what it runs.
 type target struct {
 	server *httptest.Server
 	mu     sync.Mutex
-	// runs counts each body that arrived.
+	// runs counts how often each body arrived.
 	runs map[string]int
-	// hold, if not nil, keeps requests until it is closed.
+	// hold, if not nil, delays requests until it is closed.
 	hold chan struct{}
 }
 
@@ -114,7 +113,7 @@
 	targets     []*target
 }
 
-// Shape of the cluster.
+// The cluster.
 const (
 	entryCount   = 2
 	agentCount   = 6
@@ -123,18 +122,18 @@
 )
 
 // newCluster starts the processes and waits until all agents have joined. extra flags go to the
-// agents. All that processes send each other and the platform goes through links that can be cut;
-// the test itself calls them directly.
+// agents. All traffic between processes, and to the platform, goes through links that can be cut;
+// the test itself calls the processes directly.
 func newCluster(t testing.TB, extra ...string) *cluster {
 	t.Helper()
-	// The folder of the logs is made first, so that it is removed after stop has printed them.
+	// This folder must be removed after stop has read the logs in it, so it is created first.
 	c := &cluster{t: t, platform: standin.New(), logs: t.TempDir()}
 	server := httptest.NewServer(standin.Handler(c.platform))
 	c.platformURL = server.URL
 	t.Cleanup(server.Close)
 	t.Cleanup(c.stop)
-	// All that listens in the test does so before free addresses are looked for, so that it takes
-	// none of them.
+	// The servers of the test listen before free addresses are searched, so that they don't take
+	// one of these.
 	for range agentCount {
 		tg := &target{runs: make(map[string]int)}
 		tg.server = httptest.NewServer(tg)
@@ -150,6 +149,20 @@
 		inbound[i].Lead(addresses[i])
 		outbound[i].Lead(strings.TrimPrefix(server.URL, "http://"))
 	}
+	c.startAll(addresses, inbound, outbound, extra)
+	c.eventually("all agents have joined", func() bool {
+		workers, err := c.client(0).Workers(t.Context())
+		return err == nil && len(workers) == agentCount
+	})
+	c.eventually("the second entry is ready", func() bool {
+		workers, err := c.client(1).Workers(t.Context())
+		return err == nil && len(workers) == agentCount
+	})
+	return c
+}
+
+// startAll starts the entries and agents. extra flags go to the agents.
+func (c *cluster) startAll(addresses []string, inbound, outbound []*loopback.Link, extra []string) {
 	for i := range entryCount {
 		name, peer := fmt.Sprintf("entry-%d", i+1), inbound[(i+1)%entryCount].URL()
 		c.entries = append(c.entries, c.start("entry", name, addresses[i], inbound[i], outbound[i],
@@ -164,15 +177,6 @@
 		at, name := entryCount+i, fmt.Sprintf("worker-%d", i+1)
 		c.agents = append(c.agents, c.start("agent", name, addresses[at], inbound[at], outbound[at], args...))
 	}
-	c.eventually("all agents have joined", func() bool {
-		workers, err := c.client(0).Workers(t.Context())
-		return err == nil && len(workers) == agentCount
-	})
-	c.eventually("the second entry is ready", func() bool {
-		workers, err := c.client(1).Workers(t.Context())
-		return err == nil && len(workers) == agentCount
-	})
-	return c
 }
 
 func (c *cluster) start(role, name, address string, inbound, outbound *loopback.Link, args ...string) *process {
@@ -184,7 +188,7 @@
 	return p
 }
 
-// stop ends what still runs and prints the logs of a test that failed.
+// stop ends all processes, and logs their logs if the test failed.
 func (c *cluster) stop() {
 	for _, p := range append(c.entries, c.agents...) {
 		p.kill()
@@ -208,7 +212,7 @@
 	return client.New(c.entries[entry].address, &http.Client{Timeout: patience})
 }
 
-// eventually polls until ok, and fails the test when patience is at its end.
+// eventually waits until ok, and fails the test if that takes longer than patience.
 func (c *cluster) eventually(what string, ok func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); {
@@ -261,8 +265,8 @@
 func (c *cluster) awaitRunning(name string, newerThan int64) ledger.Placement {
 	c.t.Helper()
 	var p ledger.Placement
-	// The placement is looked up each time: one that was begun while a link came back may lapse,
-	// and the gang runs under the next token.
+	// The placement is read each time: one that began while a link was cut may be given up, and the
+	// gang then runs under the next token.
 	what := fmt.Sprintf("session %s runs with all its tasks under a token above %d", name, newerThan)
 	c.eventually(what, func() bool {
 		for i := range c.entries {
@@ -316,7 +320,7 @@
 	return n
 }
 
-// holdAll keeps the requests at all targets until the returned function is called.
+// holdAll delays the requests at all targets until release is called.
 func (c *cluster) holdAll() (release func()) {
 	hold := make(chan struct{})
 	for _, tg := range c.targets {
--- a/e2e/cut_test.go
+++ b/e2e/cut_test.go
@@ -10,10 +10,9 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// TestCutFromLog cuts each entry in turn off the platform while it still reaches the agents, and
-// they it. What runs goes on, requests and payments are served by both entries, sessions are placed
-// through the other, and what that one accepted is in force on the side that was cut, at the latest
-// when the link is whole again.
+// TestCutFromLog cuts each entry in turn off the platform, while it still reaches the agents. What
+// runs goes on, both entries serve requests and payments, and sessions are placed by the other one.
+// What that one accepted is in force for the cut one at the latest when the cut ends.
 func TestCutFromLog(t *testing.T) {
 	c := newCluster(t, fast...)
 	c.putTeam(plates)
@@ -22,8 +21,8 @@
 	for i := range c.entries {
 		cut, other := c.entries[i], c.client(1-i)
 		cut.platform.Cut()
-		// Two sessions on workers of their own, so that often one of their agents polls the entry
-		// that is cut.
+		// Two sessions on workers of their own: often one of their agents polls the entry that is
+		// cut.
 		names := []string{fmt.Sprintf("swap-%d-a", i), fmt.Sprintf("swap-%d-b", i)}
 		for _, name := range names {
 			c.createUrgent(other, name)
@@ -35,14 +34,7 @@
 			})
 		}
 		for e := range c.entries {
-			key, err := c.client(e).Key(t.Context(), service)
-			if err != nil {
-				t.Fatal(err)
-			}
-			answer, err := c.client(e).Send(t.Context(), call("pay "+key, key))
-			if err != nil || answer.Outcome != request.Done || c.runs("pay "+key) != 1 {
-				t.Errorf("a payment through entry %d: %+v, %v; ran %d times", e, answer, err, c.runs("pay "+key))
-			}
+			c.payOnce(t, e)
 		}
 		if n := c.tasks(p.Token); n != len(p.Members) {
 			t.Errorf("%d of %d tasks run while an entry is cut off the log", n, len(p.Members))
@@ -61,13 +53,26 @@
 	}
 }
 
-// TestCutGang cuts the links of a gang's leader and of its other member, one way and both ways. No
-// part of the gang runs alone for longer than its bound, and it runs again under a newer token,
-// also while the link is still cut.
+// payOnce makes a payment through an entry, and checks that it ran once.
+func (c *cluster) payOnce(t *testing.T, entry int) {
+	t.Helper()
+	key, err := c.client(entry).Key(t.Context(), service)
+	if err != nil {
+		t.Fatal(err)
+	}
+	answer, err := c.client(entry).Send(t.Context(), call("pay "+key, key))
+	if err != nil || answer.Outcome != request.Done || c.runs("pay "+key) != 1 {
+		t.Errorf("a payment through entry %d: %+v, %v; ran %d times", entry, answer, err, c.runs("pay "+key))
+	}
+}
+
+// TestCutGang cuts the links of a gang's leader and of another member, in one direction and in
+// both. No part of the gang runs alone for longer than its bound, and the gang runs again under a
+// newer token even while the link is cut.
 func TestCutGang(t *testing.T) {
 	tests := []struct {
 		name string
-		// member is the place in the gang of the agent that is cut.
+		// member is the index, in the gang, of the agent that is cut.
 		member int
 		cut    func(p *process)
 	}{
@@ -99,7 +104,7 @@
 	}
 }
 
-// partialFor watches for a while whether a part of the gang runs.
+// partialFor watches for some time whether only a part of the gang runs.
 func (c *cluster) partialFor(p ledger.Placement, d time.Duration) bool {
 	c.t.Helper()
 	began, partial := time.Now(), false
@@ -111,8 +116,8 @@
 	return partial
 }
 
-// TestCutHome cuts the agent that a payment's key names, one way and both ways, before and while
-// the payment runs. It runs at most once, and whoever asks again after the cut gets its one
+// TestCutHome cuts the agent that a payment's key names, in one direction and in both, before and
+// while the payment runs. It runs at most once, and whoever asks after the cut gets its one
 // outcome.
 func TestCutHome(t *testing.T) {
 	c := newCluster(t)
--- a/e2e/failure_test.go
+++ b/e2e/failure_test.go
@@ -10,11 +10,11 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// fast makes gangs notice a lost member within seconds: the bound is 4 s.
+// fast lets gangs notice a lost member within seconds; the bound is 4 s.
 var fast = []string{"--gang-beat", "500ms", "--gang-fresh", "2s", "--gang-lease", "2s"}
 
 // TestKills kills an entry, then the agent of a gang's leader, then both at once. The session is
-// never dropped, runs again each time, and under a newer token.
+// kept, and runs again each time under a newer token.
 func TestKills(t *testing.T) {
 	c := newCluster(t, fast...)
 	c.putTeam(plates)
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestFrozenMember freezes the agent of a gang's member for longer than its lease. The gang stops
-// as a whole, and when the agent wakes it does not go on with what it has lost.
+// TestFrozenMember freezes the agent of a gang's member for longer than its lease. The whole gang
+// stops, and the agent doesn't go on after it wakes.
 func TestFrozenMember(t *testing.T) {
 	c := newCluster(t, fast...)
 	c.putTeam(plates)
@@ -64,8 +64,7 @@
 }
 
 // TestFrozenHome freezes the agent that a payment's key names, before and while the payment runs.
-// Whatever the callers are told, it runs at most once, and the caller who asks again after the wake
-// gets the one outcome.
+// It runs at most once, and whoever asks after that gets its one outcome.
 func TestFrozenHome(t *testing.T) {
 	c := newCluster(t)
 	c.putTeam(plates)
@@ -113,7 +112,7 @@
 	return answers
 }
 
-// settle asks for the outcome of a key until it is final, and holds all outcomes against what ran.
+// settle asks for the outcome of a key until it is final, and compares all outcomes with what ran.
 func (c *cluster) settle(t *testing.T, key, body string, outcomes ...request.Answer) {
 	t.Helper()
 	c.eventually("the key has an outcome", func() bool {
@@ -136,7 +135,7 @@
 }
 
 // TestKilledHome kills the agent that a payment's key names while the payment is at its target, and
-// starts it again. The key names the old incarnation, so that nobody runs it a second time.
+// restarts it. The key names the old incarnation, so nobody runs the payment again.
 func TestKilledHome(t *testing.T) {
 	c := newCluster(t)
 	c.putTeam(plates)
@@ -182,8 +181,8 @@
 	}
 }
 
-// TestLogDown takes the log away for longer than a lease. What runs goes on, requests are served,
-// and what waits is placed when the log is back.
+// TestLogDown takes the log down for longer than a lease. What runs goes on, requests are served,
+// and changes are accepted after that.
 func TestLogDown(t *testing.T) {
 	c := newCluster(t, fast...)
 	c.putTeam(plates)
@@ -214,8 +213,8 @@
 	})
 }
 
-// TestFrozenEntry freezes each entry in turn, so also the preferred one. Sessions are placed
-// through the other, and the one that wakes proposes nothing that takes effect twice.
+// TestFrozenEntry freezes each entry in turn. Sessions are placed by the other one, and after it
+// wakes the frozen one proposes nothing that takes effect twice.
 func TestFrozenEntry(t *testing.T) {
 	c := newCluster(t)
 	c.putTeam(plates)
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -97,31 +97,15 @@
 	c.putTeam(plates)
 	const requests = 24
 	release := c.holdAll()
-	answers := make(chan request.Answer, requests)
-	for i := range requests {
-		go func() {
-			answer, err := c.client(i%2).Send(t.Context(), call(fmt.Sprintf("held %d", i), ""))
-			if err != nil {
-				answer.Reason = err.Error()
-			}
-			answers <- answer
-		}()
-	}
-	c.eventually("all requests are at their targets", func() bool {
-		n := 0
-		for i := range requests {
-			n += c.runs(fmt.Sprintf("held %d", i))
-		}
-		return n == requests
-	})
+	answers := c.sendHeld(t, requests)
 	c.agents[0].signal(syscall.SIGTERM)
 	c.entries[1].signal(syscall.SIGTERM)
 	c.eventually("the agent has left for both the entry and the ledger", func() bool {
 		workers, err := c.client(0).Workers(t.Context())
 		return err == nil && workers[0].Leaving
 	})
-	// The requests are held until the entry's drain is over and it takes no connection any more:
-	// only then does it show whether it waits for what is in flight.
+	// The requests are held until the entry has closed its listener at the end of its drain. Only
+	// then does it show whether it waits for them.
 	c.eventually("the entry has closed its listener", func() bool {
 		conn, err := net.Dial("tcp", strings.TrimPrefix(c.entries[1].address, "http://"))
 		if err == nil {
@@ -129,7 +113,7 @@
 		}
 		return err != nil
 	})
-	// New requests go round the leaving agent while its old ones are still held.
+	// New requests avoid the leaving agent while its old ones are still held.
 	before := c.targets[0].total()
 	release()
 	for range requests {
@@ -155,6 +139,30 @@
 	}
 }
 
+// sendHeld sends requests through both entries and waits until all are at their targets, which hold
+// them.
+func (c *cluster) sendHeld(t *testing.T, requests int) <-chan request.Answer {
+	t.Helper()
+	answers := make(chan request.Answer, requests)
+	for i := range requests {
+		go func() {
+			answer, err := c.client(i%2).Send(t.Context(), call(fmt.Sprintf("held %d", i), ""))
+			if err != nil {
+				answer.Reason = err.Error()
+			}
+			answers <- answer
+		}()
+	}
+	c.eventually("all requests are at their targets", func() bool {
+		n := 0
+		for i := range requests {
+			n += c.runs(fmt.Sprintf("held %d", i))
+		}
+		return n == requests
+	})
+	return answers
+}
+
 func (tg *target) total() int {
 	tg.mu.Lock()
 	defer tg.mu.Unlock()
--- a/internal/jsonhttp/client.go
+++ b/internal/jsonhttp/client.go
@@ -1,7 +1,8 @@
-// Package jsonhttp exchanges JSON over HTTP: between the system's own processes, with the platform, and with clients.
+// Package jsonhttp exchanges JSON over HTTP: between the system's own processes, with the platform,
+// and with clients.
 //
-// It owns the form of error answers (ErrorBody) and the size limits of requests and answers. It relies on package fault
-// for errors that name the step and the peer, or the field that is wrong.
+// It owns the form of error answers (ErrorBody) and the size limits of requests and answers. It
+// relies on package fault for errors that name the step and the peer, or the field that is wrong.
 //
 // # Usage
 //
--- a/internal/memnet/network.go
+++ b/internal/memnet/network.go
@@ -1,8 +1,9 @@
-// Package memnet is an in-memory HTTP network for tests. Clients and handlers are the real ones; only the connections
-// between them are simulated, so it works under the paused clock of testing/synctest, where sockets don't.
+// Package memnet is an in-memory HTTP network for tests. Clients and handlers are the real ones;
+// only the connections between them are simulated, so it works under the paused clock of
+// testing/synctest, where sockets don't.
 //
-// Links can be cut in one direction, and processes killed, frozen and thawed. Every message takes a millisecond each
-// way. The package owns no goroutine beyond those of requests in flight.
+// Links can be cut in one direction, and processes killed, frozen and thawed. Every message takes a
+// millisecond each way. The package owns no goroutine beyond those of requests in flight.
 //
 // # Usage
 //
--- a/internal/rapidseed/seed.go
+++ b/internal/rapidseed/seed.go
@@ -1,4 +1,5 @@
-// Package rapidseed fixes the seed of package rapid, so that drawn tests draw the same cases in every run.
+// Package rapidseed fixes the seed of package rapid, so that drawn tests draw the same cases in
+// every run.
 //
 // # Usage
 //
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,4 +1,5 @@
-// Package telemetry sets up the logs (zerolog), metrics (tally) and traces (OpenTelemetry) of a process.
+// Package telemetry sets up the logs (zerolog), metrics (tally) and traces (OpenTelemetry) of a
+// process.
 //
 // # Usage
 //
@@ -8,8 +9,8 @@
 //	t.Metrics.Counter("requests").Inc(1)
 //	http.Handle("/metrics", t.MetricsHandler)
 //
-// A log line is one event of key=value pairs. Traces cross processes in the W3C traceparent header; spans are exported
-// over OTLP/HTTP if a collector is set, and not recorded otherwise.
+// A log line is one event of key=value pairs. Traces cross processes in the W3C traceparent header;
+// spans are exported over OTLP/HTTP if a collector is set, and not recorded otherwise.
 package telemetry
 
 import (
--- a/jobs/jobtest/log.go
+++ b/jobs/jobtest/log.go
@@ -1,8 +1,9 @@
-// Package jobtest holds fakes for tests of jobs: a keyed log that can be down, slow, and lose or delay appends, and
-// workers that hold leases, check fences, keep gangs together, and check the rules for what they are told to do.
+// Package jobtest holds fakes for tests of jobs: a keyed log that can be down, slow, and lose or
+// delay appends, and workers that hold leases, check fences, keep gangs together, and check the
+// rules for what they are told to do.
 //
-// Both work in memory and on the runtime's clock, which tests can pause. The tests of this package play days of drawn
-// jobs and faults against the real entries and agents.
+// Both work in memory and on the runtime's clock, which tests can pause. The tests of this package
+// play days of drawn jobs and faults against the real entries and agents.
 //
 // # Usage
 //
--- a/jobs/jobtest/rig_test.go
+++ b/jobs/jobtest/rig_test.go
@@ -233,41 +233,46 @@
 		Logger:  logger,
 		Metrics: tally.NoopScope,
 	})
-	candidate := leader.New(
-		leader.Settings{
-			Entry:       p.name,
-			Incarnation: fmt.Sprintf("%s/%d", p.name, p.incarnation),
-			Address:     p.name,
-			Cores:       p.cores,
-			Timing:      leader.DefaultTiming(lease),
-			Dispatch:    dispatch.DefaultSettings(),
-		},
-		leader.Dependencies{
-			Log:          log,
-			Replica:      replica,
-			Catalog:      follower,
-			DirectoryLog: announced,
-			Directory:    directory,
-			Latency:      latency,
-			Client:       client,
-			Logger:       logger,
-			Metrics:      tally.NoopScope,
-		},
-	)
-	p.candidate = candidate
-	r := httprouter.New()
-	r.HandlerFunc(http.MethodPost, assignment.Path, candidate.ServePoll)
-	r.HandlerFunc(http.MethodGet, assignment.LeaderPath, candidate.ServeLeader)
-	r.HandlerFunc(http.MethodPost, assignment.HandoverPath, candidate.ServeHandover)
-	r.HandlerFunc(http.MethodPost, jobstore.RecordsPath, writer.ServeWrite)
-	s.network.Attach("http://"+p.name, r)
+	p.candidate = leader.New(p.leaderSettings(), leader.Dependencies{
+		Log:          log,
+		Replica:      replica,
+		Catalog:      follower,
+		DirectoryLog: announced,
+		Directory:    directory,
+		Latency:      latency,
+		Client:       client,
+		Logger:       logger,
+		Metrics:      tally.NoopScope,
+	})
+	s.network.Attach("http://"+p.name, p.handler(writer))
 	go replica.Run(ctx)
 	go follower.Run(ctx)
 	go directory.Run(ctx)
-	go candidate.Run(ctx)
+	go p.candidate.Run(ctx)
 	go directory.KeepRegistered(ctx, announced, p.name, p.name, p.cores)
 }
 
+func (p *process) leaderSettings() leader.Settings {
+	return leader.Settings{
+		Entry:       p.name,
+		Incarnation: fmt.Sprintf("%s/%d", p.name, p.incarnation),
+		Address:     p.name,
+		Cores:       p.cores,
+		Timing:      leader.DefaultTiming(lease),
+		Dispatch:    dispatch.DefaultSettings(),
+	}
+}
+
+// handler returns what an entry serves for agents and other entries.
+func (p *process) handler(writer *jobstore.Writer) http.Handler {
+	r := httprouter.New()
+	r.HandlerFunc(http.MethodPost, assignment.Path, p.candidate.ServePoll)
+	r.HandlerFunc(http.MethodGet, assignment.LeaderPath, p.candidate.ServeLeader)
+	r.HandlerFunc(http.MethodPost, assignment.HandoverPath, p.candidate.ServeHandover)
+	r.HandlerFunc(http.MethodPost, jobstore.RecordsPath, writer.ServeWrite)
+	return r
+}
+
 func (s *system) startAgent(i int) {
 	p := s.agents[i]
 	ctx, cancel := context.WithCancel(s.ctx)
--- a/jobs/jobtest/rules.go
+++ b/jobs/jobtest/rules.go
@@ -30,7 +30,8 @@
 	step := j.Steps[s.Task.Step]
 	for _, other := range ws.workers {
 		if r := other.runs[s.Task]; r != nil && other.up && other != w {
-			ws.violate("TWICE: %v run %d starts on %s while run %d is on %s", s.Task, s.Run, w.name, r.id.Run, other.name)
+			ws.violate("TWICE: %v run %d starts on %s while run %d is on %s",
+				s.Task, s.Run, w.name, r.id.Run, other.name)
 		}
 	}
 	if ws.acked[s.Task] && !step.LongRunning {
--- a/sessions/hosting/standin/workers.go
+++ b/sessions/hosting/standin/workers.go
@@ -61,19 +61,8 @@
 	if _, found := w.tasks[spec.Token]; found {
 		return nil
 	}
-	if w.barred[spec.Token] {
-		return hosting.ErrFenced
-	}
-	for _, a := range spec.Accelerators {
-		if w.fences[a] > spec.Token {
-			return hosting.ErrFenced
-		}
-	}
-	for _, t := range w.tasks {
-		wanted := func(a int) bool { return slices.Contains(spec.Accelerators, a) }
-		if t.State == hosting.TaskRunning && slices.ContainsFunc(t.Accelerators, wanted) {
-			return hosting.ErrBusy
-		}
+	if err := w.refuses(spec); err != nil {
+		return err
 	}
 	for _, a := range spec.Accelerators {
 		w.fences[a] = spec.Token
@@ -94,6 +83,25 @@
 	return nil
 }
 
+// refuses returns why the worker must not start the task, or nil.
+func (w *worker) refuses(spec hosting.TaskSpec) error {
+	if w.barred[spec.Token] {
+		return hosting.ErrFenced
+	}
+	for _, a := range spec.Accelerators {
+		if w.fences[a] > spec.Token {
+			return hosting.ErrFenced
+		}
+	}
+	wanted := func(a int) bool { return slices.Contains(spec.Accelerators, a) }
+	for _, t := range w.tasks {
+		if t.State == hosting.TaskRunning && slices.ContainsFunc(t.Accelerators, wanted) {
+			return hosting.ErrBusy
+		}
+	}
+	return nil
+}
+
 func (p *Platform) runningTask(name string, token int64) (*task, error) {
 	w, err := p.liveWorker(name)
 	if err != nil {
