--- a/sessions/membership/poll.go
+++ b/sessions/membership/poll.go
@@ -1,16 +1,18 @@
-// Package membership holds what agents and entries tell each other about who is there and what
-// is in force.
+// Package membership defines the messages between agents and entries, and between entries, about
+// who is present and what is in force, and the orders in which entries are preferred.
 //
-// An agent holds one open poll at an entry. The poll says what the agent has and what has
-// become of its gangs; the answer says what is newer. Both sides name revisions, so that
-// nothing is lost when a poll or its answer is, and nothing goes back: an agent refuses a view
-// older than its own.
+// An agent keeps one poll open at an entry. The poll has the revisions that the agent knows and the
+// state of its gangs; the answer has what is newer. Because both sides send revisions, a lost poll
+// or answer loses nothing, and an agent ignores views that are older than what it has.
+//
+// The package owns no state. It relies on package ledger for what a View contains.
 //
 // # Usage
 //
-// The agent sends a PollRequest to POST /internal/poll and gets a View; an entry that has
-// nothing newer answers after PollWait with the same revisions, and keeps the connection alive
-// until then.
+// The agent sends a PollRequest to POST /internal/poll and gets a View. An entry that has nothing
+// newer answers after PollWait with the same revisions:
+//
+//	view := membership.NewView(state, worker, poll.ConfigRevision, entries)
 package membership
 
 import (
@@ -21,21 +23,20 @@
 	"yarrowgrade.example/yarrowgrade/sessions/ledger"
 )
 
-// The pace of an open poll. An entry with nothing newer to tell holds it for PollWait, and
-// sends a newline every KeepAlive meanwhile. An agent that gets nothing for PollIdle turns to
-// another entry, so that the silent loss of an entry's box delays a configuration by less than
-// the 7 s in which it has to be in force. A newline costs an entry a fraction of a new poll,
-// which is why the hold is long.
+// The timing of a poll. An entry with nothing newer holds the poll for PollWait and sends a newline
+// every KeepAlive, which costs less than a new poll. An agent that receives nothing for PollIdle
+// polls another entry. PollIdle is below the 7 s within which a change of the configuration must
+// take effect, also if the entry's box is lost without notice.
 const (
 	PollWait  = 30 * time.Second
 	KeepAlive = 2500 * time.Millisecond
 	PollIdle  = 6 * time.Second
 )
 
-// Stopped says that a member runs nothing and never will.
+// Stopped reports that a member on the worker has stopped and will not run again.
 type Stopped struct {
 	Token int64 `json:"token"`
-	// Progress is the work that its last checkpoint holds, in nanoseconds.
+	// Progress is the work that its last checkpoint holds.
 	Progress time.Duration `json:"progress_ns"`
 }
 
@@ -43,11 +44,11 @@
 type PollRequest struct {
 	Worker      string `json:"worker"`
 	Incarnation string `json:"incarnation"`
-	// Revision is that of the last view; ConfigRevision that of the configuration in force at
-	// the agent.
+	// Revision is the revision of the last view, ConfigRevision that of the configuration the
+	// agent applies.
 	Revision       int64 `json:"revision"`
 	ConfigRevision int64 `json:"config_revision"`
-	// Leaving says that the agent takes no new work.
+	// Leaving means that the agent takes no new work.
 	Leaving bool          `json:"leaving,omitempty"`
 	Gangs   []gang.Report `json:"gangs,omitempty"`
 	Stopped []Stopped     `json:"stopped,omitempty"`
@@ -59,34 +60,34 @@
 	Joined int64 `json:"joined"`
 }
 
-// Peer is a member of a gang, as the other members reach it.
+// Peer is a member of a gang and the address of its agent.
 type Peer struct {
 	Worker  string `json:"worker"`
 	Address string `json:"address"`
 }
 
-// Assignment is an agent's part of a placement.
+// Assignment is a worker's part of a placement.
 type Assignment struct {
 	Token        int64                 `json:"token"`
 	Session      string                `json:"session"`
 	Phase        ledger.PlacementPhase `json:"phase"`
 	Accelerators []int                 `json:"accelerators"`
-	// Members has all members; the first is the leader.
+	// Members has all members. The first one is the leader.
 	Members    []Peer        `json:"members"`
 	Work       time.Duration `json:"work_ns"`
 	Checkpoint time.Duration `json:"checkpoint_ns"`
-	// Trace is the W3C traceparent of the call that created the session, if that was traced.
+	// Trace is the W3C traceparent of the call that created the session; empty if it was not traced.
 	Trace string `json:"trace,omitempty"`
 }
 
-// ConfigItem is a value of the configuration as an agent needs it.
+// ConfigItem is an entry of the configuration without its history.
 type ConfigItem struct {
 	Key      string          `json:"key"`
 	Revision int64           `json:"revision"`
 	Value    json.RawMessage `json:"value"`
 }
 
-// EntryInfo says where an entry is.
+// EntryInfo is the name, place and address of an entry.
 type EntryInfo struct {
 	Name    string `json:"name"`
 	Region  string `json:"region,omitempty"`
@@ -94,26 +95,27 @@
 	Address string `json:"address"`
 }
 
-// PingAnswer is an entry's answer to another entry.
+// PingAnswer is an entry's answer to the ping of another entry.
 type PingAnswer struct {
 	EntryInfo
-	// LogReachable says that its last read of the log succeeded.
+	// LogReachable means that its last read of the log succeeded.
 	LogReachable bool `json:"log_reachable"`
 }
 
-// View is what an agent should have.
+// View is what an agent should apply.
 type View struct {
-	// Revision is that of the last record that changed something for this worker.
+	// Revision is the offset of the last record that changed something for the worker.
 	Revision       int64 `json:"revision"`
 	ConfigRevision int64 `json:"config_revision"`
-	// Config has the entries that changed since the configuration that the poll named.
+	// Config has the entries of the configuration that are newer than the poll's ConfigRevision.
 	Config []ConfigItem `json:"config,omitempty"`
-	// Assignments is the whole list.
+	// Assignments has all assignments of the worker.
 	Assignments []Assignment `json:"assignments,omitempty"`
-	Entries     []EntryInfo  `json:"entries,omitempty"`
+	// Entries has the entries to poll.
+	Entries []EntryInfo `json:"entries,omitempty"`
 }
 
-// NewView returns what a worker should have, with the configuration that is newer than
+// NewView returns the view of a worker, with the entries of the configuration that are newer than
 // configRevision.
 func NewView(s ledger.State, worker ledger.Worker, configRevision int64, entries []EntryInfo) View {
 	v := View{Revision: worker.Revision, ConfigRevision: s.ConfigRevision(), Entries: entries}
@@ -139,8 +141,13 @@
 	session, _ := s.Session(p.Session)
 	part, _ := p.Member(worker)
 	a := Assignment{
-		Token: p.Token, Session: p.Session, Phase: p.Phase, Accelerators: part.Accelerators,
-		Work: time.Duration(session.Work) * time.Second, Checkpoint: session.Progress, Trace: session.Trace,
+		Token:        p.Token,
+		Session:      p.Session,
+		Phase:        p.Phase,
+		Accelerators: part.Accelerators,
+		Work:         time.Duration(session.Work) * time.Second,
+		Checkpoint:   session.Progress,
+		Trace:        session.Trace,
 	}
 	for _, m := range p.Members {
 		w, _ := s.Worker(m.Worker)
--- a/sessions/membership/rendezvous.go
+++ b/sessions/membership/rendezvous.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Order sorts names by rendezvous hashing for the key: every process that knows the same names
-// gets the same order, and the loss of one name moves only what that one had.
+// Order sorts names by rendezvous hashing for the key. Every process that knows the same names gets
+// the same order, and removing a name does not change the order of the others.
 func Order(key string, names []string) []string {
 	list := append([]string(nil), names...)
 	sort.Slice(list, func(i, j int) bool {
--- a/sessions/membership/status.go
+++ b/sessions/membership/status.go
@@ -7,45 +7,46 @@
 	Healthy bool `json:"healthy"`
 }
 
-// LeavingNotice is an agent's word that it takes no new work.
+// LeavingNotice tells an entry that an agent takes no new work.
 type LeavingNotice struct {
 	Worker      string `json:"worker"`
 	Incarnation string `json:"incarnation"`
 }
 
-// AgentStatus is what an agent tells of itself, or what an entry knows of it.
+// AgentStatus is the status of an agent, as reported by itself or as known to an entry.
 type AgentStatus struct {
 	Worker      string `json:"worker"`
 	Incarnation string `json:"incarnation"`
-	// ConfigRevision is that of the configuration in force at the agent.
+	// ConfigRevision is the revision of the configuration that the agent applies.
 	ConfigRevision int64 `json:"config_revision"`
 	Leaving        bool  `json:"leaving"`
-	// SinceViewMillis is the time since the agent and an entry last spoke, in milliseconds.
+	// SinceViewMillis is the time since the last poll or its answer, in ms.
 	SinceViewMillis int64 `json:"since_view_ms"`
-	Running         int   `json:"running"`
-	Waiting         int   `json:"waiting"`
+	// Running and Waiting are the numbers of requests. An entry does not know them.
+	Running int `json:"running"`
+	Waiting int `json:"waiting"`
 }
 
-// EntryStatus is what an entry tells of itself.
+// EntryStatus is the status of an entry.
 type EntryStatus struct {
 	EntryInfo
-	// Revision is that of the newest record folded in.
+	// Revision is the offset of the newest record applied.
 	Revision       int64 `json:"revision"`
 	ConfigRevision int64 `json:"config_revision"`
-	// LogReachable says that the last read of the log succeeded.
+	// LogReachable means that the last read of the log succeeded.
 	LogReachable bool `json:"log_reachable"`
-	// SinceLogMillis is the time since the last good read, in milliseconds.
+	// SinceLogMillis is the time since the last read that succeeded, in ms.
 	SinceLogMillis int64 `json:"since_log_ms"`
 	Leaving        bool  `json:"leaving"`
-	// Agents are those that poll this entry.
+	// Agents are the agents that poll this entry.
 	Agents []AgentStatus `json:"agents"`
-	// Error says why the entry could not be asked.
+	// Error says why the status could not be obtained; empty if it could.
 	Error string `json:"error,omitempty"`
 }
 
-// EntryOrder sorts entries for an agent: those of its zone first, then those of its region, and
-// among equals in the agent's own order, so that agents spread over entries and each has the
-// same second choice all the time.
+// EntryOrder sorts entries in a worker's order of preference: those of its zone first, then those of
+// its region, and within these groups by rendezvous hashing, so that agents are spread over the
+// entries.
 func EntryOrder(worker, region, zone string, entries []EntryInfo) []EntryInfo {
 	distance := func(e EntryInfo) int {
 		switch {
