--- a/sessions/agent/control.go
+++ b/sessions/agent/control.go
@@ -99,8 +99,8 @@
 	}
 	inTrace := func(ctx context.Context) context.Context { return a.parts.Telemetry.WithTrace(ctx, as.Trace) }
 	m := gang.NewMember(spec, a.link(as), a.parts.Platform, a.settings.Timing, a.notifyControl, inTrace)
-	a.parts.Telemetry.Log.Info().Str("step", "gang.assigned").Str("session", as.Session).
-		Int64("token", as.Token).Msg("member prepares")
+	a.parts.Telemetry.Log.Info().Str("step", "gang.assigned").Str("session", as.Session).Int64("token", as.Token).
+		Msg("member prepares")
 	wg.Go(func() { m.Run(ctx) })
 	return m
 }
