--- a/sessions/agent/fuzz_test.go
+++ b/sessions/agent/fuzz_test.go
@@ -30,7 +30,15 @@
 
 func newFuzzedAgent() *Agent {
 	return New(Settings{
-		Worker:  ledger.Worker{Name: "w0", Zone: "z", Rack: "r", Accelerators: 4, Address: "http://w0", Incarnation: "one", Slots: 2},
+		Worker: ledger.Worker{
+			Name:         "w0",
+			Zone:         "z",
+			Rack:         "r",
+			Accelerators: 4,
+			Address:      "http://w0",
+			Incarnation:  "one",
+			Slots:        2,
+		},
 		Entries: []string{"http://e"}, Timing: gang.DefaultTiming(),
 	}, Parts{
 		Target: okTarget{}, Platform: standin.New(), Client: memnet.New().Client("http://w0"),
--- a/sessions/entry/fuzz_test.go
+++ b/sessions/entry/fuzz_test.go
@@ -27,12 +27,24 @@
 		{"POST", "/v1/sessions", `{"name":"s","team":"a","shape":{"accelerators":2,"adjacency":"rack"},"work_seconds":9}`},
 		{"GET", "/v1/sessions/s/explain", ``},
 		{"DELETE", "/v1/sessions/s", ``},
-		{"PUT", "/v1/config/team/a", `{"revision":2,"value":{"name":"a","share":1,"guarantees":[{"shape":{"accelerators":2,"adjacency":"worker"},"count":1}]},"author":"f"}`},
+		{
+			"PUT",
+			"/v1/config/team/a",
+			`{"revision":2,"value":{"name":"a","share":1,"guarantees":[{"shape":{"accelerators":2,"adjacency":"worker"},"count":1}]},"author":"f"}`,
+		},
 		{"PUT", "/v1/config/policy/p", `{"value":{"name":"p","decides":"allow","source":"team == \"a\""}}`},
 		{"PUT", "/v1/config/placement", `{"value":{"profile":"completion"}}`},
 		{"POST", "/v1/policies/check", `{"name":"p","decides":"yield","source":"accelerators"}`},
-		{"POST", "/internal/join", `{"name":"w1","zone":"z","rack":"r","accelerators":2,"address":"http://w1","incarnation":"i","slots":1}`},
-		{"POST", "/internal/poll", `{"worker":"w0","incarnation":"one","revision":1,"gangs":[{"token":1,"ready":true}],"stopped":[{"token":1}]}`},
+		{
+			"POST",
+			"/internal/join",
+			`{"name":"w1","zone":"z","rack":"r","accelerators":2,"address":"http://w1","incarnation":"i","slots":1}`,
+		},
+		{
+			"POST",
+			"/internal/poll",
+			`{"worker":"w0","incarnation":"one","revision":1,"gangs":[{"token":1,"ready":true}],"stopped":[{"token":1}]}`,
+		},
 		{"POST", "/internal/leaving", `{"worker":"w0","incarnation":"one"}`},
 		{"GET", "/internal/state?newer_than=1", ``},
 	} {
@@ -60,9 +72,21 @@
 	for !e.ready.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	worker := ledger.Worker{Name: "w0", Zone: "z", Rack: "r", Service: "s", Accelerators: 4, Address: "http://w0", Incarnation: "one", Slots: 8}
+	worker := ledger.Worker{
+		Name:         "w0",
+		Zone:         "z",
+		Rack:         "r",
+		Service:      "s",
+		Accelerators: 4,
+		Address:      "http://w0",
+		Incarnation:  "one",
+		Slots:        8,
+	}
 	value, _ := json.Marshal(ledger.Team{Name: "a", Share: 1})
-	for _, record := range []ledger.Record{{Join: &ledger.JoinWorker{Worker: worker}}, {Config: &ledger.PutConfig{Key: "team/a", Value: value}}} {
+	for _, record := range []ledger.Record{
+		{Join: &ledger.JoinWorker{Worker: worker}},
+		{Config: &ledger.PutConfig{Key: "team/a", Value: value}},
+	} {
 		if _, err := e.propose(ctx, record); err != nil {
 			t.Fatal(err)
 		}
--- a/sessions/entry/golden_test.go
+++ b/sessions/entry/golden_test.go
@@ -43,15 +43,24 @@
 }
 
 func TestGoldenConfigPut(t *testing.T) {
-	goldentest.JSON(t, "config-put", ConfigPut{Value: json.RawMessage(`{"profile":"completion"}`), Revision: 4, Author: "ada"})
+	goldentest.JSON(t, "config-put", ConfigPut{
+		Value:    json.RawMessage(`{"profile":"completion"}`),
+		Revision: 4,
+		Author:   "ada",
+	})
 	goldentest.JSON(t, "put-answer", PutAnswer{Revision: 5})
 }
 
 func TestGoldenStatus(t *testing.T) {
 	goldentest.JSON(t, "status", Status{
 		Entries: []membership.EntryStatus{{
-			EntryInfo: membership.EntryInfo{Name: "entry-1", Region: "region-1", Zone: "zone-1", Address: "http://10.1.0.9:7100"},
-			Revision:  9, ConfigRevision: 5, LogReachable: true, SinceLogMillis: 100, Leaving: true,
+			EntryInfo: membership.EntryInfo{
+				Name:    "entry-1",
+				Region:  "region-1",
+				Zone:    "zone-1",
+				Address: "http://10.1.0.9:7100",
+			},
+			Revision: 9, ConfigRevision: 5, LogReachable: true, SinceLogMillis: 100, Leaving: true,
 			Agents: []membership.AgentStatus{{
 				Worker: "worker-1", Incarnation: "incarnation-1", ConfigRevision: 4, Leaving: true, SinceViewMillis: 1500,
 				Running: 2, Waiting: 3,
--- a/sessions/entry/polls_test.go
+++ b/sessions/entry/polls_test.go
@@ -31,7 +31,11 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				e := New(Settings{Name: "a", Zone: "z", Address: "http://a"}, Parts{Platform: standin.New(), Telemetry: telemetry.Discard()})
+				e := New(Settings{
+					Name:    "a",
+					Zone:    "z",
+					Address: "http://a",
+				}, Parts{Platform: standin.New(), Telemetry: telemetry.Discard()})
 				defer e.Leave()
 				data, _ := ledger.Record{ID: "join", Join: &ledger.JoinWorker{Worker: ledger.Worker{
 					Name: "w", Zone: "z", Rack: "r", Address: "http://w", Incarnation: "one", Slots: 1,
--- a/sessions/entry/router_test.go
+++ b/sessions/entry/router_test.go
@@ -115,7 +115,13 @@
 		{"no target", false, nil, request.NotRun, "[]"},
 		{"a key goes to its own agent only", true, []agentFunc{refuse, done}, request.NotRun, "[1 0]"},
 		{"a key whose agent is lost is not tried elsewhere", true, []agentFunc{reset, done}, request.Unknown, "[1 0]"},
-		{"a key whose agent does not listen may have run through another entry", true, []agentFunc{nil, done}, request.Unknown, "[0 0]"},
+		{
+			"a key whose agent does not listen may have run through another entry",
+			true,
+			[]agentFunc{nil, done},
+			request.Unknown,
+			"[0 0]",
+		},
 		{"a crossed answer to a key is dropped", true, []agentFunc{crossed, done}, request.Unknown, "[1 0]"},
 	}
 	for _, tt := range tests {
@@ -189,7 +195,11 @@
 		w.Region, w.Leaving = "north", false
 		data, _ := ledger.Record{ID: "moved", Join: &ledger.JoinWorker{Worker: w}}.Encode()
 		e.replica.Apply([]hosting.Record{{Offset: e.replica.State().Revision() + 1, Data: data}})
-		if answer := e.router.route(t.Context(), request.Call{Service: "s", Team: "a", DeadlineMillis: 5000}); answer.Outcome != request.Done {
+		if answer := e.router.route(t.Context(), request.Call{
+			Service:        "s",
+			Team:           "a",
+			DeadlineMillis: 5000,
+		}); answer.Outcome != request.Done {
 			t.Errorf("got %+v", answer)
 		}
 		if got := fmt.Sprint(called()); got != tt.want {
@@ -233,14 +243,26 @@
 		{"POST", "/v1/requests", `{"service":"s","team":"b","deadline_ms":5}`, 400, "team"},
 		{"POST", "/v1/requests", `{"service":"s","team":"a","deadline_ms":5,"key":"wrong"}`, 400, "key"},
 		{"POST", "/v1/requests", `{"service":"s","team":"a","deadline_ms":5,"not_repeatable":true}`, 400, "key"},
-		{"POST", "/v1/requests", `{"service":"s","team":"a","deadline_ms":5,"body":"` + strings.Repeat("x", request.MaxBody+1) + `"}`, 400, "body"},
+		{
+			"POST",
+			"/v1/requests",
+			`{"service":"s","team":"a","deadline_ms":5,"body":"` + strings.Repeat("x", request.MaxBody+1) + `"}`,
+			400,
+			"body",
+		},
 		{"POST", "/v1/requests", strings.Repeat("x", jsonhttp.MaxRequestBytes+1), 400, "body"},
 		{"POST", "/v1/requests", `{} {}`, 400, "body"},
 		{"POST", "/v1/keys", `{}`, 400, "service"},
 		{"POST", "/v1/keys", `{"service":"nobody"}`, 503, ""},
 		{"POST", "/v1/sessions", `{"name":"UPPER"}`, 400, "name"},
 		{"POST", "/v1/sessions", `{"name":"s","team":"a","shape":{"accelerators":65}}`, 400, "shape.accelerators"},
-		{"POST", "/v1/sessions", `{"name":"s","team":"a","shape":{"accelerators":1,"adjacency":"near"}}`, 400, "shape.adjacency"},
+		{
+			"POST",
+			"/v1/sessions",
+			`{"name":"s","team":"a","shape":{"accelerators":1,"adjacency":"near"}}`,
+			400,
+			"shape.adjacency",
+		},
 		{"POST", "/v1/sessions", `{"name":"s","team":"a","shape":{"accelerators":1},"work_seconds":-1}`, 400, "work_seconds"},
 		{"GET", "/v1/sessions/none", ``, 404, "name"},
 		{"DELETE", "/v1/sessions/none", ``, 404, "name"},
@@ -267,7 +289,16 @@
 		err = json.NewDecoder(response.Body).Decode(&body)
 		response.Body.Close()
 		if err != nil || response.StatusCode != tt.status || body.Field != tt.field || body.Error == "" {
-			t.Errorf("%s %s %.60s: %d %+v, want %d for %q", tt.method, tt.path, tt.body, response.StatusCode, body, tt.status, tt.field)
+			t.Errorf(
+				"%s %s %.60s: %d %+v, want %d for %q",
+				tt.method,
+				tt.path,
+				tt.body,
+				response.StatusCode,
+				body,
+				tt.status,
+				tt.field,
+			)
 		}
 	}
 }
--- a/sessions/gang/gang_test.go
+++ b/sessions/gang/gang_test.go
@@ -135,7 +135,14 @@
 		link := &testLink{leader: g.leader}
 		workers := &frozenWorkers{Workers: g.platform}
 		spec := hosting.TaskSpec{Worker: workerName(i), Session: "s", Token: testToken, Accelerators: []int{0, 1}, Work: work}
-		m := NewMember(spec, link, workers, DefaultTiming(), func() {}, func(ctx context.Context) context.Context { return ctx })
+		m := NewMember(
+			spec,
+			link,
+			workers,
+			DefaultTiming(),
+			func() {},
+			func(ctx context.Context) context.Context { return ctx },
+		)
 		g.members, g.links, g.frozen = append(g.members, m), append(g.links, link), append(g.frozen, workers)
 		wg.Go(func() { m.Run(ctx) })
 	}
--- a/sessions/ledger/bench_test.go
+++ b/sessions/ledger/bench_test.go
@@ -23,7 +23,11 @@
 	for i := range workers / 2 {
 		name := fmt.Sprintf("s%d", i)
 		h.add(create(name, fmt.Sprintf("t%d", i%(workers/8)), shape(1, placement.AnyPlace)))
-		token := h.add(Record{Place: &Place{Session: name, Members: []placement.Member{on(fmt.Sprintf("w%d", i*2), 0)}, Borrowed: true}}).Offset
+		token := h.add(Record{Place: &Place{
+			Session:  name,
+			Members:  []placement.Member{on(fmt.Sprintf("w%d", i*2), 0)},
+			Borrowed: true,
+		}}).Offset
 		h.add(Record{Start: &Start{Token: token}})
 	}
 	for h.state.seenOrder.Len() < seenLimit*workers/1400 {
@@ -70,7 +74,11 @@
 	h := &history{t: b, state: s, number: 1 << 20}
 	h.add(create("bench", "t0", shape(2, placement.SameRack)))
 	// Workers with odd numbers are free; w9 and w11 are both in rack r3.
-	r := Record{ID: "bench", Base: h.state.Revision(), Place: &Place{Session: "bench", Members: []placement.Member{on("w9", 0), on("w11", 0)}, Borrowed: borrowed}}
+	r := Record{
+		ID:    "bench",
+		Base:  h.state.Revision(),
+		Place: &Place{Session: "bench", Members: []placement.Member{on("w9", 0), on("w11", 0)}, Borrowed: borrowed},
+	}
 	data, err := r.Encode()
 	if err != nil {
 		b.Fatal(err)
--- a/sessions/ledger/golden_test.go
+++ b/sessions/ledger/golden_test.go
@@ -33,9 +33,14 @@
 		Members: []placement.Member{goldenMember}, Released: []string{"worker-1"}, Progress: 80 * time.Second,
 		Reason: "yields", For: "session-2", Since: 1_700_000_000_002,
 	}
-	goldenChange = Change{Revision: 4, Value: json.RawMessage(`{"profile":"completion"}`), Author: "ada", At: 1_700_000_000_003}
-	goldenEntry  = ConfigEntry{Key: PlacementKey, Change: goldenChange, History: []Change{goldenChange}}
-	goldenTeam   = Team{Name: "plates", Guarantees: []placement.Guarantee{{Shape: goldenShape, Count: 2}}, Share: 3}
+	goldenChange = Change{
+		Revision: 4,
+		Value:    json.RawMessage(`{"profile":"completion"}`),
+		Author:   "ada",
+		At:       1_700_000_000_003,
+	}
+	goldenEntry = ConfigEntry{Key: PlacementKey, Change: goldenChange, History: []Change{goldenChange}}
+	goldenTeam  = Team{Name: "plates", Guarantees: []placement.Guarantee{{Shape: goldenShape, Count: 2}}, Share: 3}
 )
 
 // goldenRecords has a record of each kind, by its name.
@@ -45,17 +50,31 @@
 		return r
 	}
 	return map[string]Record{
-		"void":       record(Record{Void: &Void{ID: "id-0"}}),
-		"config":     record(Record{Config: &PutConfig{Key: PlacementKey, Value: goldenChange.Value, Revision: 4, Author: "ada"}}),
-		"join":       record(Record{Join: &JoinWorker{Worker: goldenWorker}}),
-		"leave":      record(Record{Leave: &LeaveWorker{Worker: "worker-1", Incarnation: "incarnation-1"}}),
-		"create":     record(Record{Create: &CreateSession{Spec: goldenSpec, Trace: goldenSession.Trace}}),
-		"cancel":     record(Record{Cancel: &CancelSession{Session: "session-1"}}),
-		"place":      record(Record{Place: &Place{Session: "session-1", Members: []placement.Member{goldenMember}, Borrowed: true}}),
-		"start":      record(Record{Start: &Start{Token: 7}}),
-		"stop":       record(Record{Stop: &Stop{Token: 7, Reason: "yields", For: "session-2"}}),
-		"finish":     record(Record{Finish: &Finish{Token: 7}}),
-		"release":    record(Record{Release: &Release{Token: 7, Worker: "worker-1", Cause: StoppedByAgent, Progress: 80 * time.Second}}),
+		"void": record(Record{Void: &Void{ID: "id-0"}}),
+		"config": record(Record{Config: &PutConfig{
+			Key:      PlacementKey,
+			Value:    goldenChange.Value,
+			Revision: 4,
+			Author:   "ada",
+		}}),
+		"join":   record(Record{Join: &JoinWorker{Worker: goldenWorker}}),
+		"leave":  record(Record{Leave: &LeaveWorker{Worker: "worker-1", Incarnation: "incarnation-1"}}),
+		"create": record(Record{Create: &CreateSession{Spec: goldenSpec, Trace: goldenSession.Trace}}),
+		"cancel": record(Record{Cancel: &CancelSession{Session: "session-1"}}),
+		"place": record(Record{Place: &Place{
+			Session:  "session-1",
+			Members:  []placement.Member{goldenMember},
+			Borrowed: true,
+		}}),
+		"start":  record(Record{Start: &Start{Token: 7}}),
+		"stop":   record(Record{Stop: &Stop{Token: 7, Reason: "yields", For: "session-2"}}),
+		"finish": record(Record{Finish: &Finish{Token: 7}}),
+		"release": record(Record{Release: &Release{
+			Token:    7,
+			Worker:   "worker-1",
+			Cause:    StoppedByAgent,
+			Progress: 80 * time.Second,
+		}}),
 		"saved":      record(Record{Saved: &Saved{Revision: 8}}),
 		"checkpoint": record(Record{Checkpoint: &Checkpoint{Token: 7, Progress: 80 * time.Second}}),
 	}
@@ -139,7 +158,10 @@
 	return storedState{
 		Revision: 20, ConfigRevision: 4, SavedRevision: 11, SavedAt: 1_700_000_000_004,
 		Config: []ConfigEntry{
-			goldenEntry, {Key: TeamPrefix + "plates", Change: Change{Revision: 3, Value: team, Author: "ada", At: 1_700_000_000_005}},
+			goldenEntry, {
+				Key:    TeamPrefix + "plates",
+				Change: Change{Revision: 3, Value: team, Author: "ada", At: 1_700_000_000_005},
+			},
 		},
 		Workers: []Worker{goldenWorker}, Sessions: []Session{goldenSession}, Placements: []Placement{goldenPlacement},
 		Ended: map[int64]string{15: "session-0"},
@@ -239,7 +261,12 @@
 	for i, r := range []Record{
 		{Config: &PutConfig{Key: TeamPrefix + goldenTeam.Name, Value: team, Author: "ada"}},
 		{Config: &PutConfig{Key: PlacementKey, Value: goldenChange.Value, Author: "ada"}},
-		{Config: &PutConfig{Key: PlacementKey, Value: json.RawMessage(`{"profile":"fragmentation"}`), Revision: 2, Author: "bob"}},
+		{Config: &PutConfig{
+			Key:      PlacementKey,
+			Value:    json.RawMessage(`{"profile":"fragmentation"}`),
+			Revision: 2,
+			Author:   "bob",
+		}},
 		{Join: &JoinWorker{Worker: worker}},
 		{Create: &CreateSession{Spec: goldenSpec, Trace: goldenSession.Trace}},
 		{Create: &CreateSession{Spec: second}},
--- a/sessions/ledger/proposer_test.go
+++ b/sessions/ledger/proposer_test.go
@@ -103,7 +103,11 @@
 			p := NewProposer(log, follow(ctx, &wg, log, noPeers{}))
 			racing.Go(func() {
 				name := fmt.Sprintf("operator-%d", i)
-				v, err := p.Propose(ctx, Record{Config: &PutConfig{Key: LimitsKey, Value: []byte(`{"queue_length":1}`), Author: name}})
+				v, err := p.Propose(ctx, Record{Config: &PutConfig{
+					Key:    LimitsKey,
+					Value:  []byte(`{"queue_length":1}`),
+					Author: name,
+				}})
 				mu.Lock()
 				defer mu.Unlock()
 				if err == nil && v.Status == Accepted {
@@ -153,7 +157,11 @@
 			t.Errorf("the slow reader is at %d, the other at %d", slow.State().Revision(), fast.State().Revision())
 		}
 		// A torn snapshot must not hide the whole one before it.
-		if _, err := log.Append(ctx, hosting.SnapshotStream, []byte(`{"writer":"x","revision":999,"index":0,"total":2,"data":""}`)); err != nil {
+		if _, err := log.Append(
+			ctx,
+			hosting.SnapshotStream,
+			[]byte(`{"writer":"x","revision":999,"index":0,"total":2,"data":""}`),
+		); err != nil {
 			t.Fatal(err)
 		}
 		if s, err := ReadSnapshot(ctx, log); err != nil || s.Revision() != 41 {
@@ -233,7 +241,13 @@
 	l.off = off
 }
 
-func (l *switchedLog) Read(ctx context.Context, stream string, offset int64, limit int, wait time.Duration) (hosting.Batch, error) {
+func (l *switchedLog) Read(
+	ctx context.Context,
+	stream string,
+	offset int64,
+	limit int,
+	wait time.Duration,
+) (hosting.Batch, error) {
 	l.mu.Lock()
 	off, silent := l.off, l.silent
 	l.mu.Unlock()
--- a/sessions/ledger/state_test.go
+++ b/sessions/ledger/state_test.go
@@ -92,7 +92,10 @@
 		reason  string
 	}{
 		{"two puts race for one revision", []Record{team("new"), team("new")}, Rejected, "someone else changed it"},
-		{"a session that exists", []Record{create("s", "guest", whole), create("s", "guest", whole)}, Rejected, "exists already"},
+		{"a session that exists", []Record{
+			create("s", "guest", whole),
+			create("s", "guest", whole),
+		}, Rejected, "exists already"},
 		{"a team that is not known", []Record{create("s", "nobody", whole)}, Rejected, "team"},
 		{"an accelerator that is held", []Record{
 			create("a", "guest", whole), create("b", "guest", whole),
@@ -108,7 +111,15 @@
 			{Place: &Place{Session: "a", Members: []placement.Member{on("w0", 0, 1), on("w1", 0, 1)}, Borrowed: true}},
 		}, Rejected, "do not share one worker"},
 		{"a gang over two regions", []Record{
-			{Join: &JoinWorker{Worker: Worker{Name: "far", Region: "south", Zone: "z9", Rack: "r9", Accelerators: 4, Address: "http://127.0.0.1:1", Incarnation: "one"}}},
+			{Join: &JoinWorker{Worker: Worker{
+				Name:         "far",
+				Region:       "south",
+				Zone:         "z9",
+				Rack:         "r9",
+				Accelerators: 4,
+				Address:      "http://127.0.0.1:1",
+				Incarnation:  "one",
+			}}},
 			create("a", "guest", shape(4, placement.AnyPlace)),
 			{Place: &Place{Session: "a", Members: []placement.Member{on("w0", 0, 1), on("far", 0, 1)}, Borrowed: true}},
 		}, Rejected, "are in 2 regions"},
@@ -129,7 +140,10 @@
 			{Place: &Place{Session: "a", Members: []placement.Member{on("w0", 0, 1, 2, 3)}, Borrowed: true}},
 			{Stop: &Stop{Token: 10}}, {Start: &Start{Token: 10}},
 		}, Rejected, "is stopping"},
-		{"an unknown limit", []Record{{Config: &PutConfig{Key: "limits", Value: []byte(`{"queue":1}`)}}}, Rejected, "unknown field"},
+		{"an unknown limit", []Record{{Config: &PutConfig{
+			Key:   "limits",
+			Value: []byte(`{"queue":1}`),
+		}}}, Rejected, "unknown field"},
 		{"a policy that does not compile", []Record{
 			{Config: &PutConfig{Key: "policy/p", Value: []byte(`{"name":"p","decides":"allow","source":"team =="}`)}},
 		}, Rejected, "line 1"},
@@ -179,7 +193,14 @@
 
 // TestUnreadable has torn, unknown and empty records. They change nothing but the revision.
 func TestUnreadable(t *testing.T) {
-	for _, data := range []string{"", "{", `{"id":"x"}`, `{"id":"x","base":0,"at":0,"later":{}}`, `{"id":"x","void":{"id":"a"},"stop":{"token":1}}`, "\x00\xff"} {
+	for _, data := range []string{
+		"",
+		"{",
+		`{"id":"x"}`,
+		`{"id":"x","base":0,"at":0,"later":{}}`,
+		`{"id":"x","void":{"id":"a"},"stop":{"token":1}}`,
+		"\x00\xff",
+	} {
 		h := newHistory(t)
 		before := h.state
 		if v := h.raw([]byte(data)); v.Status != Unreadable || v.Offset != before.Revision()+1 || v.Reason == "" {
@@ -207,15 +228,31 @@
 		releases []Release
 		progress int64
 	}{
-		{"stopped as a whole", 0, []Release{{Worker: "w0", Cause: StoppedByAgent, Progress: 9}, {Worker: "w1", Cause: StoppedByAgent, Progress: 7}}, 7},
-		{"the first member lost", 0, []Release{{Worker: "w0", Cause: WorkerGone}, {Worker: "w1", Cause: StoppedByAgent, Progress: 7}}, 0},
-		{"a member lost after a checkpoint", 5, []Release{{Worker: "w0", Cause: WorkerGone}, {Worker: "w1", Cause: StoppedByAgent, Progress: 7}}, 5},
-		{"the last member lost", 0, []Release{{Worker: "w0", Cause: StoppedByAgent, Progress: 7}, {Worker: "w1", Cause: WorkerGone}}, 0},
+		{"stopped as a whole", 0, []Release{
+			{Worker: "w0", Cause: StoppedByAgent, Progress: 9},
+			{Worker: "w1", Cause: StoppedByAgent, Progress: 7},
+		}, 7},
+		{"the first member lost", 0, []Release{
+			{Worker: "w0", Cause: WorkerGone},
+			{Worker: "w1", Cause: StoppedByAgent, Progress: 7},
+		}, 0},
+		{"a member lost after a checkpoint", 5, []Release{
+			{Worker: "w0", Cause: WorkerGone},
+			{Worker: "w1", Cause: StoppedByAgent, Progress: 7},
+		}, 5},
+		{"the last member lost", 0, []Release{
+			{Worker: "w0", Cause: StoppedByAgent, Progress: 7},
+			{Worker: "w1", Cause: WorkerGone},
+		}, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			h := newHistory(t)
 			h.add(create("s", "guest", shape(8, placement.SameRack)))
-			token := h.add(Record{Place: &Place{Session: "s", Members: []placement.Member{on("w0", 0, 1, 2, 3), on("w1", 0, 1, 2, 3)}, Borrowed: true}}).Offset
+			token := h.add(Record{Place: &Place{
+				Session:  "s",
+				Members:  []placement.Member{on("w0", 0, 1, 2, 3), on("w1", 0, 1, 2, 3)},
+				Borrowed: true,
+			}}).Offset
 			h.add(Record{Start: &Start{Token: token}})
 			h.add(Record{Checkpoint: &Checkpoint{Token: token, Progress: time.Duration(tt.saved)}})
 			for i, r := range tt.releases {
@@ -253,9 +290,17 @@
 		h.add(team("b", placement.Guarantee{Shape: shape(4, placement.SameWorker), Count: 1}))
 		for i := range rapid.IntRange(5, 20).Draw(rt, "steps") {
 			name := fmt.Sprintf("s%d", i)
-			s := rapid.SampledFrom([]placement.Shape{shape(2, placement.SameWorker), shape(4, placement.SameWorker), shape(8, placement.SameRack)}).Draw(rt, "shape")
+			s := rapid.SampledFrom([]placement.Shape{
+				shape(2, placement.SameWorker),
+				shape(4, placement.SameWorker),
+				shape(8, placement.SameRack),
+			}).Draw(rt, "shape")
 			h.add(create(name, rapid.SampledFrom([]string{"a", "b"}).Draw(rt, "team"), s))
-			h.add(Record{Place: &Place{Session: name, Members: drawMembers(rt, h.state, s.Accelerators), Borrowed: rapid.SampledFrom([]bool{false, false, true}).Draw(rt, "borrowed")}})
+			h.add(Record{Place: &Place{
+				Session:  name,
+				Members:  drawMembers(rt, h.state, s.Accelerators),
+				Borrowed: rapid.SampledFrom([]bool{false, false, true}).Draw(rt, "borrowed"),
+			}})
 			if tokens := h.state.Placements(); len(tokens) > 0 && rapid.Bool().Draw(rt, "release") {
 				p := tokens[rapid.IntRange(0, len(tokens)-1).Draw(rt, "which")]
 				for _, m := range p.Members {
@@ -331,8 +376,16 @@
 		woken  bool
 	}{
 		{"a session", create("t", "guest", shape(1, placement.AnyPlace)), false},
-		{"a placement elsewhere", Record{Place: &Place{Session: "s", Borrowed: true, Members: []placement.Member{on("w1", 0)}}}, false},
-		{"a placement here", Record{Place: &Place{Session: "t", Borrowed: true, Members: []placement.Member{on("w0", 0)}}}, true},
+		{"a placement elsewhere", Record{Place: &Place{
+			Session:  "s",
+			Borrowed: true,
+			Members:  []placement.Member{on("w1", 0)},
+		}}, false},
+		{"a placement here", Record{Place: &Place{
+			Session:  "t",
+			Borrowed: true,
+			Members:  []placement.Member{on("w0", 0)},
+		}}, true},
 		{"the configuration", team("third"), true},
 	} {
 		r.Replace(h.state)
@@ -394,7 +447,12 @@
 
 // FuzzRecord wants every byte string to fold without a panic, and to the same state twice.
 func FuzzRecord(f *testing.F) {
-	for _, r := range []Record{team("x"), create("s", "guest", shape(1, placement.AnyPlace)), {ID: "a", Void: &Void{ID: "b"}}, {Place: &Place{Session: "s", Members: []placement.Member{on("w0", 3, 1)}}}} {
+	for _, r := range []Record{
+		team("x"),
+		create("s", "guest", shape(1, placement.AnyPlace)),
+		{ID: "a", Void: &Void{ID: "b"}},
+		{Place: &Place{Session: "s", Members: []placement.Member{on("w0", 3, 1)}}},
+	} {
 		r.ID = "seed"
 		data, _ := r.Encode()
 		f.Add(data)
--- a/sessions/placement/bench_test.go
+++ b/sessions/placement/bench_test.go
@@ -20,7 +20,11 @@
 		})
 	}
 	for i := range teams {
-		in.Entitlements = append(in.Entitlements, Entitlement{Team: fmt.Sprintf("t%d", i), Shape: Shape{Accelerators: 2, Adjacency: SameZone}, Count: 1})
+		in.Entitlements = append(in.Entitlements, Entitlement{
+			Team:  fmt.Sprintf("t%d", i),
+			Shape: Shape{Accelerators: 2, Adjacency: SameZone},
+			Count: 1,
+		})
 	}
 	shapes := []Shape{{1, AnyPlace}, {3, SameRack}, {16, SameZone}, {64, SameZone}}
 	for i := range waiting {
--- a/sessions/placement/placement_test.go
+++ b/sessions/placement/placement_test.go
@@ -45,20 +45,31 @@
 			return in
 		}, "s on w001"},
 		{"a gang gets one rack, and whole workers first", func() Input {
-			in := Input{Workers: grid(6, 8), Waiting: []Waiting{{Session: "s", Shape: Shape{Accelerators: 16, Adjacency: SameRack}}}}
+			in := Input{
+				Workers: grid(6, 8),
+				Waiting: []Waiting{{Session: "s", Shape: Shape{Accelerators: 16, Adjacency: SameRack}}},
+			}
 			hold(&in, 0, 4, Running{Token: 1, Borrowed: true})
 			hold(&in, 3, 8, Running{Token: 2, Borrowed: true})
 			hold(&in, 4, 1, Running{Token: 3, Borrowed: true})
 			return in
 		}, "s on w001 w002"},
 		{"an owner takes borrowed room back, at the least lost work", func() Input {
-			in := Input{Workers: grid(2, 8), Waiting: []Waiting{{Session: "s", Team: "a", Shape: whole}}, Entitlements: []Entitlement{{Team: "a", Shape: whole, Count: 1}}}
+			in := Input{
+				Workers:      grid(2, 8),
+				Waiting:      []Waiting{{Session: "s", Team: "a", Shape: whole}},
+				Entitlements: []Entitlement{{Team: "a", Shape: whole, Count: 1}},
+			}
 			hold(&in, 0, 8, Running{Token: 1, Borrowed: true, Unsaved: time.Hour})
 			hold(&in, 1, 8, Running{Token: 2, Borrowed: true, Unsaved: time.Minute})
 			return in
 		}, "s takes 2"},
 		{"the policy's order goes before lost work", func() Input {
-			in := Input{Workers: grid(2, 8), Waiting: []Waiting{{Session: "s", Team: "a", Shape: whole}}, Entitlements: []Entitlement{{Team: "a", Shape: whole, Count: 1}}}
+			in := Input{
+				Workers:      grid(2, 8),
+				Waiting:      []Waiting{{Session: "s", Team: "a", Shape: whole}},
+				Entitlements: []Entitlement{{Team: "a", Shape: whole, Count: 1}},
+			}
 			hold(&in, 0, 8, Running{Token: 1, Borrowed: true, Unsaved: time.Hour})
 			hold(&in, 1, 8, Running{Token: 2, Borrowed: true, Unsaved: time.Minute, YieldRank: 50})
 			return in
@@ -75,7 +86,10 @@
 		}, ""},
 		{"a gang does not span regions, which lose each other", func() Input {
 			in := Input{Workers: grid(2, 8), Waiting: []Waiting{
-				{Session: "s", Shape: Shape{Accelerators: 9, Adjacency: AnyPlace}}, {Session: "t", Shape: Shape{Accelerators: 8, Adjacency: AnyPlace}},
+				{
+					Session: "s",
+					Shape:   Shape{Accelerators: 9, Adjacency: AnyPlace},
+				}, {Session: "t", Shape: Shape{Accelerators: 8, Adjacency: AnyPlace}},
 			}}
 			in.Workers[0].Region, in.Workers[1].Region = "north", "south"
 			return in
@@ -88,8 +102,15 @@
 		{"a start under a guarantee leaves room for the other guarantees", func() Input {
 			// Both fit only if the small one goes to the worker that is half used by what does not yield.
 			in := Input{
-				Workers: grid(2, 8), Waiting: []Waiting{{Session: "s", Team: "b", Shape: Shape{Accelerators: 4, Adjacency: SameWorker}}},
-				Entitlements: []Entitlement{{Team: "a", Shape: whole, Count: 1}, {Team: "b", Shape: Shape{Accelerators: 4, Adjacency: SameWorker}, Count: 1}},
+				Workers: grid(2, 8), Waiting: []Waiting{{
+					Session: "s",
+					Team:    "b",
+					Shape:   Shape{Accelerators: 4, Adjacency: SameWorker},
+				}},
+				Entitlements: []Entitlement{
+					{Team: "a", Shape: whole, Count: 1},
+					{Team: "b", Shape: Shape{Accelerators: 4, Adjacency: SameWorker}, Count: 1},
+				},
 			}
 			hold(&in, 0, 4, Running{Token: 1})
 			return in
@@ -168,7 +189,10 @@
 	}
 	for i := range rapid.IntRange(0, 3).Draw(t, "guarantees") {
 		in.Entitlements = append(in.Entitlements, Entitlement{
-			Team: fmt.Sprintf("t%d", i), Shape: Shape{Accelerators: rapid.SampledFrom(sizes).Draw(t, "n"), Adjacency: adjacency.Draw(t, "adj")}, Count: rapid.IntRange(1, 2).Draw(t, "count"),
+			Team: fmt.Sprintf("t%d", i), Shape: Shape{
+				Accelerators: rapid.SampledFrom(sizes).Draw(t, "n"),
+				Adjacency:    adjacency.Draw(t, "adj"),
+			}, Count: rapid.IntRange(1, 2).Draw(t, "count"),
 		})
 	}
 	for i := range rapid.IntRange(0, 8).Draw(t, "waiting") {
@@ -186,7 +210,12 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		in := drawInput(rt)
 		before := fmt.Sprintf("%+v", in)
-		profile := rapid.SampledFrom([]Profile{CompletionProfile(), FragmentationProfile(), {Scoring: ScoreFirst}, {Scoring: ScoreBest}}).Draw(rt, "profile")
+		profile := rapid.SampledFrom([]Profile{
+			CompletionProfile(),
+			FragmentationProfile(),
+			{Scoring: ScoreFirst},
+			{Scoring: ScoreBest},
+		}).Draw(rt, "profile")
 		decisions := Decide(in, profile)
 		if fmt.Sprintf("%+v", in) != before {
 			rt.Fatal("the input was changed")
@@ -224,7 +253,10 @@
 	}
 	used := map[string]bool{}
 	entitlements := append([]Entitlement(nil), in.Entitlements...)
-	feasible := Feasible(NewCapacity(NewTopology(in.Workers), in.Workers, func(h int64) bool { return h == 0 || running[h].Borrowed }), entitlements)
+	feasible := Feasible(
+		NewCapacity(NewTopology(in.Workers), in.Workers, func(h int64) bool { return h == 0 || running[h].Borrowed }),
+		entitlements,
+	)
 	taken := cloneHolders(in.Workers)
 	for _, d := range decisions {
 		w := waiting[d.Session]
@@ -366,7 +398,14 @@
 	if i := UnusedEntitlement(r.in.Entitlements, w.Team, w.Shape); i >= 0 && !d.Borrowed {
 		r.in.Entitlements[i].Used++
 	}
-	r.in.Running = append(r.in.Running, Running{Token: r.token, Session: d.Session, Team: w.Team, Shape: w.Shape, Borrowed: d.Borrowed, Urgent: w.Urgent})
+	r.in.Running = append(r.in.Running, Running{
+		Token:    r.token,
+		Session:  d.Session,
+		Team:     w.Team,
+		Shape:    w.Shape,
+		Borrowed: d.Borrowed,
+		Urgent:   w.Urgent,
+	})
 	for i, other := range r.in.Waiting {
 		if other.Session == d.Session {
 			r.in.Waiting = append(r.in.Waiting[:i:i], r.in.Waiting[i+1:]...)
--- a/sessions/request/request_test.go
+++ b/sessions/request/request_test.go
@@ -221,7 +221,13 @@
 					a := s.Serve(t.Context(), hop("pay", key))
 					mu.Lock()
 					defer mu.Unlock()
-					history = append(history, porcupine.Operation{ClientId: k*6 + i, Input: key, Call: called, Output: a.Body, Return: time.Now().UnixNano()})
+					history = append(history, porcupine.Operation{
+						ClientId: k*6 + i,
+						Input:    key,
+						Call:     called,
+						Output:   a.Body,
+						Return:   time.Now().UnixNano(),
+					})
 				})
 			}
 		}
@@ -407,7 +413,11 @@
 	}
 	closed := httptest.NewServer(nil)
 	closed.Close()
-	_, _, err := NewHTTPTarget(closed.URL, 2, func(rt http.RoundTripper) http.RoundTripper { return rt }).Run(t.Context(), hop("x", ""))
+	_, _, err := NewHTTPTarget(
+		closed.URL,
+		2,
+		func(rt http.RoundTripper) http.RoundTripper { return rt },
+	).Run(t.Context(), hop("x", ""))
 	var notSent *NotSentError
 	if !errors.As(err, &notSent) {
 		t.Errorf("a target that does not listen: %v, want not sent", err)
