--- a/sessions/agent/agent.go
+++ b/sessions/agent/agent.go
@@ -125,9 +125,9 @@
 // leavePoll is how often Leave checks whether all gangs have left the worker.
 const leavePoll = 50 * time.Millisecond
 
-// Leave drains the agent for a planned stop. The agent takes no new work, and Leave returns when all
-// requests in flight have been answered and no gang is left on the worker. Its error means that ctx
-// ended first.
+// Leave drains the agent for a planned stop. The agent takes no new work, and Leave returns
+// when all requests in flight have been answered and no gang is left on the worker. Its error
+// means that ctx ended first.
 func (a *Agent) Leave(ctx context.Context) error {
 	a.leaving.Store(true)
 	a.admission.Leave()
--- a/sessions/agent/control.go
+++ b/sessions/agent/control.go
@@ -105,8 +105,8 @@
 	return m
 }
 
-// leader returns the leader of the gang if this worker leads it, or nil. It tells the leader when the
-// gang runs.
+// leader returns the leader of the gang if this worker leads it, or nil. It tells the leader
+// when the gang runs.
 func (a *Agent) leader(ctx context.Context, wg *conc.WaitGroup, old *gangs, as membership.Assignment) *gang.Leader {
 	if len(as.Members) == 0 || as.Members[0].Worker != a.settings.Worker.Name || as.Token < a.joined.Load() {
 		return nil
@@ -142,7 +142,8 @@
 func (a *Agent) notifyControl() { signal(a.wakeControl) }
 func (a *Agent) notifyPoll()    { signal(a.wakePoll) }
 
-// signal wakes the receiver of a channel of capacity 1. Signals that are not yet received are merged.
+// signal wakes the receiver of a channel of capacity 1. Signals that are not yet received are
+// merged.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/sessions/agent/entries_test.go
+++ b/sessions/agent/entries_test.go
@@ -12,8 +12,8 @@
 	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
-// TestEntriesOfSettingsStayKnown gives an agent a view from an entry that took the other one for dead. If that entry is
-// lost next, the agent must still know the other.
+// TestEntriesOfSettingsStayKnown gives an agent a view from an entry that took the other one
+// for dead. If that entry is lost next, the agent must still know the other.
 func TestEntriesOfSettingsStayKnown(t *testing.T) {
 	l := newEntryList(ledger.Worker{Name: "worker-1", Zone: "z"}, []string{"http://a", "http://b"})
 	l.set([]membership.EntryInfo{{Name: "b", Zone: "z", Address: "http://b"}, {Name: "c", Zone: "z", Address: "http://c"}})
@@ -28,9 +28,9 @@
 
 var errSilent = fault.New("agent.poll", "", context.DeadlineExceeded)
 
-// TestChooseEntry freezes an agent's entry. The other entry answers with a view that leaves the frozen one out, which
-// changes the order; the agent must not go back to the frozen one because of that. Each such visit costs 6 s, and two of
-// them are longer than a gang may prepare.
+// TestChooseEntry freezes an agent's entry. The other entry answers with a view that leaves the
+// frozen one out, which changes the order; the agent must not go back to the frozen one because
+// of that. Each such visit costs 6 s, and two of them are longer than a gang may prepare.
 func TestChooseEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := membership.EntryInfo{Name: "a", Zone: "z", Address: "http://a"}
--- a/sessions/agent/fuzz_test.go
+++ b/sessions/agent/fuzz_test.go
@@ -46,8 +46,8 @@
 	})
 }
 
-// FuzzHandler sends any body to the agent's routes. It must neither panic nor hang, and a request that can be read gets
-// one outcome.
+// FuzzHandler sends any body to the agent's routes. It must neither panic nor hang, and a
+// request that can be read gets one outcome.
 func FuzzHandler(f *testing.F) {
 	f.Add("/internal/requests", `{"id":"1","team":"a","left_ms":50,"body":"x"}`)
 	f.Add("/internal/requests", `{"id":"1","team":"a","left_ms":50,"body":"x","key":"w0~one~0000"}`)
@@ -73,7 +73,8 @@
 	})
 }
 
-// FuzzView gives an agent any view that an entry might send. It must not panic, and its configuration must not go back.
+// FuzzView gives an agent any view that an entry might send. It must not panic, and its
+// configuration must not go back.
 func FuzzView(f *testing.F) {
 	f.Add(`{"revision":3,"config_revision":2,"config":[{"key":"limits","revision":2,"value":{"queue_length":4}}]}`)
 	f.Add(`{"revision":9,"assignments":[{"token":9,"session":"s","phase":"running","accelerators":[0,1],"members":[{"worker":"w0","address":"http://w0"}]}],"entries":[{"name":"e","address":"http://e"}]}`)
--- a/sessions/agent/poll.go
+++ b/sessions/agent/poll.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// handleResult resets the back-off after a success. After a failure it records that the entry failed
-// and pauses.
+// handleResult resets the back-off after a success. After a failure it records that the entry
+// failed and pauses.
 func (p *poller) handleResult(ctx context.Context, err error) {
 	if err == nil {
 		p.backoff = 0
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// pollOnce sends one poll. It returns when the poll is answered, or when the agent has something new
-// to report and abandons the poll.
+// pollOnce sends one poll. It returns when the poll is answered, or when the agent has
+// something new to report and abandons the poll.
 func (p *poller) pollOnce(ctx context.Context) error {
 	a := p.agent
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
--- a/sessions/entry/avoidance.go
+++ b/sessions/entry/avoidance.go
@@ -10,8 +10,8 @@
 
 // How long and how many agents are avoided.
 const (
-	// suspectFor is how long an agent gets no new work after a failure. It doubles with each further
-	// failure in a row.
+	// suspectFor is how long an agent gets no new work after a failure. It doubles with each
+	// further failure in a row.
 	suspectFor = time.Second
 	// maxDoublings limits this to 8 s, about the time in which an agent is replaced.
 	maxDoublings = 3
@@ -99,8 +99,8 @@
 	delete(a.suspects, agent)
 }
 
-// usable reports whether an agent may get new work of a team, and whether it is a suspect. After its
-// suspicion has ended, an agent gets one request at a time until one succeeds.
+// usable reports whether an agent may get new work of a team, and whether it is a suspect.
+// After its suspicion has ended, an agent gets one request at a time until one succeeds.
 func (a *avoidance) usable(agent incarnation, team string, inflight int) (ok, suspect bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -112,7 +112,8 @@
 	return true, found && (now.Before(s.until) || inflight > 0)
 }
 
-// mark extends the mark of key to until. It removes expired marks when there are more than maxMarks.
+// mark extends the mark of key to until. It removes expired marks when there are more than
+// maxMarks.
 func mark[K comparable](marks map[K]time.Time, key K, until time.Time) {
 	if until.After(marks[key]) {
 		marks[key] = until
--- a/sessions/entry/avoidance_test.go
+++ b/sessions/entry/avoidance_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// TestAvoidance walks an agent whose target has become slow through its failures. It gets no new work for a time that
-// doubles, then one request at a time, and all again once that is answered.
+// TestAvoidance walks an agent whose target has become slow through its failures. It gets no
+// new work for a time that doubles, then one request at a time, and all again once that is
+// answered.
 func TestAvoidance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, agent := newAvoidance(), incarnation{worker: "w", id: "one"}
--- a/sessions/entry/control.go
+++ b/sessions/entry/control.go
@@ -13,9 +13,9 @@
 const (
 	// controlPeriod is how often pending proposals and preparing gangs are checked.
 	controlPeriod = 200 * time.Millisecond
-	// The next decision starts no sooner than decidePauseFactor times the duration of the last one
-	// after its start. In a burst of sessions decisions are slow and the state changes all the time;
-	// without the pause the goroutine would do nothing else.
+	// The next decision starts no sooner than decidePauseFactor times the duration of the last
+	// one after its start. In a burst of sessions decisions are slow and the state changes all
+	// the time; without the pause the goroutine would do nothing else.
 	decidePauseFactor = 10
 	// stagger is how long an entry waits for each entry of a lower rank before it makes a shared
 	// proposal.
@@ -29,8 +29,8 @@
 	decidePeriod = 5 * time.Second
 )
 
-// control is the state of the control goroutine, which takes in changes of the ledger and reports of
-// agents, and makes proposals.
+// control is the state of the control goroutine, which takes in changes of the ledger and
+// reports of agents, and makes proposals.
 type control struct {
 	entry *Entry
 	// gone has the workers that the platform has declared gone.
@@ -50,8 +50,8 @@
 	decided        []proposal
 	decidedAt      time.Time
 	decideDuration time.Duration
-	// deferred means that the last decision is out of date, but the pause before the next one is not
-	// over.
+	// deferred means that the last decision is out of date, but the pause before the next one
+	// is not over.
 	deferred        bool
 	decidedRevision int64
 }
@@ -243,8 +243,8 @@
 	}
 }
 
-// propose appends a record in a goroutine of its own, because the control goroutine must not wait for
-// I/O. The outcome arrives in results.
+// propose appends a record in a goroutine of its own, because the control goroutine must not
+// wait for I/O. The outcome arrives in results.
 func (c *control) propose(ctx context.Context, p proposal) {
 	c.pausedUntil[p.key] = time.Time{}
 	go func() {
--- a/sessions/entry/control_test.go
+++ b/sessions/entry/control_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// TestPreferredProposesAtOnce wants the preferred entry to propose what it has just seen in the same pass, and the next in
-// order to wait its time. On the real clock time passes between two readings: a reading taken before the want was noted
-// made each shared want wait for the next pass, 200 ms later.
+// TestPreferredProposesAtOnce wants the preferred entry to propose what it has just seen in the
+// same pass, and the next in order to wait its time. On the real clock time passes between two
+// readings: a reading taken before the proposal was noted made each shared one wait for the next
+// pass, 200 ms later.
 func TestPreferredProposesAtOnce(t *testing.T) {
 	for range 1000 {
 		c := newControl(nil)
--- a/sessions/entry/entry.go
+++ b/sessions/entry/entry.go
@@ -202,8 +202,8 @@
 	}
 }
 
-// Leave fails the readiness check, so that load balancers send no new requests, and sends the agents
-// to other entries. Requests are still served.
+// Leave fails the readiness check, so that load balancers send no new requests, and sends the
+// agents to other entries. Requests are still served.
 func (e *Entry) Leave() { e.leave() }
 
 func (e *Entry) isLeaving() bool { return e.staying.Err() != nil }
--- a/sessions/entry/fuzz_test.go
+++ b/sessions/entry/fuzz_test.go
@@ -18,8 +18,8 @@
 	"yarrowgrade.example/yarrowgrade/sessions/ledger"
 )
 
-// FuzzHandler sends any body to any route of a running entry. It must neither panic nor hang, and whatever it refuses it
-// must explain: a 400 names a field, a 503 says when to come back.
+// FuzzHandler sends any body to any route of a running entry. It must neither panic nor hang,
+// and whatever it refuses it must explain: a 400 names a field, a 503 says when to come back.
 func FuzzHandler(f *testing.F) {
 	for _, seed := range []struct{ method, path, body string }{
 		{"POST", "/v1/requests", `{"service":"s","team":"a","deadline_ms":5,"body":"x"}`},
--- a/sessions/entry/operators.go
+++ b/sessions/entry/operators.go
@@ -207,8 +207,8 @@
 // configKey returns the key in the path. Keys may contain a slash.
 func configKey(ps httprouter.Params) string { return strings.TrimPrefix(ps.ByName("key"), "/") }
 
-// servePut changes one entry of the configuration. A change that is not based on the current revision
-// of the entry is rejected.
+// servePut changes one entry of the configuration. A change that is not based on the current
+// revision of the entry is rejected.
 func (e *Entry) servePut(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
 	var in ConfigPut
 	if err := jsonhttp.Read(w, r, &in); err != nil {
--- a/sessions/entry/peers.go
+++ b/sessions/entry/peers.go
@@ -145,8 +145,8 @@
 	return 0
 }
 
-// NewerState implements ledger.PeerStates. It asks the live peers in turn or, if there are none, all
-// known ones.
+// NewerState implements ledger.PeerStates. It asks the live peers in turn or, if there are
+// none, all known ones.
 func (ps *peers) NewerState(ctx context.Context, revision int64) (ledger.State, bool) {
 	addresses := ps.addresses()
 	if alive := ps.alive(); len(alive) > 0 {
--- a/sessions/entry/peers_test.go
+++ b/sessions/entry/peers_test.go
@@ -22,8 +22,9 @@
 	return nil, ctx.Err()
 }
 
-// TestPingWithoutPlatform cuts an entry off the platform without a word. It must not take its peer for dead because of
-// that: it would then neither ask it for its state nor send agents to it.
+// TestPingWithoutPlatform cuts an entry off the platform without a word. It must not take its
+// peer for dead because of that: it would then neither ask it for its state nor send agents to
+// it.
 func TestPingWithoutPlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := memnet.New()
--- a/sessions/entry/polls.go
+++ b/sessions/entry/polls.go
@@ -97,8 +97,9 @@
 	return &jsonhttp.StatusError{Status: http.StatusConflict, Message: "another incarnation has replaced this one"}
 }
 
-// awaitView waits up to membership.PollWait for a view that is newer than the revisions in the poll.
-// If there is none, or the agent is replaced in the meantime, it returns a view with nothing new.
+// awaitView waits up to membership.PollWait for a view that is newer than the revisions in the
+// poll. If there is none, or the agent is replaced in the meantime, it returns a view with
+// nothing new.
 func (e *Entry) awaitView(ctx context.Context, in membership.PollRequest) membership.View {
 	ctx, cancel := context.WithTimeout(ctx, membership.PollWait)
 	defer cancel()
@@ -115,8 +116,9 @@
 	return membership.NewView(state, worker, in.ConfigRevision, e.entries())
 }
 
-// entries returns the entries that an agent should poll: all live ones, including this one unless it
-// is leaving. If this entry cannot reach the log and others can, it returns only those.
+// entries returns the entries that an agent should poll: all live ones, including this one
+// unless it is leaving. If this entry cannot reach the log and others can, it returns only
+// those.
 func (e *Entry) entries() []membership.EntryInfo {
 	if e.isLeaving() {
 		return e.peers.alive()
@@ -169,8 +171,8 @@
 	jsonhttp.Write(w, http.StatusOK, struct{}{})
 }
 
-// serveState returns the whole state to a peer that cannot read the log, or status 204 if the peer's
-// state is as new.
+// serveState returns the whole state to a peer that cannot read the log, or status 204 if the
+// peer's state is as new.
 func (e *Entry) serveState(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	newerThan, err := queryNumber(r, "newer_than")
 	if err != nil {
--- a/sessions/entry/polls_test.go
+++ b/sessions/entry/polls_test.go
@@ -13,8 +13,9 @@
 	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
-// TestStepBack cuts an entry off the log while its peer is not. The polls that it holds end at once with the peer's name,
-// so that what agents report is recorded. Later ones are held as usual: their agents reach no other entry.
+// TestStepBack cuts an entry off the log while its peer is not. The polls that it holds end at
+// once with the peer's name, so that what agents report is recorded. Later ones are held as
+// usual: their agents reach no other entry.
 func TestStepBack(t *testing.T) {
 	peerInfo := membership.EntryInfo{Name: "b", Zone: "z", Address: "http://b"}
 	tests := []struct {
--- a/sessions/entry/proposals.go
+++ b/sessions/entry/proposals.go
@@ -163,8 +163,8 @@
 	return proposals
 }
 
-// decisions returns the starts and reclaims that package placement decides on. It returns none while
-// earlier ones are being proposed, because the state does not show those yet.
+// decisions returns the starts and reclaims that package placement decides on. It returns none
+// while earlier ones are being proposed, because the state does not show those yet.
 func (c *control) decisions(state ledger.State) []proposal {
 	for key, until := range c.pausedUntil {
 		if until.IsZero() && (strings.HasPrefix(key, "place/") || strings.HasPrefix(key, "reclaim/")) {
--- a/sessions/entry/router.go
+++ b/sessions/entry/router.go
@@ -190,7 +190,8 @@
 	return last
 }
 
-// attempted returns the outcome of an attempt that did not end as Done, and whether it may have run.
+// attempted returns the outcome of an attempt that did not end as Done, and whether it may have
+// run.
 func attempted(id string, answer request.Answer, err error) (request.Answer, bool) {
 	switch {
 	case err == nil:
@@ -229,8 +230,8 @@
 	return answer, err
 }
 
-// recordOutcome tells avoidance how an attempt ended. An Unknown outcome counts as a failure, because
-// a slow target is otherwise noticed by nothing but requests that time out.
+// recordOutcome tells avoidance how an attempt ended. An Unknown outcome counts as a failure,
+// because a slow target is otherwise noticed by nothing but requests that time out.
 func (r *router) recordOutcome(w ledger.Worker, team string, answer request.Answer, err error) {
 	agent := incarnationOf(w)
 	switch {
--- a/sessions/entry/router_test.go
+++ b/sessions/entry/router_test.go
@@ -29,7 +29,8 @@
 
 func reset(request.Hop) (request.Answer, error) { return request.Answer{}, http.ErrAbortHandler }
 
-// newRoutedEntry has one worker for each agent, in order; a nil agent listens nowhere. Requests go to them in order too.
+// newRoutedEntry has one worker for each agent, in order; a nil agent listens nowhere. Requests
+// go to them in order too.
 func newRoutedEntry(t *testing.T, agents ...agentFunc) (e *Entry, called func() []int) {
 	t.Helper()
 	e = New(Settings{Name: "e"}, Parts{
@@ -146,8 +147,8 @@
 	}
 }
 
-// TestSlowTarget has a target that does not answer in time. After the first request that it costs, the others go
-// elsewhere; where all are like that, they still get what comes.
+// TestSlowTarget has a target that does not answer in time. After the first request that it
+// costs, the others go elsewhere; where all are like that, they still get what comes.
 func TestSlowTarget(t *testing.T) {
 	late := func(hop request.Hop) (request.Answer, error) {
 		return request.Uncertain(hop.ID, "no answer in time", 0), nil
@@ -169,7 +170,8 @@
 	}
 }
 
-// TestLeavingAgent has an agent that answers that it leaves. It gets no further request from this entry.
+// TestLeavingAgent has an agent that answers that it leaves. It gets no further request from
+// this entry.
 func TestLeavingAgent(t *testing.T) {
 	leaving := func(hop request.Hop) (request.Answer, error) {
 		return request.Answer{ID: hop.ID, Outcome: request.NotRun, Leaving: true}, nil
@@ -183,7 +185,8 @@
 	}
 }
 
-// TestRegion has an agent in the entry's region and one in another. The far one gets what the near one does not take.
+// TestRegion has an agent in the entry's region and one in another. The far one gets what the
+// near one does not take.
 func TestRegion(t *testing.T) {
 	for _, tt := range []struct {
 		near agentFunc
@@ -208,7 +211,8 @@
 	}
 }
 
-// TestRetryBudget sends many requests to agents that all refuse. Retries stay a share of the requests.
+// TestRetryBudget sends many requests to agents that all refuse. Retries stay a share of the
+// requests.
 func TestRetryBudget(t *testing.T) {
 	// No time to come back is named, so that the agents are not left alone in between.
 	refuseNow := func(hop request.Hop) (request.Answer, error) { return request.Refusal(hop.ID, "full", 0), nil }
--- a/sessions/gang/gang_test.go
+++ b/sessions/gang/gang_test.go
@@ -206,7 +206,8 @@
 	})
 }
 
-// TestMemberIsLost loses a member in every way. The rest stops within the bound, and nothing runs after.
+// TestMemberIsLost loses a member in every way. The rest stops within the bound, and nothing
+// runs after.
 func TestMemberIsLost(t *testing.T) {
 	tests := []struct {
 		name string
@@ -260,8 +261,9 @@
 	}
 }
 
-// TestGrantsNeverArrive loses all answers to one member from the start, while its beats arrive. The leader hears it well and
-// ready all the time; the others must not run without it for longer than the bound.
+// TestGrantsNeverArrive loses all answers to one member from the start, while its beats arrive.
+// The leader hears it well and ready all the time; the others must not run without it for
+// longer than the bound.
 func TestGrantsNeverArrive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
@@ -304,7 +306,8 @@
 	})
 }
 
-// TestLateStart delivers a start after the token was stopped, as a network may. The worker refuses it.
+// TestLateStart delivers a start after the token was stopped, as a network may. The worker
+// refuses it.
 func TestLateStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := standin.New()
@@ -329,8 +332,8 @@
 	})
 }
 
-// TestCheckpoints lets a gang run for a while. The leader knows of the work that all members have saved, and a slow
-// checkpoint holds no beat up.
+// TestCheckpoints lets a gang run for a while. The leader knows of the work that all members
+// have saved, and a slow checkpoint delays no heartbeat.
 func TestCheckpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
--- a/sessions/gang/member.go
+++ b/sessions/gang/member.go
@@ -226,8 +226,8 @@
 	return grant, sent, err
 }
 
-// startOrRenew starts or renews the task and reports whether the member goes on. It checks the lease
-// again, because the process may have been paused since the grant arrived.
+// startOrRenew starts or renews the task and reports whether the member goes on. It checks the
+// lease again, because the process may have been paused since the grant arrived.
 func (m *Member) startOrRenew(ctx context.Context, expires time.Time) bool {
 	left := time.Until(expires)
 	if left <= 0 {
--- a/sessions/hosting/platform.go
+++ b/sessions/hosting/platform.go
@@ -144,8 +144,8 @@
 	StopTask(ctx context.Context, worker string, token int64) error
 	// Tasks returns the tasks that the worker knows.
 	Tasks(ctx context.Context, worker string) ([]Task, error)
-	// GoneWorkers returns the workers that the platform has declared gone for good. Their tasks have
-	// ended.
+	// GoneWorkers returns the workers that the platform has declared gone for good. Their tasks
+	// have ended.
 	GoneWorkers(ctx context.Context) ([]string, error)
 }
 
--- a/sessions/ledger/bench_test.go
+++ b/sessions/ledger/bench_test.go
@@ -8,8 +8,8 @@
 	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
-// designHistory is a state of the size to design for: 1,400 workers, 170 teams, 700 running and 50 waiting sessions, and
-// a full memory of ids.
+// designHistory is a state of the size to design for: 1,400 workers, 170 teams, 700 running and
+// 50 waiting sessions, and a full memory of ids.
 func designHistory(t testing.TB, workers int) *history {
 	h := &history{t: t, state: NewState()}
 	for i := range workers {
@@ -36,7 +36,8 @@
 	return h
 }
 
-// BenchmarkState shows the size of a state, and the cost of a record and of a snapshot, against the number of workers.
+// BenchmarkState shows the size of a state, and the cost of a record and of a snapshot, against
+// the number of workers.
 func BenchmarkState(b *testing.B) {
 	for _, workers := range []int{14, 140, 1400} {
 		var before, after runtime.MemStats
--- a/sessions/ledger/follower.go
+++ b/sessions/ledger/follower.go
@@ -45,8 +45,8 @@
 	Err error
 }
 
-// Follower reads the log for a replica. If records are missing, it gets a whole state from the newest
-// snapshot or from a peer.
+// Follower reads the log for a replica. If records are missing, it gets a whole state from the
+// newest snapshot or from a peer.
 type Follower struct {
 	log   hosting.Log
 	peers PeerStates
@@ -107,8 +107,8 @@
 	send(ctx, out, Update{State: &s, FromPeer: fromPeer})
 }
 
-// recover handles a failed read. If the records have expired, it loads a snapshot. In any case it asks
-// the peers for a newer state.
+// recover handles a failed read. If the records have expired, it loads a snapshot. In any case
+// it asks the peers for a newer state.
 func (f *Follower) recover(ctx context.Context, out chan<- Update, err error) {
 	send(ctx, out, Update{Err: err})
 	if errors.Is(err, hosting.ErrExpired) {
--- a/sessions/ledger/golden_test.go
+++ b/sessions/ledger/golden_test.go
@@ -179,7 +179,8 @@
 	if got := plainState(t, s); !bytes.Equal(got, goldentest.Read(t, "state.json")) {
 		t.Errorf("the state is stored as %s", got)
 	}
-	// A compressor may write other bytes in another version of the runtime, so the file is only read.
+	// A compressor may write other bytes in another version of the runtime, so the file is only
+	// read.
 	const file = "state.gz"
 	decoded, err := DecodeState(goldentest.Read(t, file))
 	if err != nil {
@@ -212,7 +213,8 @@
 	goldentest.JSON(t, "chunk", chunk{Writer: "entry-1", Revision: 20, Index: 1, Total: 2, Data: []byte("part")})
 }
 
-// TestGoldenHistory folds a history that an earlier version wrote, and compares the verdicts and the state.
+// TestGoldenHistory folds a history that an earlier version wrote, and compares the verdicts
+// and the state.
 func TestGoldenHistory(t *testing.T) {
 	goldentest.Bytes(t, "history.jsonl", goldenHistory(t))
 	var verdicts bytes.Buffer
@@ -226,7 +228,8 @@
 	goldentest.Bytes(t, "history-state.json", withoutReasons(t, plainState(t, s)))
 }
 
-// withoutReasons is a stored state without the texts that say why records were rejected. Those are for people.
+// withoutReasons is a stored state without the texts that say why records were rejected. Those
+// are for people.
 func withoutReasons(t *testing.T, plain []byte) []byte {
 	t.Helper()
 	var form storedState
@@ -243,7 +246,8 @@
 	return append(data, '\n')
 }
 
-// goldenHistory has a record a line: two sessions of one team come, are placed, run, are stopped and end.
+// goldenHistory has a record a line: two sessions of one team come, are placed, run, are
+// stopped and end.
 func goldenHistory(t *testing.T) []byte {
 	t.Helper()
 	second := goldenSpec
--- a/sessions/ledger/placing.go
+++ b/sessions/ledger/placing.go
@@ -51,8 +51,8 @@
 	return next, nil
 }
 
-// shapeToMeet returns the shape that the members must have: the session's or, if the placement is not
-// borrowed, that of the guarantee that it uses.
+// shapeToMeet returns the shape that the members must have: the session's or, if the placement
+// is not borrowed, that of the guarantee that it uses.
 func (s State) shapeToMeet(session Session, borrowed bool) (placement.Shape, error) {
 	if borrowed {
 		return session.Shape, nil
@@ -67,8 +67,8 @@
 	return entitlements[i].Shape, nil
 }
 
-// checkMembers checks that the members have the shape, and that their accelerators are free and their
-// workers not leaving.
+// checkMembers checks that the members have the shape, and that their accelerators are free and
+// their workers not leaving.
 func (s State) checkMembers(shape placement.Shape, members []placement.Member) error {
 	count := 0
 	regions, zones, racks, names := map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}
@@ -123,8 +123,8 @@
 }
 
 // checkGuarantees checks that a placement that uses a guarantee does not increase the number of
-// guarantees that cannot be met. There may be some before it, for example after the loss of workers.
-// Borrowed placements need no check, because they can be reclaimed.
+// guarantees that cannot be met. There may be some before it, for example after the loss of
+// workers. Borrowed placements need no check, because they can be reclaimed.
 func (s State) checkGuarantees(next State) error {
 	if short := next.Shortfall(); len(short) > len(s.Shortfall()) {
 		return fault.BadField("members", "team %q could not have its guarantee of %d accelerators back",
@@ -272,8 +272,8 @@
 	return s, nil
 }
 
-// release frees the accelerators of one member and stops the rest of the gang. After the last release
-// the session waits again unless it has ended.
+// release frees the accelerators of one member and stops the rest of the gang. After the last
+// release the session waits again unless it has ended.
 func (s State) release(offset, at int64, r Release) (State, error) {
 	p, found := s.placements.Get(r.Token)
 	if !found {
@@ -313,8 +313,8 @@
 	return p
 }
 
-// backToWaiting makes the session of an ended placement wait again. It will continue from the newest
-// checkpoint that all members have.
+// backToWaiting makes the session of an ended placement wait again. It will continue from the
+// newest checkpoint that all members have.
 func (s State) backToWaiting(at int64, p Placement) State {
 	session, found := s.sessions.Get(p.Session)
 	if !found || session.Token != p.Token {
--- a/sessions/ledger/proposer.go
+++ b/sessions/ledger/proposer.go
@@ -37,9 +37,9 @@
 	return &Proposer{log: log, replica: replica, newID: uuid.NewString}
 }
 
-// Propose appends the record and returns its verdict once the replica has applied it. If ctx ends
-// first, Propose voids the record, so that the verdict is certain as long as the log answers. If the
-// log does not answer, the error wraps ErrUnsettled.
+// Propose appends the record and returns its verdict once the replica has applied it. If ctx
+// ends first, Propose voids the record, so that the verdict is certain as long as the log
+// answers. If the log does not answer, the error wraps ErrUnsettled.
 func (p *Proposer) Propose(ctx context.Context, r Record) (Verdict, error) {
 	r = p.fill(r)
 	data, err := r.Encode()
@@ -88,8 +88,8 @@
 	return s.Verdict(id)
 }
 
-// withdraw appends a Void for a record that may or may not be in the log. Whichever of the two comes
-// first counts.
+// withdraw appends a Void for a record that may or may not be in the log. Whichever of the two
+// comes first counts.
 func (p *Proposer) withdraw(ctx context.Context, id string) (Verdict, error) {
 	ctx, cancel := context.WithTimeout(ctx, withdrawWait)
 	defer cancel()
--- a/sessions/ledger/proposer_test.go
+++ b/sessions/ledger/proposer_test.go
@@ -40,8 +40,9 @@
 	return r
 }
 
-// TestProposerUnderFaults proposes through a log that loses answers, is slow, and is down. What is answered as accepted
-// is there exactly once; what is given up has no effect, also when the log comes back.
+// TestProposerUnderFaults proposes through a log that loses answers, is slow, and is down. What
+// is answered as accepted is there exactly once; what is given up has no effect, also when the
+// log comes back.
 func TestProposerUnderFaults(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -87,8 +88,8 @@
 	}
 }
 
-// TestRaces lets 8 proposers change one entry of the configuration from the same revision. Exactly one wins, and all
-// are told the truth.
+// TestRaces lets 8 proposers change one entry of the configuration from the same revision.
+// Exactly one wins, and all are told the truth.
 func TestRaces(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
@@ -126,8 +127,9 @@
 	})
 }
 
-// TestSlowReader lets records expire under a reader that could not read. It loads the snapshot, never skips a record,
-// and ends at the state of the one that read all along. Revisions only grow.
+// TestSlowReader lets records expire under a reader that could not read. It loads the snapshot,
+// never skips a record, and ends at the state of the one that read all along. Revisions only
+// grow.
 func TestSlowReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
@@ -175,8 +177,9 @@
 	})
 }
 
-// TestSilentLog cuts a reader off the log without a word: its reads get no answer at all, as over a link that is cut. It
-// has to take a peer's state within the 7 s of a configuration, and to read on when the link is whole again.
+// TestSilentLog cuts a reader off the log without a word: its reads get no answer at all, as
+// over a link that is cut. It has to take a peer's state within the 7 s of a configuration, and
+// to read on when the link is whole again.
 func TestSilentLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
--- a/sessions/ledger/record.go
+++ b/sessions/ledger/record.go
@@ -7,8 +7,8 @@
 //
 // # State
 //
-// The package owns the streams hosting.LedgerStream and hosting.SnapshotStream of the log. A process
-// that starts reads the newest snapshot and the records after it.
+// The package owns the streams hosting.LedgerStream and hosting.SnapshotStream of the log. A
+// process that starts reads the newest snapshot and the records after it.
 //
 // # Dependencies
 //
@@ -24,11 +24,11 @@
 //
 // # Retries
 //
-// An append whose answer was lost is retried. Every record has an ID and the revision on which it is
-// based. A second record with the same ID has no effect. State remembers the newest seenLimit IDs
-// and rejects records whose base is older than the oldest of them, so that a delayed record cannot
-// take effect twice. To give up, a proposer appends a Void with the ID; whichever of the two comes
-// first counts.
+// An append whose answer was lost is retried. Every record has an ID and the revision on which
+// it is based. A second record with the same ID has no effect. State remembers the newest
+// seenLimit IDs and rejects records whose base is older than the oldest of them, so that a
+// delayed record cannot take effect twice. To give up, a proposer appends a Void with the ID;
+// whichever of the two comes first counts.
 package ledger
 
 import (
@@ -45,8 +45,8 @@
 	ID string `json:"id"`
 	// Base is the revision of the state on which the proposal is based.
 	Base int64 `json:"base"`
-	// At is the proposer's clock in ms since 1970. It is used for waiting times and shown to people,
-	// but never used for ordering.
+	// At is the proposer's clock in ms since 1970. It is used for waiting times and shown to
+	// people, but never used for ordering.
 	At int64 `json:"at"`
 
 	Void       *Void          `json:"void,omitempty"`
@@ -102,8 +102,8 @@
 	Session string `json:"session"`
 }
 
-// Place assigns accelerators to a waiting session, all or none. The offset of the record becomes the
-// token of the placement.
+// Place assigns accelerators to a waiting session, all or none. The offset of the record
+// becomes the token of the placement.
 type Place struct {
 	Session  string             `json:"session"`
 	Members  []placement.Member `json:"members"`
--- a/sessions/ledger/replica.go
+++ b/sessions/ledger/replica.go
@@ -56,8 +56,8 @@
 	return r.state, c
 }
 
-// Apply applies records and returns their verdicts. It skips records that the state already includes
-// and stops at a gap, so the state neither misses a record nor goes back.
+// Apply applies records and returns their verdicts. It skips records that the state already
+// includes and stops at a gap, so the state neither misses a record nor goes back.
 func (r *Replica) Apply(records []hosting.Record) []Verdict {
 	state := r.State()
 	var verdicts []Verdict
@@ -108,8 +108,8 @@
 	}
 }
 
-// Wait returns the first state that satisfies ok. If ctx ends first, it returns the newest state and
-// the error of ctx.
+// Wait returns the first state that satisfies ok. If ctx ends first, it returns the newest
+// state and the error of ctx.
 func (r *Replica) Wait(ctx context.Context, ok func(State) bool) (State, error) {
 	return wait(ctx, r.Watch, ok)
 }
--- a/sessions/ledger/session.go
+++ b/sessions/ledger/session.go
@@ -8,7 +8,8 @@
 	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
-// namePattern matches valid names of sessions, teams and workers, which occur in URL paths and logs.
+// namePattern matches valid names of sessions, teams and workers, which occur in URL paths and
+// logs.
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
 // maxWork is the longest run time of a session.
@@ -52,8 +53,8 @@
 // SessionPhase is the phase of a session.
 type SessionPhase string
 
-// The phases of a session. It alternates between waiting and placed until a record finishes or cancels
-// it.
+// The phases of a session. It alternates between waiting and placed until a record finishes or
+// cancels it.
 const (
 	SessionWaiting   SessionPhase = "waiting"
 	SessionPlaced    SessionPhase = "placed"
@@ -76,7 +77,8 @@
 	Created int64 `json:"created"`
 	// Restarts is the number of placements that ended before the work was done.
 	Restarts int `json:"restarts"`
-	// Trace is the W3C traceparent of the call that created the session; empty if it was not traced.
+	// Trace is the W3C traceparent of the call that created the session; empty if it was not
+	// traced.
 	Trace string `json:"trace,omitempty"`
 }
 
--- a/sessions/ledger/snapshot.go
+++ b/sessions/ledger/snapshot.go
@@ -19,8 +19,8 @@
 // chunkBytes is the size of one record of a snapshot. A compressed state of 1 MB takes 16 appends.
 const chunkBytes = 64 << 10
 
-// maxStateBytes is the maximum size of a decoded state, so that a corrupt snapshot can't exhaust the
-// memory.
+// maxStateBytes is the maximum size of a decoded state, so that a corrupt snapshot can't
+// exhaust the memory.
 const maxStateBytes = 64 << 20
 
 // storedState is the stored form of a State.
--- a/sessions/ledger/state.go
+++ b/sessions/ledger/state.go
@@ -90,9 +90,9 @@
 	return next.withSeen(r.ID, verdict), verdict
 }
 
-// void rejects the record with an ID that has not been seen, so that it counts as a duplicate when it
-// comes later. The ID of the void record itself is not remembered, because applying it twice does no
-// harm.
+// void rejects the record with an ID that has not been seen, so that it counts as a duplicate
+// when it comes later. The ID of the void record itself is not remembered, because applying it
+// twice does no harm.
 func (s State) void(offset int64, r Record) (State, Verdict) {
 	if _, found := s.seen.Get(r.Void.ID); !found {
 		rejected := Verdict{Offset: offset, ID: r.Void.ID, Status: Rejected, Reason: "given up by its proposer"}
@@ -205,8 +205,8 @@
 	return s
 }
 
-// Touched returns the workers for which the last record changed something, possibly with duplicates.
-// A change of the configuration concerns all workers and touches none.
+// Touched returns the workers for which the last record changed something, possibly with
+// duplicates. A change of the configuration concerns all workers and touches none.
 func (s State) Touched() []string { return s.touched }
 
 func (w Worker) held() bool {
@@ -342,8 +342,8 @@
 	return list
 }
 
-// Age returns the time from a proposer's clock reading, in ms since 1970, to now. It is at least zero,
-// also if the clocks differ.
+// Age returns the time from a proposer's clock reading, in ms since 1970, to now. It is at
+// least zero, also if the clocks differ.
 func Age(since int64, now time.Time) time.Duration {
 	return max(0, now.Sub(time.UnixMilli(since)))
 }
--- a/sessions/ledger/state_test.go
+++ b/sessions/ledger/state_test.go
@@ -72,7 +72,8 @@
 	return placement.Member{Worker: worker, Accelerators: accelerators}
 }
 
-// newHistory has two racks of three workers, a team with a guarantee of one whole worker, and one without.
+// newHistory has two racks of three workers, a team with a guarantee of one whole worker, and
+// one without.
 func newHistory(t testing.TB) *history {
 	h := &history{t: t, state: NewState()}
 	for i := range 6 {
@@ -162,7 +163,8 @@
 	}
 }
 
-// TestLostAnswers appends a record again after its answer was lost, late, and after it was given up.
+// TestLostAnswers appends a record again after its answer was lost, late, and after it was
+// given up.
 func TestLostAnswers(t *testing.T) {
 	h := newHistory(t)
 	r := create("s", "guest", shape(1, placement.AnyPlace))
@@ -220,7 +222,8 @@
 	return reflect.DeepEqual(x, y)
 }
 
-// TestSessionIsKept loses every member of a gang in every way. The session waits again, from its whole checkpoint only.
+// TestSessionIsKept loses every member of a gang in every way. The session waits again, from
+// its whole checkpoint only.
 func TestSessionIsKept(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
@@ -277,9 +280,9 @@
 	}
 }
 
-// TestGuarantees draws placements, held and borrowed, in every order, on a system that is guaranteed to the last
-// accelerator. After each accepted record every unused guarantee must still fit, as a shape, into what is free or
-// borrowed.
+// TestGuarantees draws placements, held and borrowed, in every order, on a system that is
+// guaranteed to the last accelerator. After each accepted record every unused guarantee must
+// still fit, as a shape, into what is free or borrowed.
 func TestGuarantees(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := &history{t: t, state: NewState()}
@@ -363,8 +366,8 @@
 	}
 }
 
-// TestWatchWorker wants who waits for a worker to be woken by records on that worker, by the configuration and by a whole
-// state, and by nothing else.
+// TestWatchWorker wants who waits for a worker to be woken by records on that worker, by the
+// configuration and by a whole state, and by nothing else.
 func TestWatchWorker(t *testing.T) {
 	h := newHistory(t)
 	r := NewReplica()
@@ -414,7 +417,8 @@
 	}
 }
 
-// TestSnapshotRoundTrip draws histories and wants the state from a snapshot to be the same, and to fold on the same.
+// TestSnapshotRoundTrip draws histories and wants the state from a snapshot to be the same, and
+// to fold on the same.
 func TestSnapshotRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := newHistory(t)
--- a/sessions/ledger/worker.go
+++ b/sessions/ledger/worker.go
@@ -32,7 +32,8 @@
 	Leaving bool `json:"leaving,omitempty"`
 	// Joined is the offset of the record by which the incarnation joined. State sets it.
 	Joined int64 `json:"joined,omitempty"`
-	// Holders has the token of the placement on each accelerator; zero if it is free. State sets it.
+	// Holders has the token of the placement on each accelerator; zero if it is free. State
+	// sets it.
 	Holders []int64 `json:"holders,omitempty"`
 	// Revision is the offset of the last record that changed something for this worker. State sets
 	// it.
--- a/sessions/membership/poll.go
+++ b/sessions/membership/poll.go
@@ -76,7 +76,8 @@
 	Members    []Peer        `json:"members"`
 	Work       time.Duration `json:"work_ns"`
 	Checkpoint time.Duration `json:"checkpoint_ns"`
-	// Trace is the W3C traceparent of the call that created the session; empty if it was not traced.
+	// Trace is the W3C traceparent of the call that created the session; empty if it was not
+	// traced.
 	Trace string `json:"trace,omitempty"`
 }
 
--- a/sessions/membership/status.go
+++ b/sessions/membership/status.go
@@ -44,9 +44,9 @@
 	Error string `json:"error,omitempty"`
 }
 
-// EntryOrder sorts entries in a worker's order of preference: those of its zone first, then those of
-// its region, and within these groups by rendezvous hashing, so that agents are spread over the
-// entries.
+// EntryOrder sorts entries in a worker's order of preference: those of its zone first, then
+// those of its region, and within these groups by rendezvous hashing, so that agents are spread
+// over the entries.
 func EntryOrder(worker, region, zone string, entries []EntryInfo) []EntryInfo {
 	distance := func(e EntryInfo) int {
 		switch {
--- a/sessions/placement/bench_test.go
+++ b/sessions/placement/bench_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// benchInput is a system in which three quarters of the accelerators are held, half of that borrowed.
+// benchInput is a system in which three quarters of the accelerators are held, half of that
+// borrowed.
 func benchInput(workers, waiting, teams int) Input {
 	in := Input{Workers: grid(workers, 1)}
 	for i := range in.Workers {
@@ -36,8 +37,8 @@
 	return in
 }
 
-// BenchmarkDecide shows the cost of a decision against workers, waiting sessions and teams. The last row is the size to
-// design for.
+// BenchmarkDecide shows the cost of a decision against workers, waiting sessions and teams. The
+// last row is the size to design for.
 func BenchmarkDecide(b *testing.B) {
 	for _, size := range []struct{ workers, waiting, teams int }{
 		{14, 30, 4}, {140, 30, 17}, {1400, 30, 170}, {1400, 1, 170}, {1400, 100, 170}, {1400, 30, 17}, {1400, 300, 170},
--- a/sessions/placement/capacity.go
+++ b/sessions/placement/capacity.go
@@ -52,11 +52,11 @@
 	}
 }
 
-// Scorer rates the domains in which n accelerators could be placed. The domain with the lowest cost is
-// used, or the first of those.
+// Scorer rates the domains in which n accelerators could be placed. The domain with the lowest
+// cost is used, or the first of those.
 type Scorer interface {
-	// Cost returns the cost of a domain with the given number of free accelerators, which is at least
-	// n.
+	// Cost returns the cost of a domain with the given number of free accelerators, which is at
+	// least n.
 	Cost(free, n int) int
 }
 
@@ -140,9 +140,10 @@
 	return list
 }
 
-// Feasible reports whether all unused guarantees fit into the capacity at the same time. The capacity
-// must count free and borrowed accelerators. The search is greedy, the tightest and largest shapes
-// first: it may return false although a solution exists, but never true if none does.
+// Feasible reports whether all unused guarantees fit into the capacity at the same time. The
+// capacity must count free and borrowed accelerators. The search is greedy, the tightest and
+// largest shapes first: it may return false although a solution exists, but never true if none
+// does.
 func Feasible(c *Capacity, entitlements []Entitlement) bool {
 	return len(Shortfall(c, entitlements)) == 0
 }
--- a/sessions/placement/decide.go
+++ b/sessions/placement/decide.go
@@ -30,8 +30,8 @@
 	ScoreBest  Scoring = "best"
 )
 
-// CompletionProfile favors completion time: short sessions go ahead, and one large gang at a time has
-// a reservation.
+// CompletionProfile favors completion time: short sessions go ahead, and one large gang at a
+// time has a reservation.
 func CompletionProfile() Profile {
 	return Profile{
 		Reservations:    1,
@@ -68,8 +68,9 @@
 	decisions   []Decision
 	// awaiting has the sessions for which placements are stopping.
 	awaiting map[string]bool
-	// noFit has the searches that found no place since the free accelerators last changed. In a full
-	// system most waiting sessions have one of a few shapes, so the same search would be repeated.
+	// noFit has the searches that found no place since the free accelerators last changed. In a
+	// full system most waiting sessions have one of a few shapes, so the same search would be
+	// repeated.
 	noFit map[search]bool
 }
 
@@ -79,8 +80,8 @@
 	reserved uint64
 }
 
-// Decide returns what to do now. It starts sessions on free accelerators, reclaims borrowed ones for
-// guaranteed and urgent sessions, and reserves accelerators for large waiting gangs.
+// Decide returns what to do now. It starts sessions on free accelerators, reclaims borrowed
+// ones for guaranteed and urgent sessions, and reserves accelerators for large waiting gangs.
 func Decide(input Input, profile Profile) []Decision {
 	d := newDecider(input, profile)
 	for _, w := range d.order() {
@@ -132,10 +133,10 @@
 	return found && p.Borrowed
 }
 
-// order sorts the waiting sessions: first those with an unused guarantee, the urgent ones ahead, then
-// other urgent ones, then the rest. Within these classes the order is by priority. Guarantees come
-// before urgency, because urgent sessions of other teams could otherwise take what was just
-// reclaimed for an owner, again and again.
+// order sorts the waiting sessions: first those with an unused guarantee, the urgent ones
+// ahead, then other urgent ones, then the rest. Within these classes the order is by priority.
+// Guarantees come before urgency, because urgent sessions of other teams could otherwise take
+// what was just reclaimed for an owner, again and again.
 func (d *decider) order() []Waiting {
 	list := append([]Waiting(nil), d.input.Waiting...)
 	class := func(w Waiting) int {
@@ -168,8 +169,9 @@
 	return list
 }
 
-// priority returns the waiting time less a malus for the estimated run time. The malus is smaller for
-// gangs that can have a reservation, which would otherwise wait behind all short sessions.
+// priority returns the waiting time less a malus for the estimated run time. The malus is
+// smaller for gangs that can have a reservation, which would otherwise wait behind all short
+// sessions.
 func (d *decider) priority(w Waiting) time.Duration {
 	malus := d.profile.ShortFirst
 	if w.Shape.Accelerators >= d.profile.ReserveFrom {
@@ -178,8 +180,8 @@
 	return w.Waited - time.Duration(w.Estimate.Hours()*float64(malus))
 }
 
-// entitlement returns the index of the loosest unused guarantee of the session's team that covers it,
-// or -1.
+// entitlement returns the index of the loosest unused guarantee of the session's team that
+// covers it, or -1.
 func (d *decider) entitlement(w Waiting) int {
 	return UnusedEntitlement(d.entitlements, w.Team, w.Shape)
 }
@@ -271,8 +273,8 @@
 	d.decisions = append(d.decisions, Decision{Session: w.Session, Members: list, Borrowed: borrowed})
 }
 
-// takenHolder marks accelerators that were assigned in this call of Decide. They are neither free nor
-// reclaimable.
+// takenHolder marks accelerators that were assigned in this call of Decide. They are neither
+// free nor reclaimable.
 const takenHolder = -1
 
 func (d *decider) markTaken(shares []share, list []Member) {
--- a/sessions/placement/explain.go
+++ b/sessions/placement/explain.go
@@ -58,8 +58,9 @@
 	return fmt.Sprintf("Team %s has no unused guarantee for this shape, so it waits for free room.", w.Team)
 }
 
-// mostReclaimable returns the domain large enough for the session with the most free accelerators and,
-// among those, the most borrowed ones. It returns -1 if no domain is large enough.
+// mostReclaimable returns the domain large enough for the session with the most free
+// accelerators and, among those, the most borrowed ones. It returns -1 if no domain is large
+// enough.
 func (d *decider) mostReclaimable(w Waiting) int {
 	found := -1
 	for _, at := range d.topology.domains(w.Shape.Adjacency) {
--- a/sessions/placement/placement.go
+++ b/sessions/placement/placement.go
@@ -158,7 +158,8 @@
 	Entitlements []Entitlement
 }
 
-// Decision starts a session or reclaims placements for it. Exactly one of Members and Victims is set.
+// Decision starts a session or reclaims placements for it. Exactly one of Members and Victims
+// is set.
 type Decision struct {
 	Session string
 	// Members are the accelerators on which the session starts.
--- a/sessions/placement/placement_test.go
+++ b/sessions/placement/placement_test.go
@@ -100,7 +100,8 @@
 			return in
 		}, ""},
 		{"a start under a guarantee leaves room for the other guarantees", func() Input {
-			// Both fit only if the small one goes to the worker that is half used by what does not yield.
+			// Both fit only if the small one goes to the worker that is half used by what does
+			// not yield.
 			in := Input{
 				Workers: grid(2, 8), Waiting: []Waiting{{
 					Session: "s",
@@ -310,8 +311,8 @@
 	return -1
 }
 
-// TestReclaimEnds plays an owner and an urgent session against borrowers that come back at once. Each gets its room
-// after a bounded number of rounds, in its shape.
+// TestReclaimEnds plays an owner and an urgent session against borrowers that come back at
+// once. Each gets its room after a bounded number of rounds, in its shape.
 func TestReclaimEnds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		in := drawInput(rt)
@@ -348,8 +349,8 @@
 	})
 }
 
-// rounds applies decisions round by round. What is taken back waits again; victims of one decision are released one at
-// a time, which is the hard case.
+// rounds applies decisions round by round. What is taken back waits again; victims of one
+// decision are released one at a time, which is the hard case.
 type rounds struct {
 	in    Input
 	token int64
--- a/sessions/placement/reclaim.go
+++ b/sessions/placement/reclaim.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// reclaim decides to stop borrowed placements so that the session fits, in the domain with the lowest
-// cost. It reports false if there is no such domain.
+// reclaim decides to stop borrowed placements so that the session fits, in the domain with the
+// lowest cost. It reports false if there is no such domain.
 func (d *decider) reclaim(w Waiting) bool {
 	var victims []*Running
 	lowest, node := victimCost{}, -1
@@ -91,8 +91,8 @@
 	return c.count < other.count
 }
 
-// victims returns borrowed placements whose end leaves n accelerators of the node free. Only the owner
-// of a guarantee may reclaim urgent placements.
+// victims returns borrowed placements whose end leaves n accelerators of the node free. Only
+// the owner of a guarantee may reclaim urgent placements.
 func (d *decider) victims(at, n int, owner bool) ([]*Running, victimCost, bool) {
 	short := n - d.free.free[at]
 	if d.reclaimable.free[at] < n {
@@ -128,7 +128,8 @@
 	return list, cost, short <= 0 && len(list) > 0
 }
 
-// yieldsBefore orders victims by yield rank, then by the work lost per accelerator freed in the domain.
+// yieldsBefore orders victims by yield rank, then by the work lost per accelerator freed in the
+// domain.
 func (d *decider) yieldsBefore(a, b *Running, here map[int64]int) bool {
 	if a.YieldRank != b.YieldRank {
 		return a.YieldRank < b.YieldRank
--- a/sessions/placement/reserve.go
+++ b/sessions/placement/reserve.go
@@ -12,7 +12,8 @@
 // maxReservations is the number of bits for reservations in a search.
 const maxReservations = 64
 
-// reservation holds free accelerators of a domain for a gang that waits for placements there to end.
+// reservation holds free accelerators of a domain for a gang that waits for placements there to
+// end.
 type reservation struct {
 	node int
 	// hold is how many of the domain's free accelerators are held.
@@ -51,8 +52,8 @@
 	return false
 }
 
-// expectedStart returns the expected time until n accelerators of the node are free. It reports false
-// if the node has fewer.
+// expectedStart returns the expected time until n accelerators of the node are free. It reports
+// false if the node has fewer.
 func (d *decider) expectedStart(at, n int) (time.Duration, bool) {
 	type ending struct {
 		left  time.Duration
@@ -128,8 +129,8 @@
 	return rest
 }
 
-// withhold takes n accelerators of the node out of the capacity. It starts with the workers that have
-// the most, so that the fragments remain usable.
+// withhold takes n accelerators of the node out of the capacity. It starts with the workers
+// that have the most, so that the fragments remain usable.
 func (d *decider) withhold(c *Capacity, node, n int) {
 	var leaves []int
 	d.eachWorker(node, func(worker int) {
--- a/sessions/policy/policy.go
+++ b/sessions/policy/policy.go
@@ -187,8 +187,8 @@
 	onFailure func(policy string, err error)
 }
 
-// NewSet compiles the policies. onFailure, which may be nil, is called for each policy that does not
-// compile, and later for each that fails at run time.
+// NewSet compiles the policies. onFailure, which may be nil, is called for each policy that
+// does not compile, and later for each that fails at run time.
 func NewSet(policies []Policy, onFailure func(policy string, err error)) *Set {
 	if onFailure == nil {
 		onFailure = func(string, error) {}
@@ -204,8 +204,8 @@
 	return s
 }
 
-// Allowed reports whether all allow policies are true. If not, it also returns the name of the first
-// one that is not.
+// Allowed reports whether all allow policies are true. If not, it also returns the name of the
+// first one that is not.
 func (s *Set) Allowed(subject Subject) (bool, string) {
 	for _, r := range s.rules {
 		if r.policy.Decides != Allow {
@@ -219,8 +219,8 @@
 	return true, ""
 }
 
-// NotRepeatable reports whether a policy demands that the subject runs at most once, and the name of
-// the policy.
+// NotRepeatable reports whether a policy demands that the subject runs at most once, and the
+// name of the policy.
 func (s *Set) NotRepeatable(subject Subject) (bool, string) {
 	for _, r := range s.rules {
 		if r.policy.Decides != NotRepeatable {
--- a/sessions/policy/policy_test.go
+++ b/sessions/policy/policy_test.go
@@ -104,7 +104,8 @@
 	}
 }
 
-// TestSafeSide runs policies that do not compile here, as after a downgrade. Each falls to the safe side and is reported.
+// TestSafeSide runs policies that do not compile here, as after a downgrade. Each falls to the
+// safe side and is reported.
 func TestSafeSide(t *testing.T) {
 	failures := 0
 	set := NewSet([]Policy{
--- a/sessions/request/admission.go
+++ b/sessions/request/admission.go
@@ -112,7 +112,8 @@
 	return a.estimate
 }
 
-// enter takes a slot, joins the queue, or refuses the request. The waiter is nil if a slot was free.
+// enter takes a slot, joins the queue, or refuses the request. The waiter is nil if a slot was
+// free.
 func (a *Admission) enter(team string, left time.Duration) (*waiter, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/sessions/request/request_test.go
+++ b/sessions/request/request_test.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// TestMemoryForgets draws claims against a small memory. A key is First at most once in its life, however much has been
-// forgotten since.
+// TestMemoryForgets draws claims against a small memory. A key is First at most once in its
+// life, however much has been forgotten since.
 func TestMemoryForgets(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := newMemory(rapid.IntRange(1, 5).Draw(rt, "keys"), 20)
@@ -172,7 +172,8 @@
 	return uuid.MustParse(fmt.Sprintf("01900000-00%02x-7000-8000-0000000000%02x", n/2, n))
 }
 
-// runModel is the register that a key should be: the first request of a key runs, and all others see its outcome.
+// runModel is the register that a key should be: the first request of a key runs, and all
+// others see its outcome.
 var runModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -195,8 +196,8 @@
 	},
 }
 
-// TestKeyHistories sends each of a few keys many times at once, with different run numbers in the answers, and wants all
-// answers of a key to be those of its one run.
+// TestKeyHistories sends each of a few keys many times at once, with different run numbers in
+// the answers, and wants all answers of a key to be those of its one run.
 func TestKeyHistories(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
@@ -242,8 +243,8 @@
 
 func (f targetFunc) Run(ctx context.Context, h Hop) (int, string, error) { return f(ctx, h) }
 
-// TestAdmission floods a target with one team's requests. The others get their share, refusals come at once and say when
-// to come back, and what was refused did not run.
+// TestAdmission floods a target with one team's requests. The others get their share, refusals
+// come at once and say when to come back, and what was refused did not run.
 func TestAdmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, target := newTestServer("one", 4, 20, func(team string) int { return map[string]int{"quiet": 3}[team] + 1 })
@@ -277,7 +278,8 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		wg.Wait()
-		// 40 slots a second for 2 s; the quiet team asks for 20 a second, which is below its share of 4/5.
+		// 40 slots a second for 2 s; the quiet team asks for 20 a second, which is below its
+		// share of 4/5.
 		if done["quiet"] != 40 {
 			t.Errorf("the team below its share got %d of 40 done; the flood %d", done["quiet"], done["flood"])
 		}
@@ -290,13 +292,15 @@
 	})
 }
 
-// TestGivenUpAtOnce queues requests that look feasible, and then takes their chance away: the target becomes slow, or
-// another team comes for its share. They are refused when that is seen and not when their deadlines pass.
+// TestGivenUpAtOnce queues requests that look feasible, and then takes their chance away: the
+// target becomes slow, or another team comes for its share. They are refused when that is seen
+// and not when their deadlines pass.
 func TestGivenUpAtOnce(t *testing.T) {
 	shares := func(team string) int { return map[string]int{"owner": 9}[team] + 1 }
 	tests := []struct {
 		name string
-		// Four requests of the time first hold the slots; then 30 of 100 ms wait, and the owner sends its own.
+		// Four requests of the time first hold the slots; then 30 of 100 ms wait, and the owner
+		// sends its own.
 		first  string
 		owners int
 		within time.Duration
@@ -370,7 +374,8 @@
 	})
 }
 
-// TestHTTPTarget has targets that cut, cross and overflow. Only a whole answer to its own request is handed on.
+// TestHTTPTarget has targets that cut, cross and overflow. Only a whole answer to its own
+// request is handed on.
 func TestHTTPTarget(t *testing.T) {
 	tests := []struct {
 		name    string
