--- a/sessions/entry/polls_test.go
+++ b/sessions/entry/polls_test.go
@@ -13,8 +13,9 @@
 	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
-// TestStepBack cuts an entry off the log while its peer is not. The polls that it holds end at once with the peer's name,
-// so that what agents report is recorded. Later ones are held as usual: their agents reach no other entry.
+// TestStepBack cuts an entry off the log while its peer is not. The polls that it holds end at
+// once with the peer's name, so that what agents report is recorded. Later ones are held as
+// usual: their agents reach no other entry.
 func TestStepBack(t *testing.T) {
 	peerInfo := membership.EntryInfo{Name: "b", Zone: "z", Address: "http://b"}
 	tests := []struct {
@@ -31,7 +32,11 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				e := New(Settings{Name: "a", Zone: "z", Address: "http://a"}, Parts{Platform: standin.New(), Telemetry: telemetry.Discard()})
+				e := New(Settings{
+					Name:    "a",
+					Zone:    "z",
+					Address: "http://a",
+				}, Parts{Platform: standin.New(), Telemetry: telemetry.Discard()})
 				defer e.Leave()
 				data, _ := ledger.Record{ID: "join", Join: &ledger.JoinWorker{Worker: ledger.Worker{
 					Name: "w", Zone: "z", Rack: "r", Address: "http://w", Incarnation: "one", Slots: 1,
--- a/sessions/gang/gang_test.go
+++ b/sessions/gang/gang_test.go
@@ -135,7 +135,14 @@
 		link := &testLink{leader: g.leader}
 		workers := &frozenWorkers{Workers: g.platform}
 		spec := hosting.TaskSpec{Worker: workerName(i), Session: "s", Token: testToken, Accelerators: []int{0, 1}, Work: work}
-		m := NewMember(spec, link, workers, DefaultTiming(), func() {}, func(ctx context.Context) context.Context { return ctx })
+		m := NewMember(
+			spec,
+			link,
+			workers,
+			DefaultTiming(),
+			func() {},
+			func(ctx context.Context) context.Context { return ctx },
+		)
 		g.members, g.links, g.frozen = append(g.members, m), append(g.links, link), append(g.frozen, workers)
 		wg.Go(func() { m.Run(ctx) })
 	}
@@ -199,7 +206,8 @@
 	})
 }
 
-// TestMemberIsLost loses a member in every way. The rest stops within the bound, and nothing runs after.
+// TestMemberIsLost loses a member in every way. The rest stops within the bound, and nothing
+// runs after.
 func TestMemberIsLost(t *testing.T) {
 	tests := []struct {
 		name string
@@ -253,8 +261,9 @@
 	}
 }
 
-// TestGrantsNeverArrive loses all answers to one member from the start, while its beats arrive. The leader hears it well and
-// ready all the time; the others must not run without it for longer than the bound.
+// TestGrantsNeverArrive loses all answers to one member from the start, while its beats arrive.
+// The leader hears it well and ready all the time; the others must not run without it for
+// longer than the bound.
 func TestGrantsNeverArrive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
@@ -297,7 +306,8 @@
 	})
 }
 
-// TestLateStart delivers a start after the token was stopped, as a network may. The worker refuses it.
+// TestLateStart delivers a start after the token was stopped, as a network may. The worker
+// refuses it.
 func TestLateStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := standin.New()
@@ -322,8 +332,8 @@
 	})
 }
 
-// TestCheckpoints lets a gang run for a while. The leader knows of the work that all members have saved, and a slow
-// checkpoint holds no beat up.
+// TestCheckpoints lets a gang run for a while. The leader knows of the work that all members
+// have saved, and a slow checkpoint delays no heartbeat.
 func TestCheckpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
--- a/sessions/ledger/bench_test.go
+++ b/sessions/ledger/bench_test.go
@@ -8,8 +8,8 @@
 	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
-// designHistory is a state of the size to design for: 1,400 workers, 170 teams, 700 running and 50 waiting sessions, and
-// a full memory of ids.
+// designHistory is a state of the size to design for: 1,400 workers, 170 teams, 700 running and
+// 50 waiting sessions, and a full memory of ids.
 func designHistory(t testing.TB, workers int) *history {
 	h := &history{t: t, state: NewState()}
 	for i := range workers {
@@ -23,7 +23,11 @@
 	for i := range workers / 2 {
 		name := fmt.Sprintf("s%d", i)
 		h.add(create(name, fmt.Sprintf("t%d", i%(workers/8)), shape(1, placement.AnyPlace)))
-		token := h.add(Record{Place: &Place{Session: name, Members: []placement.Member{on(fmt.Sprintf("w%d", i*2), 0)}, Borrowed: true}}).Offset
+		token := h.add(Record{Place: &Place{
+			Session:  name,
+			Members:  []placement.Member{on(fmt.Sprintf("w%d", i*2), 0)},
+			Borrowed: true,
+		}}).Offset
 		h.add(Record{Start: &Start{Token: token}})
 	}
 	for h.state.seenOrder.Len() < seenLimit*workers/1400 {
@@ -32,7 +36,8 @@
 	return h
 }
 
-// BenchmarkState shows the size of a state, and the cost of a record and of a snapshot, against the number of workers.
+// BenchmarkState shows the size of a state, and the cost of a record and of a snapshot, against
+// the number of workers.
 func BenchmarkState(b *testing.B) {
 	for _, workers := range []int{14, 140, 1400} {
 		var before, after runtime.MemStats
@@ -70,7 +75,11 @@
 	h := &history{t: b, state: s, number: 1 << 20}
 	h.add(create("bench", "t0", shape(2, placement.SameRack)))
 	// Workers with odd numbers are free; w9 and w11 are both in rack r3.
-	r := Record{ID: "bench", Base: h.state.Revision(), Place: &Place{Session: "bench", Members: []placement.Member{on("w9", 0), on("w11", 0)}, Borrowed: borrowed}}
+	r := Record{
+		ID:    "bench",
+		Base:  h.state.Revision(),
+		Place: &Place{Session: "bench", Members: []placement.Member{on("w9", 0), on("w11", 0)}, Borrowed: borrowed},
+	}
 	data, err := r.Encode()
 	if err != nil {
 		b.Fatal(err)
