--- a/sessions/agent/poll.go
+++ b/sessions/agent/poll.go
@@ -90,16 +90,7 @@
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	clearSignal(a.wakePoll)
-	reports, stopped := a.gangs.Load().reports()
-	in := membership.PollRequest{
-		Worker:         a.settings.Worker.Name,
-		Incarnation:    a.settings.Worker.Incarnation,
-		Revision:       p.revision,
-		ConfigRevision: a.config.Load().revision,
-		Leaving:        a.leaving.Load(),
-		Gangs:          reports,
-		Stopped:        stopped,
-	}
+	in := p.request()
 	done := make(chan struct{})
 	defer close(done)
 	interrupted := make(chan struct{})
@@ -128,6 +119,21 @@
 	return nil
 }
 
+// request returns the poll with what the agent has and what its gangs report.
+func (p *poller) request() membership.PollRequest {
+	a := p.agent
+	reports, stopped := a.gangs.Load().reports()
+	return membership.PollRequest{
+		Worker:         a.settings.Worker.Name,
+		Incarnation:    a.settings.Worker.Incarnation,
+		Revision:       p.revision,
+		ConfigRevision: a.config.Load().revision,
+		Leaving:        a.leaving.Load(),
+		Gangs:          reports,
+		Stopped:        stopped,
+	}
+}
+
 // failed handles a failed poll. An entry that does not know the agent answers that it is gone, and
 // the agent joins again.
 func (p *poller) failed(err error) error {
