--- a/sessions/agent/fuzz_test.go
+++ b/sessions/agent/fuzz_test.go
@@ -77,7 +77,8 @@
 // configuration must not go back.
 func FuzzView(f *testing.F) {
 	f.Add(`{"revision":3,"config_revision":2,"config":[{"key":"limits","revision":2,"value":{"queue_length":4}}]}`)
-	f.Add(`{"revision":9,"assignments":[{"token":9,"session":"s","phase":"running","accelerators":[0,1],"members":[{"worker":"w0","address":"http://w0"}]}],"entries":[{"name":"e","address":"http://e"}]}`)
+	f.Add(`{"revision":9,"assignments":[{"token":9,"session":"s","phase":"running","accelerators":[0,1],` +
+		`"members":[{"worker":"w0","address":"http://w0"}]}],"entries":[{"name":"e","address":"http://e"}]}`)
 	f.Add(`{"revision":9,"assignments":[{"token":9,"phase":"stopping","accelerators":[-1,99],"members":[]}]}`)
 	f.Fuzz(func(t *testing.T, text string) {
 		var v membership.View
--- a/sessions/entry/fuzz_test.go
+++ b/sessions/entry/fuzz_test.go
@@ -30,7 +30,8 @@
 		{
 			"PUT",
 			"/v1/config/team/a",
-			`{"revision":2,"value":{"name":"a","share":1,"guarantees":[{"shape":{"accelerators":2,"adjacency":"worker"},"count":1}]},"author":"f"}`,
+			`{"revision":2,"value":{"name":"a","share":1,` +
+				`"guarantees":[{"shape":{"accelerators":2,"adjacency":"worker"},"count":1}]},"author":"f"}`,
 		},
 		{"PUT", "/v1/config/policy/p", `{"value":{"name":"p","decides":"allow","source":"team == \"a\""}}`},
 		{"PUT", "/v1/config/placement", `{"value":{"profile":"completion"}}`},
@@ -65,7 +66,10 @@
 	settings := DefaultSettings()
 	settings.Name, settings.Zone, settings.Address = "e", "z", "http://e"
 	e := New(settings, Parts{
-		Platform: standin.New(), Client: network.Client("http://e"), Telemetry: telemetry.Discard(), Random: func(int) int { return 0 },
+		Platform:  standin.New(),
+		Client:    network.Client("http://e"),
+		Telemetry: telemetry.Discard(),
+		Random:    func(int) int { return 0 },
 	})
 	var wg sync.WaitGroup
 	wg.Go(func() { e.Run(ctx) })
--- a/sessions/entry/router_test.go
+++ b/sessions/entry/router_test.go
@@ -34,7 +34,10 @@
 func newRoutedEntry(t *testing.T, agents ...agentFunc) (e *Entry, called func() []int) {
 	t.Helper()
 	e = New(Settings{Name: "e"}, Parts{
-		Platform: standin.New(), Client: http.DefaultClient, Telemetry: telemetry.Discard(), Random: func(int) int { return 0 },
+		Platform:  standin.New(),
+		Client:    http.DefaultClient,
+		Telemetry: telemetry.Discard(),
+		Random:    func(int) int { return 0 },
 	})
 	calls := make([]int, len(agents))
 	var mu sync.Mutex
--- a/sessions/placement/bench_test.go
+++ b/sessions/placement/bench_test.go
@@ -17,7 +17,12 @@
 		}
 		in.Workers[i].Holders[0] = int64(i + 1)
 		in.Running = append(in.Running, Running{
-			Token: int64(i + 1), Session: fmt.Sprintf("r%d", i), Team: "none", Shape: Shape{Accelerators: 1}, Borrowed: i%2 == 0, Left: time.Hour,
+			Token:    int64(i + 1),
+			Session:  fmt.Sprintf("r%d", i),
+			Team:     "none",
+			Shape:    Shape{Accelerators: 1},
+			Borrowed: i%2 == 0,
+			Left:     time.Hour,
 		})
 	}
 	for i := range teams {
--- a/sessions/placement/placement_test.go
+++ b/sessions/placement/placement_test.go
@@ -172,8 +172,12 @@
 	adjacency := rapid.SampledFrom([]Adjacency{AnyPlace, SameZone, SameRack, SameWorker})
 	for i := range rapid.IntRange(0, 8).Draw(t, "placements") {
 		p := Running{
-			Token: int64(i + 1), Session: fmt.Sprintf("r%d", i), Team: fmt.Sprintf("t%d", i%3), Borrowed: rapid.Bool().Draw(t, "borrowed"),
-			Urgent: rapid.Bool().Draw(t, "urgent"), Left: time.Duration(rapid.IntRange(0, 9).Draw(t, "left")) * time.Minute,
+			Token:    int64(i + 1),
+			Session:  fmt.Sprintf("r%d", i),
+			Team:     fmt.Sprintf("t%d", i%3),
+			Borrowed: rapid.Bool().Draw(t, "borrowed"),
+			Urgent:   rapid.Bool().Draw(t, "urgent"),
+			Left:     time.Duration(rapid.IntRange(0, 9).Draw(t, "left")) * time.Minute,
 		}
 		w := rapid.IntRange(0, len(in.Workers)-1).Draw(t, "on")
 		for a, h := range in.Workers[w].Holders {
@@ -285,7 +289,9 @@
 				}
 			}
 		}
-		if a := w.Shape.Adjacency; count != w.Shape.Accelerators || (a == SameZone && len(zones) > 1) || (a == SameRack && len(racks) > 1) || (a == SameWorker && len(d.Members) > 1) {
+		a := w.Shape.Adjacency
+		if count != w.Shape.Accelerators || (a == SameZone && len(zones) > 1) || (a == SameRack && len(racks) > 1) ||
+			(a == SameWorker && len(d.Members) > 1) {
 			rt.Fatalf("%s asked for %v and gets %v", d.Session, w.Shape, d.Members)
 		}
 		if !d.Borrowed {
--- a/sessions/policy/policy_test.go
+++ b/sessions/policy/policy_test.go
@@ -99,7 +99,8 @@
 	if err := (Policy{Name: "p", Decides: YieldRank, Source: "bytes / accelerators"}).Validate(); err == nil {
 		t.Error("a rank that may be no number was taken")
 	}
-	if err := (Policy{Name: "p", Decides: "other", Source: "true"}).Validate(); err == nil || !strings.Contains(err.Error(), "decides") {
+	err := (Policy{Name: "p", Decides: "other", Source: "true"}).Validate()
+	if err == nil || !strings.Contains(err.Error(), "decides") {
 		t.Errorf("an unknown question: %v", err)
 	}
 }
