--- a/jobs/admission/calls.go
+++ b/jobs/admission/calls.go
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// Pending counts the queue's jobs of which no task has started.
+// Pending counts the queue's jobs with no started task.
 func (s *Service) Pending(call Call) (int, error) {
 	if !s.jobsKnown() {
 		return 0, s.notReady("jobs may have come that are not known here", nil)
--- a/jobs/admission/errors.go
+++ b/jobs/admission/errors.go
@@ -22,7 +22,7 @@
 	ErrUncertain = errors.New("no answer from the log; the same call may be made again")
 )
 
-// NotReady is the refusal of a call of which nothing was done, with the time after which to
+// NotReady is the refusal of a call that had no effect, with the time after which to
 // come back.
 type NotReady struct {
 	Reason string
@@ -63,7 +63,7 @@
 	return min(max(time.Since(current).Round(time.Second), minRetryAfter), maxRetryAfter)
 }
 
-// notReady is the refusal of a call of which nothing was done.
+// notReady is the refusal of a call that had no effect.
 func (s *Service) notReady(reason string, err error) *NotReady {
 	oldest := s.dependencies.Replica.SyncedAt()
 	if _, proof := s.dependencies.Catalog.Current(); proof.Before(oldest) {
--- a/jobs/assignment/answer.go
+++ b/jobs/assignment/answer.go
@@ -11,9 +11,9 @@
 	Term int64 `json:"term"`
 	// Fence is what the agent's orders to its worker carry.
 	Fence int64 `json:"fence"`
-	// HeldMillis is for how long the poll was held.
+	// HeldMillis is how long the poll was held.
 	HeldMillis int64 `json:"held_ms"`
-	// LeaseMillis is for how long after the answer runs may be kept alive; zero extends nothing.
+	// LeaseMillis is how long after the answer runs may be kept alive; zero extends nothing.
 	LeaseMillis int64 `json:"lease_ms"`
 	// Start lists runs that should be on the worker.
 	Start []Start `json:"start,omitempty"`
--- a/jobs/assignment/assignment.go
+++ b/jobs/assignment/assignment.go
@@ -36,7 +36,7 @@
 type Handover struct {
 	Term int64  `json:"term"`
 	Name string `json:"holder"`
-	// FailingMillis is for how long the leader has not reached the log.
+	// FailingMillis is how long the leader has not reached the log.
 	FailingMillis int64 `json:"failing_ms"`
 }
 
@@ -57,7 +57,7 @@
 	Rack     string         `json:"rack,omitempty"`
 	Labels   []string       `json:"labels,omitempty"`
 	Capacity job.Resources  `json:"room"`
-	// Draining is set if the worker takes no new work, and DrainMillis is for how long it stays
+	// Draining is set if the worker takes no new work, and DrainMillis is how long it stays
 	// at least.
 	Draining    bool  `json:"leaving,omitempty"`
 	DrainMillis int64 `json:"leaves_in,omitempty"`
@@ -77,7 +77,7 @@
 	// Checkpoint is the newest one. It stays with the agent: the leader learns it from the end
 	// of the run.
 	Checkpoint string `json:"-"`
-	// AgeMillis is for how long the run has been running; zero if the agent did not see the
+	// AgeMillis is how long the run has been running; zero if the agent did not see the
 	// start.
 	AgeMillis int64 `json:"age_ms,omitempty"`
 	// ListedMillis is how old the run was when the worker listed the percentage; zero if unknown.
@@ -96,7 +96,7 @@
 	Number     int64         `json:"n"`
 	Reason     job.EndReason `json:"h"`
 	Checkpoint string        `json:"s,omitempty"`
-	// TookMillis is for how long the run was running; zero if the agent did not see the start.
+	// TookMillis is how long the run was running; zero if the agent did not see the start.
 	TookMillis int64 `json:"took_ms,omitempty"`
 }
 
@@ -140,7 +140,7 @@
 	// Started is set if the worker had confirmed the run. Otherwise a start was under way, and
 	// it is not known whether it was carried out.
 	Started bool `json:"b,omitempty"`
-	// AgeMillis is for how long the run had been running at the worker's last answer; zero if
+	// AgeMillis is how long the run had been running at the worker's last answer; zero if
 	// the agent did not see the start.
 	AgeMillis int64 `json:"age_ms,omitempty"`
 }
--- a/jobs/assignment/poll.go
+++ b/jobs/assignment/poll.go
@@ -20,7 +20,7 @@
 	Runs     []Run     `json:"runs,omitempty"`
 	Ends     []End     `json:"ends,omitempty"`
 	Refused  []Refusal `json:"refused,omitempty"`
-	// EndedIncarnations are those of which nothing runs any more.
+	// EndedIncarnations are those on which nothing runs any more.
 	EndedIncarnations []IncarnationEnd `json:"lives_over,omitempty"`
 	// ClosingIncarnations are over too, but orders for them may still have an effect, so their
 	// ends are reported later. Nothing is to be placed there.
@@ -28,7 +28,7 @@
 	// Unresponsive is set if the worker gives no answer: nothing is to be placed on it, and
 	// nothing can be extended.
 	Unresponsive bool `json:"silent,omitempty"`
-	// FailingMillis is for how long the worker has given no answer; zero while it does.
+	// FailingMillis is how long the worker has given no answer; zero while it does.
 	FailingMillis int64 `json:"failing_ms,omitempty"`
 	// AckedEnd is up to which end the leader has acknowledged them to the agent.
 	AckedEnd int64 `json:"seen,omitempty"`
--- a/jobs/dispatch/desired.go
+++ b/jobs/dispatch/desired.go
@@ -121,7 +121,7 @@
 	return changed
 }
 
-// desiredRun is how a worker is told of a placed run.
+// desiredRun is the form in which a placed run is sent to its worker.
 func (c *Controller) desiredRun(t *trackedJob, name job.TaskName, task *job.Task, now time.Time) DesiredRun {
 	start := assignment.Start{
 		RunID:      assignment.RunID{Task: name, Run: task.Run},
--- a/jobs/dispatch/fleet.go
+++ b/jobs/dispatch/fleet.go
@@ -201,7 +201,7 @@
 }
 
 // addUnplacedRuns takes off the nodes what is used by runs that workers list and that are not
-// placed there: orders that arrived late at a new incarnation. They are told to stop, and a
+// placed there: orders that arrived late at a new incarnation. They are to stop, and a
 // worker that doesn't check its capacity would run more than it has.
 func (p *plan) addUnplacedRuns() {
 	for _, n := range p.nodes {
--- a/jobs/dispatch/headroom.go
+++ b/jobs/dispatch/headroom.go
@@ -25,7 +25,7 @@
 	maxBurstHeadroom = 0.2
 	// maxSlackSpent is the share of its slack that a job may spend on leaving headroom free.
 	maxSlackSpent = 0.8
-	// idlePatience is how long a job of which nothing runs leaves headroom free. It is less
+	// idlePatience is how long a job with no placed run leaves headroom free. It is less
 	// than the 3 s within which callers expect a job to start for which there is room.
 	idlePatience = 2 * time.Second
 )
--- a/jobs/dispatch/health/health.go
+++ b/jobs/dispatch/health/health.go
@@ -34,7 +34,7 @@
 
 // Health is the judgement on one incarnation of a worker. The zero value is healthy.
 type Health struct {
-	// failed holds the jobs of which a run failed since the last run that succeeded.
+	// failed holds the jobs with a run that failed since the last run that succeeded.
 	failed map[job.ID]bool
 	// quarantine is the length of the newest quarantine; zero after a run that succeeded.
 	quarantine time.Duration
--- a/jobs/dispatch/preempt.go
+++ b/jobs/dispatch/preempt.go
@@ -11,7 +11,7 @@
 	worthOnTime = 2.0
 	worthLate   = 0.0
 	// guaranteedPatience is how long a guaranteed job waits for room after its acceptance
-	// before work is stopped for it. It has to start within about 3 s, of which a stop takes up
+	// before work is stopped for it. It has to start within about 3 s, and a stop takes up
 	// to 1 s.
 	guaranteedPatience = 1200 * time.Millisecond
 	// durationSpread is the standard deviation of the logarithm of urgent tasks' durations,
--- a/jobs/runner/contact.go
+++ b/jobs/runner/contact.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// unresponsiveAfter is for how long a worker may give no answer until nothing is extended
+	// unresponsiveAfter is how long a worker may give no answer until nothing is extended
 	// on it any more.
 	unresponsiveAfter = 1500 * time.Millisecond
 	// expiryMargin is added to the end of an unresponsive worker's lease, for the difference of
@@ -35,7 +35,7 @@
 	return c.failingSince
 }
 
-// failingFor is for how long syncs have got no answer; zero while they do.
+// failingFor is how long syncs have got no answer; zero while they do.
 func (c contact) failingFor() time.Duration {
 	if c.failingSince.IsZero() {
 		return 0
--- a/jobs/runner/runs.go
+++ b/jobs/runner/runs.go
@@ -38,7 +38,7 @@
 // maybeRunning reports whether the run is on the worker as far as the agent can tell.
 func (k *run) maybeRunning() bool { return k.running || k.ordered }
 
-// age is for how long the run has been running at a time; zero if unknown.
+// age is how long the run has been running at a time; zero if unknown.
 func (k *run) age(at time.Time) time.Duration {
 	if k.startedAt.IsZero() {
 		return 0
--- a/jobs/runner/starts.go
+++ b/jobs/runner/starts.go
@@ -12,7 +12,7 @@
 const (
 	// maxUnavailable is how often a start is tried on an unavailable worker before it is refused.
 	maxUnavailable = 8
-	// wakeMargin is for how long this process may have to wait for a processor between looking
+	// wakeMargin is how long this process may have to wait for a processor between looking
 	// at a clock and sending.
 	wakeMargin = 150 * time.Millisecond
 )
--- a/jobs/runner/sync.go
+++ b/jobs/runner/sync.go
@@ -9,7 +9,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 )
 
-// syncWait is for how long a worker holds a sync while no run ends.
+// syncWait is how long a worker holds a sync while no run ends.
 const syncWait = time.Second
 
 // syncLoop synchronizes with the worker again and again; an answer comes as soon as a run ends.
@@ -22,7 +22,7 @@
 	}
 }
 
-// nextWait is for how long the next sync may wait for an end. After a failure it doesn't wait,
+// nextWait is how long the next sync may wait for an end. After a failure it doesn't wait,
 // so that it is known at once whether the worker has restarted.
 func (r *Runner) nextWait() time.Duration {
 	r.mu.Lock()
--- a/sessions/request/admission.go
+++ b/sessions/request/admission.go
@@ -90,15 +90,15 @@
 	if err != nil || w == nil {
 		return err
 	}
-	hopeless := time.NewTimer(left - a.serviceTime())
-	defer hopeless.Stop()
+	tooLate := time.NewTimer(left - a.serviceTime())
+	defer tooLate.Stop()
 	select {
 	case err := <-w.admitted:
 		if err == nil && a.tooLate(w) {
 			return a.giveBack(team)
 		}
 		return err
-	case <-hopeless.C:
+	case <-tooLate.C:
 		return a.abandon(w, "it can't be served before its deadline any more")
 	case <-ctx.Done():
 		return a.abandon(w, "its caller gave up while it waited")
