--- a/jobs/catalog/golden_test.go
+++ b/jobs/catalog/golden_test.go
@@ -1,23 +1,13 @@
 package catalog_test
 
 import (
-	"bytes"
-	"context"
-	"net/http/httptest"
-	"reflect"
-	"regexp"
 	"strings"
 	"testing"
-	"testing/synctest"
 	"time"
 
-	"github.com/rs/zerolog"
-
 	"yarrowgrade.example/yarrowgrade/internal/goldentest"
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
-	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
-	"yarrowgrade.example/yarrowgrade/platform"
 )
 
 // TestGoldenCordon holds what operators read of a cordon.
@@ -26,112 +16,6 @@
 	goldentest.JSON(t, "cordon", catalog.Cordon{Zone: "zone-1", Revision: 7, Since: since})
 }
 
-// goldenConfig is the configuration with each field set, and with fields and words that nothing
-// reads.
-const goldenConfig = `{"version":41,"comment":"kept","routes":[` +
-	`{"name":"urgent","host":"nony24.example","pathPrefix":"/lohu930/","service":"roster","priority":2,` +
-	`"maxAttempts":4,"stretch":1.5,"targetLatencyMs":1250.5,"public":true,"advice":{"kind":"tickets"}},` +
-	`{"name":"plain","host":"nony24.example","pathPrefix":"/","service":"roster","advice":null}],` +
-	`"services":[{"name":"roster","admissionCheck":true,"headroom":true},{"name":"other"}],` +
-	`"tenants":[{"name":"sure","apiKeys":["key-1","key-2"],"guaranteed":{"gpu":16}},{"name":"rest","apiKeys":["key-3"]}],` +
-	`"limits":{"maxBodyBytes":65536}}`
-
-// TestGoldenConfig holds operators' configuration, and what it says.
-func TestGoldenConfig(t *testing.T) {
-	goldentest.Bytes(t, "config.json", []byte(goldenConfig+"\n"))
-	goldentest.Bytes(t, "config-defaults.json", []byte("{}\n"))
-	tests := []struct {
-		file string
-		want catalog.Catalog
-	}{
-		{"config.json", catalog.Catalog{
-			Version: 41,
-			Queues: []catalog.Queue{
-				{
-					Name:            "urgent",
-					Host:            "nony24.example",
-					Prefix:          "/lohu930/",
-					Service:         "roster",
-					Priority:        2,
-					MaxAttempts:     4,
-					ObjectiveFactor: 1.5,
-					ObjectiveSlack:  1250500 * time.Microsecond,
-					Public:          true,
-					NeedsPermit:     true,
-				},
-				{Name: "plain", Host: "nony24.example", Prefix: "/", Service: "roster"},
-			},
-			Services: []catalog.Service{{Name: "roster", ChecksAdmission: true, PoweredOff: true}, {Name: "other"}},
-			Teams: []catalog.Team{
-				{Name: "sure", Keys: []string{"key-1", "key-2"}, GuaranteedAccelerators: 16},
-				{Name: "rest", Keys: []string{"key-3"}},
-			},
-			BodyBytes: 65536,
-		}},
-		{"config-defaults.json", catalog.Catalog{}},
-	}
-	for _, test := range tests {
-		got, err := platform.DecodeConfig(goldentest.Read(t, test.file))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if want := test.want.WithIndex(); !reflect.DeepEqual(got, want) {
-			t.Errorf("%s says %+v, want %+v", test.file, got, want)
-		}
-	}
-}
-
-// goldenRecords are records of operators as they stand in their topic.
-func goldenRecords() []topic.Record {
-	return []topic.Record{
-		{Key: platform.ConfigKey, Value: []byte(goldenConfig)},
-		{Key: platform.CordonKey("zone-1"), Value: []byte(`{"reason":"power"}`)},
-		{Key: platform.CordonKey("zone-2"), Value: []byte("{}")},
-		{Key: platform.CordonKey("zone-2")},
-		{Key: platform.CordonKey("zone-3"), Value: []byte("no object")},
-		{Key: platform.ConfigKey, Value: []byte("no object")},
-	}
-}
-
-// TestGoldenRecords holds operators' records, what follows from them, the log lines about it, and
-// the message with which they are handed on.
-func TestGoldenRecords(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(t.Context())
-		defer func() { cancel(); time.Sleep(10 * time.Second) }()
-		var records, out bytes.Buffer
-		log := jobtest.NewLog(1)
-		f := catalog.NewFollower(log.Client("e"), platform.OperatorFormat([]string{"zone-2"}), zerolog.New(&out))
-		go f.Run(ctx)
-		time.Sleep(time.Second)
-		for _, r := range goldenRecords() {
-			records.WriteString(r.Key + " " + string(r.Value) + "\n")
-			if _, err := log.Client("o").Append(ctx, []topic.Record{r}, topic.Condition{}); err != nil {
-				t.Fatal(err)
-			}
-			time.Sleep(100 * time.Millisecond)
-		}
-		goldentest.Bytes(t, "records.txt", records.Bytes())
-		c, _ := f.Current()
-		cordons, _ := f.Cordons()
-		if c == nil || c.Version != 41 || len(cordons) != 1 || cordons["zone-1"].Revision != 1 {
-			t.Errorf("in force are %+v and %+v", c, cordons)
-		}
-		goldentest.Bytes(t, "log.txt", logFields(&out))
-		w := httptest.NewRecorder()
-		f.RelayServer().ServeHTTP(w, httptest.NewRequest("GET", catalog.RelayPath+"?from=1", nil))
-		news := regexp.MustCompile(`"(age|held)_ms":\d+`).ReplaceAll(w.Body.Bytes(), []byte(`"${1}_ms":1`))
-		goldentest.Bytes(t, "news.json", news)
-	})
-}
-
-// logFields are the fields of log lines. What a line and an error say in words is left out, and
-// for how long a zone was cordoned.
-func logFields(log *bytes.Buffer) []byte {
-	words := regexp.MustCompile(`"(message|error)":"(?:[^"\\]|\\.)*"`).ReplaceAll(log.Bytes(), []byte(`"$1":""`))
-	return regexp.MustCompile(`"cordoned_ms":[0-9.]+`).ReplaceAll(words, []byte(`"cordoned_ms":1`))
-}
-
 // TestGoldenNews holds the message with which records are handed on.
 func TestGoldenNews(t *testing.T) {
 	goldentest.JSON(t, "relayed", topic.RelayResponse{
