--- a/jobs/assignment/golden_test.go
+++ b/jobs/assignment/golden_test.go
@@ -8,11 +8,11 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// The golden values of the types that messages are made of.
+// The golden values of the message types.
 var (
-	goldenLife = incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722812345}
-	goldenRun  = RunID{Task: job.TaskName{Job: "5c0e7a21d94b36f8", Round: 3, Step: 1, Index: 17}, Run: 2}
-	goldenPoll = Poll{
+	goldenIncarnation = incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722812345}
+	goldenRun         = RunID{Task: job.TaskName{Job: "5c0e7a21d94b36f8", Round: 3, Step: 1, Index: 17}, Run: 2}
+	goldenPoll        = Poll{
 		Worker:       "worker-1",
 		Agent:        "agent-1",
 		Sequence:     7,
@@ -20,7 +20,7 @@
 		Fence:        4194309,
 		RefusedFence: 4194309,
 		State: &WorkerState{
-			ID:          goldenLife,
+			ID:          goldenIncarnation,
 			Machine:     "m-1",
 			Service:     "parkpay",
 			Zone:        "plovdiv-a",
@@ -34,8 +34,8 @@
 		Runs:                []Run{{RunID: goldenRun, Percent: 41, AgeMillis: 5000, ListedMillis: 4500}},
 		Ends:                []End{goldenEnd},
 		Refused:             []Refusal{{RunID: goldenRun, Reason: "room", Uncertain: true, Started: true}},
-		EndedIncarnations:   []IncarnationEnd{goldenLifeEnd},
-		ClosingIncarnations: []incarnation.ID{goldenLife, {Instance: "i-1"}},
+		EndedIncarnations:   []IncarnationEnd{goldenIncarnationEnd},
+		ClosingIncarnations: []incarnation.ID{goldenIncarnation, {Instance: "i-1"}},
 		OpenStarts:          []OpenStart{goldenOpenStart},
 		NoStartsMillis:      11300,
 		AgentMillis:         1850,
@@ -43,22 +43,22 @@
 		FailingMillis:       1600,
 		AckedEnd:            57,
 		Wait:                true,
-		Delta:               &Delta{Sequence: 6, Millis: 500, ListedMillis: 450, Percents: []int{43}},
+		Delta:               &Delta{BaseSequence: 6, ElapsedMillis: 500, ListedMillis: 450, Percents: []int{43}},
 	}
-	goldenOpenStart = OpenStart{RunID: goldenRun, OpenMillis: 17400}
-	goldenEnd       = End{RunID: goldenRun, Number: 58, Reason: job.EndDone, Checkpoint: "ckpt-9", TookMillis: 61000}
-	goldenLifeEnd   = IncarnationEnd{
-		ID:          goldenLife,
-		Drained:     true,
-		Draining:    true,
-		Runs:        []InterruptedRun{{RunID: goldenRun, Started: true, AgeMillis: 700}},
-		Complete:    true,
-		SinceMillis: 1200,
+	goldenOpenStart      = OpenStart{RunID: goldenRun, OpenMillis: 17400}
+	goldenEnd            = End{RunID: goldenRun, Number: 58, Reason: job.EndDone, Checkpoint: "ckpt-9", TookMillis: 61000}
+	goldenIncarnationEnd = IncarnationEnd{
+		ID:                goldenIncarnation,
+		Drained:           true,
+		Draining:          true,
+		Runs:              []InterruptedRun{{RunID: goldenRun, Started: true, AgeMillis: 700}},
+		Complete:          true,
+		LastContactMillis: 1200,
 	}
 	goldenAnswer = Answer{
 		Term:            4,
 		Fence:           65537,
-		Offer:           true,
+		FenceOffered:    true,
 		HeldMillis:      300,
 		LeaseMillis:     6000,
 		Start:           []Start{{RunID: goldenRun, Spec: "spec", Checkpoint: "ckpt-9", Permit: "ticket", Suspect: true}},
@@ -67,7 +67,7 @@
 		ZoneOpen:        true,
 		ZoneProofMillis: 250,
 		Roles:           []Role{{RunID: goldenRun, LatencyTargetMillis: 250, BestEffort: true}},
-		Incarnation:     goldenLife,
+		Incarnation:     goldenIncarnation,
 		AckedEnd:        58,
 		AckedPoll:       7,
 		BasePoll:        6,
@@ -81,9 +81,9 @@
 func TestGoldenRun(t *testing.T)       { goldentest.JSON(t, "run", goldenPoll.Runs[0]) }
 func TestGoldenEnd(t *testing.T)       { goldentest.JSON(t, "end", goldenPoll.Ends[0]) }
 func TestGoldenRefusal(t *testing.T)   { goldentest.JSON(t, "refusal", goldenPoll.Refused[0]) }
-func TestGoldenLifeEnd(t *testing.T)   { goldentest.JSON(t, "life-end", goldenLifeEnd) }
+func TestGoldenLifeEnd(t *testing.T)   { goldentest.JSON(t, "life-end", goldenIncarnationEnd) }
 func TestGoldenOpenStart(t *testing.T) { goldentest.JSON(t, "open-start", goldenOpenStart) }
-func TestGoldenCutRun(t *testing.T)    { goldentest.JSON(t, "cut-run", goldenLifeEnd.Runs[0]) }
+func TestGoldenCutRun(t *testing.T)    { goldentest.JSON(t, "cut-run", goldenIncarnationEnd.Runs[0]) }
 func TestGoldenSince(t *testing.T)     { goldentest.JSON(t, "since", *goldenPoll.Delta) }
 func TestGoldenStart(t *testing.T)     { goldentest.JSON(t, "start", goldenAnswer.Start[0]) }
 func TestGoldenRole(t *testing.T)      { goldentest.JSON(t, "role", goldenAnswer.Roles[0]) }
@@ -93,18 +93,24 @@
 }
 
 func TestGoldenRedirect(t *testing.T) {
-	goldentest.JSON(t, "redirect", Redirect{Term: 4, Address: "10.1.0.19:7000", Self: "entry-2/91c2", Superseded: true})
+	goldentest.JSON(t, "redirect", Redirect{
+		Term:             4,
+		Address:          "10.1.0.19:7000",
+		EntryIncarnation: "entry-2/91c2",
+		Superseded:       true,
+	})
 }
 
-// TestGoldenInternalFields: what a run carries inside an agent only stays out of its polls.
+// TestGoldenInternalFields checks that the fields of a run that are internal to an agent are not
+// encoded in its polls.
 func TestGoldenInternalFields(t *testing.T) {
 	inside := goldenPoll.Runs[0]
 	inside.Checkpoint, inside.LatencyMillis = "ckpt-9", 120
 	goldentest.JSON(t, "run", inside)
 }
 
-// TestGoldenEndings: the words for how a run ended, as polls carry them and as progress is
-// stored with them.
+// TestGoldenEndings checks the encoded end reasons, as polls carry them and as they are stored with
+// progress.
 func TestGoldenEndings(t *testing.T) {
 	var ends []End
 	for _, how := range []job.EndReason{
--- a/jobs/dispatch/crashes.go
+++ b/jobs/dispatch/crashes.go
@@ -51,7 +51,7 @@
 		return true
 	}
 	before := w.crashedAt
-	w.crashedAt = now.Add(-end.Since())
+	w.crashedAt = now.Add(-end.LastContactAge())
 	return end.Draining || w.crashedAt.Sub(before) < recentCrash || c.crashedWithOthers(w)
 }
 
--- a/jobs/dispatch/open_starts.go
+++ b/jobs/dispatch/open_starts.go
@@ -15,7 +15,7 @@
 // the run, which is placed there then (adoptRun).
 
 // openStartLimit bounds how long a start is open that no agent tells of.
-const openStartLimit = assignment.MaxOpenTime
+const openStartLimit = assignment.MaxOpenStartTime
 
 // formerAgent is the agent of a worker before the present one, which took what it knew of open
 // starts with it.
--- a/jobs/incarnation/golden_test.go
+++ b/jobs/incarnation/golden_test.go
@@ -7,21 +7,21 @@
 	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 )
 
-// storedIDs is a document with an ID as a value, as an optional value and as a key.
+// storedIDs is a document that contains an ID as a value, as an optional value and as a key.
 type storedIDs struct {
 	At    incarnation.ID            `json:"at"`
 	Maybe incarnation.ID            `json:"maybe,omitzero"`
 	Seen  map[incarnation.ID]string `json:"seen"`
 }
 
-// TestGoldenID: the stored form has the instance and the time of the start, joined by an @.
+// TestGoldenID checks the stored form: the instance and the start time, joined by an @.
 func TestGoldenID(t *testing.T) {
 	id := incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722812345}
 	goldentest.JSON(t, "id", storedIDs{At: id, Maybe: id, Seen: map[incarnation.ID]string{id: "side-a-1"}})
 }
 
-// TestGoldenIDWithoutStart: an ID without the time of the start, as older versions stored it,
-// is the instance alone. An instance may hold the separator itself.
+// TestGoldenIDWithoutStart checks that an ID without a start time, as older versions stored it,
+// consists of the instance alone. An instance may contain the separator.
 func TestGoldenIDWithoutStart(t *testing.T) {
 	tests := []struct {
 		name string
@@ -35,7 +35,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			goldentest.Bytes(t, test.name+".txt", []byte(test.id.String()))
 			if got := incarnation.Parse(string(goldentest.Read(t, test.name+".txt"))); got != test.id {
-				t.Errorf("read %+v, want %+v", got, test.id)
+				t.Errorf("parsed %+v, want %+v", got, test.id)
 			}
 		})
 	}
--- a/jobs/incarnation/incarnation_test.go
+++ b/jobs/incarnation/incarnation_test.go
@@ -25,12 +25,13 @@
 	for _, test := range tests {
 		got := incarnation.Parse(test.text)
 		if got != test.want || got.String() != test.text {
-			t.Errorf("Parse(%q) = %+v, and back %q", test.text, got, got.String())
+			t.Errorf("Parse(%q) = %+v, whose text form is %q", test.text, got, got.String())
 		}
 	}
 }
 
-// TestJSON: IDs are stored as values and as keys, and are read as they were.
+// TestJSON checks that IDs are unchanged after being stored and read, both as values and as map
+// keys.
 func TestJSON(t *testing.T) {
 	type stored struct {
 		At   incarnation.ID         `json:"at,omitzero"`
@@ -50,10 +51,10 @@
 			rt.Fatal(err)
 		}
 		if back.At != id || back.Open[id] != 1 {
-			rt.Fatalf("%s came back as %+v", data, back)
+			rt.Fatalf("%s was decoded as %+v", data, back)
 		}
 	})
 	if data, _ := json.Marshal(stored{}); string(data) != "{}" {
-		t.Errorf("no life is stored as %s", data)
+		t.Errorf("a document without an incarnation is stored as %s", data)
 	}
 }
--- a/jobs/jobtest/orders.go
+++ b/jobs/jobtest/orders.go
@@ -96,7 +96,7 @@
 func (w *Worker) start(s assignment.Start, until int64) error {
 	now := time.Now()
 	if until <= w.clock(now) {
-		return runner.ErrLeaseOver
+		return runner.ErrLeaseExpired
 	}
 	if r := w.runs[s.Task]; r != nil && r.id.Run == s.Run {
 		w.extend(until)
--- a/jobs/leader/campaign.go
+++ b/jobs/leader/campaign.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	return r.Self != leader.Incarnation
+	return r.EntryIncarnation != leader.Incarnation
 }
 
 // claim appends the claim of a term, provided that the topic still ends at end. Only reading the
--- a/jobs/leader/fence_test.go
+++ b/jobs/leader/fence_test.go
@@ -13,11 +13,11 @@
 		p := poll(1)
 		p.Fence = 2<<fenceBits + 1
 		offered := ask(t, fl, p)
-		if !offered.Offer {
+		if !offered.FenceOffered {
 			t.Errorf("the first poll of a term is answered %+v, want an offer", offered)
 		}
 		p.Sequence, p.Fence = 2, offered.Fence
-		if a := ask(t, fl, p); a.Offer || a.Fence != offered.Fence {
+		if a := ask(t, fl, p); a.FenceOffered || a.Fence != offered.Fence {
 			t.Errorf("the poll that shows the fence is answered %+v", a)
 		}
 	})
--- a/jobs/leader/golden_test.go
+++ b/jobs/leader/golden_test.go
@@ -68,12 +68,12 @@
 		}},
 		Refused: []assignment.Refusal{{RunID: goldenOther, Reason: "no room", Uncertain: true, Started: true}},
 		EndedIncarnations: []assignment.IncarnationEnd{{
-			ID:          incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722800000},
-			Drained:     true,
-			Draining:    true,
-			Runs:        []assignment.InterruptedRun{{RunID: goldenOther, Started: true, AgeMillis: 900}},
-			Complete:    true,
-			SinceMillis: 700,
+			ID:                incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722800000},
+			Drained:           true,
+			Draining:          true,
+			Runs:              []assignment.InterruptedRun{{RunID: goldenOther, Started: true, AgeMillis: 900}},
+			Complete:          true,
+			LastContactMillis: 700,
 		}},
 		ClosingIncarnations: []incarnation.ID{{Instance: "i-0", StartMillis: 1764722700000}},
 		OpenStarts:          []assignment.OpenStart{{RunID: goldenOther, OpenMillis: 17400}},
@@ -83,7 +83,7 @@
 		FailingMillis:       350,
 		AckedEnd:            5,
 		Wait:                true,
-		Delta:               &assignment.Delta{Sequence: 11, Millis: 500, ListedMillis: 450, Percents: []int{45}},
+		Delta:               &assignment.Delta{BaseSequence: 11, ElapsedMillis: 500, ListedMillis: 450, Percents: []int{45}},
 	}
 }
 
@@ -95,7 +95,7 @@
 	goldentest.JSON(t, "answer", assignment.Answer{
 		Term:            3,
 		Fence:           3145729,
-		Offer:           true,
+		FenceOffered:    true,
 		HeldMillis:      120,
 		LeaseMillis:     6000,
 		Start:           []assignment.Start{{RunID: goldenRun, Spec: "{}", Checkpoint: "checkpoint-4", Permit: "ticket-8", Suspect: true}},
@@ -114,10 +114,10 @@
 // TestGoldenRedirect holds the word of an entry on who leads.
 func TestGoldenRedirect(t *testing.T) {
 	goldentest.JSON(t, "redirect", assignment.Redirect{
-		Term:       3,
-		Address:    "10.1.0.19:7000",
-		Self:       "entry-2/5",
-		Superseded: true,
+		Term:             3,
+		Address:          "10.1.0.19:7000",
+		EntryIncarnation: "entry-2/5",
+		Superseded:       true,
 	})
 }
 
--- a/jobs/leader/handler.go
+++ b/jobs/leader/handler.go
@@ -33,5 +33,5 @@
 
 func (c *Candidate) redirect() assignment.Redirect {
 	leader, _, _ := c.deps.Replica.Leader()
-	return assignment.Redirect{Term: leader.Term, Address: leader.Address, Self: c.settings.Incarnation}
+	return assignment.Redirect{Term: leader.Term, Address: leader.Address, EntryIncarnation: c.settings.Incarnation}
 }
--- a/jobs/leader/poll.go
+++ b/jobs/leader/poll.go
@@ -165,7 +165,7 @@
 		return f.acknowledge(w), true
 	}
 	fence := w.agent.offer(poll, f.lastPoll, f.nextFence)
-	return assignment.Answer{Term: f.term, Fence: fence, Offer: true}, true
+	return assignment.Answer{Term: f.term, Fence: fence, FenceOffered: true}, true
 }
 
 func (f *fleet) requestDecision() {
--- a/jobs/leader/poll_test.go
+++ b/jobs/leader/poll_test.go
@@ -71,7 +71,7 @@
 func TestLeasesOvertakenOnUnknownBase(t *testing.T) {
 	withLeases(t, func(t *testing.T, fl *fleet, _ *environment) {
 		ask(t, fl, poll(1))
-		unknown := assignment.Poll{Worker: "w", Agent: "a", Sequence: 2, Term: 3, Delta: &assignment.Delta{Sequence: 99}}
+		unknown := assignment.Poll{Worker: "w", Agent: "a", Sequence: 2, Term: 3, Delta: &assignment.Delta{BaseSequence: 99}}
 		unknown.Refused = []assignment.Refusal{{RunID: desiredRun}}
 		if a := ask(t, fl, unknown); a.AckedPoll != 0 || a.BasePoll != 1 {
 			t.Errorf("%d was acknowledged before anything was stored, on base %d, want 0 on 1", a.AckedPoll, a.BasePoll)
@@ -210,14 +210,14 @@
 	withFleet(t, 1, func(t *testing.T, fl *fleet, _ *counter) {
 		brief := agentPoll(0, 2, 0)
 		brief.Wait, brief.State, brief.Runs, brief.Complete = false, nil, nil, false
-		brief.Delta = &assignment.Delta{Sequence: 1, Percents: []int{30}}
+		brief.Delta = &assignment.Delta{BaseSequence: 1, Percents: []int{30}}
 		if a := ask(t, fl, brief); a.LeaseMillis == 0 || len(a.Start)+len(a.Stop) != 0 || a.BasePoll != 1 {
 			t.Errorf("it is answered with %+v", a)
 		}
 		if got := fl.take()["w-0"].poll; len(got.Runs) != 1 || got.Runs[0].Percent != 30 || got.Sequence != 2 {
 			t.Errorf("the decision gets %+v", got)
 		}
-		brief.Sequence, brief.Delta = 3, &assignment.Delta{Sequence: 2, Percents: []int{40}}
+		brief.Sequence, brief.Delta = 3, &assignment.Delta{BaseSequence: 2, Percents: []int{40}}
 		a := ask(t, fl, brief)
 		if a.LeaseMillis != 0 || len(a.Start)+len(a.Stop) != 0 || a.BasePoll != 1 || !a.Incarnation.IsZero() {
 			t.Errorf("on a poll that is not known here it is answered with %+v", a)
--- a/jobs/runner/answer.go
+++ b/jobs/runner/answer.go
@@ -9,8 +9,8 @@
 	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 )
 
-// applyAnswer applies a leader's answer to a poll that was sent then and described that
-// generation. An answer of an earlier term than the highest seen is dropped.
+// applyAnswer applies a leader's answer to a poll. sent is when the poll was sent, generation the
+// generation that it described. An answer of a term below the highest one seen is dropped.
 func (r *Runner) applyAnswer(ctx context.Context, a assignment.Answer, sent suspend.Instant, generation int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -18,10 +18,10 @@
 		return
 	}
 	r.applyTerm(a)
-	if a.Offer {
+	if a.FenceOffered {
 		return
 	}
-	r.comeBack()
+	r.resume()
 	r.applyFence(a.Fence)
 	maps.DeleteFunc(r.former.unacked, func(_ incarnation.ID, e endedIncarnation) bool { return e.ackedBy(a.AckedPoll) })
 	r.applyLease(a, sent)
@@ -37,24 +37,25 @@
 	r.applyOrders(ctx, a)
 }
 
-// applyTerm follows the leader of a term, and takes over what it has of the polls and the fence
-// that it offers. The lock must be held.
+// applyTerm follows the leader of the answer's term, and stores what the leader reports about the
+// agent's polls and the fence that it offers. The lock must be held.
 func (r *Runner) applyTerm(a assignment.Answer) {
 	if a.Term > r.leader.term {
 		r.dependencies.Logger.Info().Str("step", "runner.obey").Int64("term", a.Term).Int64("fence", a.Fence).
-			Msg("new leader is followed")
+			Msg("following new leader")
 		// The new leader has received none of the polls.
 		r.leader.term, r.present.capacity.ackedPoll = a.Term, 0
 	}
 	r.present.capacity.ackedPoll = max(r.present.capacity.ackedPoll, a.AckedPoll)
 	r.polls.base = a.BasePoll
-	if a.Offer {
-		r.leader.offered = max(r.leader.offered, a.Fence)
+	if a.FenceOffered {
+		r.leader.offeredFence = max(r.leader.offeredFence, a.Fence)
 	}
 }
 
-// applyFence takes over the fence of a session. Until the worker has seen it, orders with lower
-// ones may still change what it runs. The lock must be held.
+// applyFence adopts a newer fence from the leader. The agent's view of the runs is incomplete until
+// the worker has seen that fence: until then, orders with lower fences may still change what the
+// worker runs. The lock must be held.
 func (r *Runner) applyFence(fence int64) {
 	if fence > r.leader.fence {
 		r.leader.fence, r.present.complete = fence, false
@@ -62,8 +63,8 @@
 	}
 }
 
-// applyLease takes over a longer lease. It counts from when the poll was sent. The lock must be
-// held.
+// applyLease adopts the lease of the answer if it is longer than the present one. The lease counts
+// from the time at which the poll was sent. The lock must be held.
 func (r *Runner) applyLease(a assignment.Answer, sent suspend.Instant) {
 	until := sent.Add(a.Held() + a.Lease())
 	if a.LeaseMillis > 0 && r.monotonic(until).After(r.monotonic(r.leader.leaseUntil)) {
@@ -72,7 +73,7 @@
 	}
 }
 
-// applyAcks drops refusals and ends that the leader has stored. The lock must be held.
+// applyAcks drops the refusals and ends that the leader has stored. The lock must be held.
 func (r *Runner) applyAcks(a assignment.Answer) {
 	maps.DeleteFunc(r.present.refusals, func(_ assignment.RunID, f refusal) bool { return f.since < a.AckedPoll })
 	if r.present.ends.ack(a.AckedEnd) {
@@ -80,7 +81,7 @@
 	}
 }
 
-// applyRoles takes over how the worker's runs share its processors. The lock must be held.
+// applyRoles stores how the worker's runs share its processors. The lock must be held.
 func (r *Runner) applyRoles(roles []assignment.Role) {
 	r.present.throttle.assign(roles)
 	if len(roles) > 0 {
@@ -88,16 +89,16 @@
 	}
 }
 
-// applyOrders begins the starts and stops that the leader wants. The lock must be held.
+// applyOrders begins the starts and stops that the leader has ordered. The lock must be held.
 func (r *Runner) applyOrders(ctx context.Context, a assignment.Answer) {
 	for _, id := range a.Stop {
-		if !r.present.runs.over(id) {
+		if !r.present.runs.hasEnded(id) {
 			r.beginStop(ctx, id, reasonStopped)
 		}
 	}
 	for _, id := range a.StopUnlisted {
-		if r.present.runs.over(id) {
-			r.reportOver(id)
+		if r.present.runs.hasEnded(id) {
+			r.refuseEnded(id)
 			continue
 		}
 		r.beginStop(ctx, id, reasonStopped)
--- a/jobs/runner/delta_test.go
+++ b/jobs/runner/delta_test.go
@@ -9,23 +9,23 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// manyID is a run of one of many tasks.
-func manyID(index int) assignment.RunID {
+// manyTaskRun returns the run of one of many tasks.
+func manyTaskRun(index int) assignment.RunID {
 	return assignment.RunID{Task: job.TaskName{Job: "00000000000000ff", Index: index}, Run: 1}
 }
 
-// TestUnchangedIsNotToldAgain: an agent with eight runs sent the same 1.1 KB twice a second.
-// While nothing but percentages changes, a poll must have only a number for each run. Ends are
-// reported in full.
+// TestUnchangedIsNotToldAgain checks that, while only percentages change, a poll contains just one
+// number per run. Full polls would repeat 1.1 KB twice a second for an agent with eight runs. Ends
+// are still reported in full.
 func TestUnchangedIsNotToldAgain(t *testing.T) {
 	for _, n := range []int{4, 8} {
-		within(t, func(t *testing.T, a *agent) {
+		withAgent(t, func(t *testing.T, a *agent) {
 			a.workers.Expect(&job.Job{ID: "00000000000000ff", Service: "s", Steps: []job.Step{{Tasks: n}}})
 			a.workers.Work = 6 * time.Second
 			a.leader.mu.Lock()
-			a.leader.keeps = true
+			a.leader.keepsPolls = true
 			for i := range n {
-				a.leader.answer.Start = append(a.leader.answer.Start, assignment.Start{RunID: manyID(i)})
+				a.leader.answer.Start = append(a.leader.answer.Start, assignment.Start{RunID: manyTaskRun(i)})
 			}
 			a.leader.mu.Unlock()
 			time.Sleep(2 * time.Second)
@@ -38,30 +38,31 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				// The poll's frame takes some 150 bytes, a percentage and its comma up to four.
+				// The rest of the poll takes some 150 bytes, a percentage with its comma up to
+				// four.
 				if p.Delta == nil || len(data) > 150+4*n {
-					t.Errorf("with %d runs of which nothing but percentages changes a poll has %d bytes: %s", n, len(data), data)
+					t.Errorf("poll with %d runs of which only percentages change has %d bytes: %s", n, len(data), data)
 				}
 			}
 			if last.Delta == nil {
-				t.Fatalf("with %d runs the newest poll is no delta", n)
+				t.Fatalf("newest poll with %d runs is not a delta", n)
 			}
-			full, ok := last.Expand(a.leader.described(last.Delta.Sequence))
+			full, ok := last.Expand(a.leader.poll(last.Delta.BaseSequence))
 			if !ok || len(full.Runs) != n || full.State == nil || !full.Complete {
-				t.Fatalf("the leader understands %+v", full)
+				t.Fatalf("the delta expands to %+v", full)
 			}
 			if percent := full.Runs[0].Percent; percent <= 0 || percent >= 100 {
-				t.Errorf("the leader understands that the first run is at %d %%", percent)
+				t.Errorf("in the expanded delta the first run is at %d %%", percent)
 			}
 			time.Sleep(3 * time.Second)
 			if p := a.leader.last(); p.Delta != nil || len(p.Ends) != n {
-				t.Errorf("after %d runs have ended it is told %+v", n, p)
+				t.Errorf("after %d runs have ended the poll is %+v", n, p)
 			}
 		})
 	}
 }
 
-// after lists the polls after the one with a number.
+// after returns the polls after the one with the given number.
 func (o *leader) after(sequence int64) []assignment.Poll {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -74,5 +75,5 @@
 	return polls
 }
 
-// described is the poll with a number.
-func (o *leader) described(sequence int64) assignment.Poll { return o.after(sequence - 1)[0] }
+// poll returns the poll with the given number.
+func (o *leader) poll(sequence int64) assignment.Poll { return o.after(sequence - 1)[0] }
--- a/jobs/runner/ends.go
+++ b/jobs/runner/ends.go
@@ -7,17 +7,18 @@
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 )
 
-// endLog holds the ends that the worker has listed. Their numbers rise from 1 within an
+// endLog holds the ends that the worker has listed. Their numbers increase from 1 within an
 // incarnation.
 type endLog struct {
-	// unstored are the ends, by number, that the leader has not stored yet.
+	// unstored holds, by number, the ends that the leader has not stored yet.
 	unstored map[int64]assignment.End
-	// acked is up to which end the leader has stored them, forgotten up to which the worker has
-	// dropped them.
+	// acked is the highest end number that the leader has stored, forgotten the highest that the
+	// worker has dropped.
 	acked, forgotten int64
 }
 
-// ack notes that the leader has stored the ends up to a number. It reports whether that is news.
+// ack records that the leader has stored the ends up to a number. It reports whether that number is
+// higher than before.
 func (l *endLog) ack(number int64) bool {
 	if number <= l.acked {
 		return false
@@ -27,7 +28,7 @@
 	return true
 }
 
-// has reports whether the end of a run is about to be reported.
+// has reports whether the end of a run is waiting to be stored by the leader.
 func (l *endLog) has(id assignment.RunID) bool {
 	for _, e := range l.unstored {
 		if e.RunID == id {
@@ -37,7 +38,7 @@
 	return false
 }
 
-// list returns the unstored ends by number.
+// list returns the unstored ends, sorted by number.
 func (l *endLog) list() []assignment.End {
 	var ends []assignment.End
 	for _, n := range slices.Sorted(maps.Keys(l.unstored)) {
--- a/jobs/runner/export_test.go
+++ b/jobs/runner/export_test.go
@@ -2,8 +2,8 @@
 
 import "yarrowgrade.example/yarrowgrade/jobs/assignment"
 
-// SpeedAfter returns the speed of a best-effort run beside one with a latency target, after a
-// look at each of the latency figures of that one.
+// SpeedAfter returns the speed of a best-effort run that shares its worker with a run with a
+// latency target, after one adjustment for each of that run's latencies.
 func SpeedAfter(targeted, bestEffort assignment.RunID, target int64, latencies []int) int {
 	t := newThrottle()
 	t.assign([]assignment.Role{
--- a/jobs/runner/fixture_test.go
+++ b/jobs/runner/fixture_test.go
@@ -20,20 +20,20 @@
 
 const lease = 6 * time.Second
 
-// leader is a leader that wants what a test tells it to want.
+// leader is a fake leader whose orders are set by the test.
 type leader struct {
 	mu     sync.Mutex
 	answer assignment.Answer
-	heard  bool
+	acks   bool
 	polls  []assignment.Poll
 	down   bool
-	// rejection, if set, is the error of each poll.
+	// rejection, if set, is the error for every poll.
 	rejection error
-	// keeps says that it keeps full polls, so that deltas may build on them.
-	keeps bool
-	base  int64
-	// during, if set, is called while each poll is under way.
-	during func()
+	// keepsPolls is set if the leader keeps full polls, so that deltas may build on them.
+	keepsPolls bool
+	base       int64
+	// onPoll, if set, is called during each poll.
+	onPoll func()
 }
 
 // Poll implements runner.Leader.
@@ -46,8 +46,8 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.during != nil {
-		o.during()
+	if o.onPoll != nil {
+		o.onPoll()
 	}
 	if o.down {
 		return assignment.Answer{}, context.DeadlineExceeded
@@ -56,7 +56,7 @@
 		return assignment.Answer{}, o.rejection
 	}
 	a := o.answer
-	if o.keeps && p.Delta == nil {
+	if o.keepsPolls && p.Delta == nil {
 		o.base = max(o.base, p.Sequence)
 	}
 	a.BasePoll = o.base
@@ -66,7 +66,7 @@
 	if p.State != nil {
 		a.Incarnation = p.State.ID
 	}
-	if o.heard {
+	if o.acks {
 		a.AckedPoll = p.Sequence
 	}
 	return a, nil
@@ -78,14 +78,14 @@
 	f(&o.answer)
 }
 
-// reject answers polls with an error from now on, or takes them again if it is nil.
+// reject makes polls fail with an error, or succeed again if it is nil.
 func (o *leader) reject(err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.rejection = err
 }
 
-// last is the newest poll.
+// last returns the newest poll.
 func (o *leader) last() assignment.Poll {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -98,14 +98,14 @@
 	return newest
 }
 
-// all returns the polls in the order in which they came.
+// all returns the polls in order of arrival.
 func (o *leader) all() []assignment.Poll {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Clone(o.polls)
 }
 
-// agent is a runner beside a worker of jobtest.
+// agent is a runner together with a worker of jobtest.
 type agent struct {
 	leader  *leader
 	workers *jobtest.Workers
@@ -117,20 +117,20 @@
 
 func id(run int) assignment.RunID { return assignment.RunID{Task: task, Run: run} }
 
-// suspended is for how long the agent's machine was suspended, in nanoseconds.
+// suspended is the time for which the agent's machine has been suspended, in nanoseconds.
 var suspended atomic.Int64
 
-// agentSettings are those of an agent's process beside worker w.
+// agentSettings returns the settings of an agent's process for worker w.
 func agentSettings(process string) runner.Settings {
 	return runner.Settings{Name: "w", Agent: process, Lease: lease, Drift: 0.03, CordonWithin: jobtest.CordonBound}
 }
 
-// granting is a leader that grants leases in an open zone.
-func granting() *leader {
+// newGrantingLeader returns a leader that grants leases in a zone that is not cordoned.
+func newGrantingLeader() *leader {
 	return &leader{answer: assignment.Answer{Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds(), ZoneOpen: true}}
 }
 
-// startAgent starts a runner beside a worker of two accelerators.
+// startAgent starts a runner with a worker that has two accelerators.
 func startAgent(ctx context.Context, t *testing.T, o *leader) *agent {
 	a := &agent{workers: jobtest.NewWorkers(1), leader: o}
 	step := job.Step{Tasks: 1, Resources: job.Resources{Accelerators: 1}}
@@ -150,10 +150,10 @@
 	return a
 }
 
-func within(t *testing.T, f func(t *testing.T, a *agent)) {
+func withAgent(t *testing.T, f func(t *testing.T, a *agent)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		a := startAgent(ctx, t, granting())
+		a := startAgent(ctx, t, newGrantingLeader())
 		time.Sleep(time.Second)
 		f(t, a)
 		for _, b := range a.workers.Report() {
--- a/jobs/runner/golden_test.go
+++ b/jobs/runner/golden_test.go
@@ -28,15 +28,15 @@
 	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
 
-// wire is a transport that notes each request and gives each the same answer.
-type wire struct {
+// recordingTransport records each request and gives every request the same answer.
+type recordingTransport struct {
 	mu       sync.Mutex
 	requests bytes.Buffer
 	status   int
 	answer   []byte
 }
 
-func (w *wire) RoundTrip(r *http.Request) (*http.Response, error) {
+func (w *recordingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	body, _ := io.ReadAll(r.Body)
@@ -44,22 +44,22 @@
 	return &http.Response{StatusCode: w.status, Body: io.NopCloser(bytes.NewReader(w.answer)), Request: r}, nil
 }
 
-// answers sets what each request gets from now on.
-func (w *wire) answers(status int, answer []byte) {
+// respond sets the answer to all further requests.
+func (w *recordingTransport) respond(status int, answer []byte) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.status, w.answer = status, answer
 }
 
-// noted returns the requests so far.
-func (w *wire) noted() []byte {
+// recorded returns the requests so far.
+func (w *recordingTransport) recorded() []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return bytes.Clone(w.requests.Bytes())
 }
 
-// TestGoldenExchange: what is sent to a leader and to entries that are asked for it, and what
-// is learnt from the answers.
+// TestGoldenExchange checks the requests to a leader and to entries that are queried for it, and
+// what the client learns from the answers.
 func TestGoldenExchange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -69,15 +69,15 @@
 		directory := directory.NewDirectory(log.Client("a"), zerolog.Nop())
 		go directory.Run(ctx)
 		time.Sleep(time.Second)
-		w := &wire{}
-		w.answers(http.StatusOK, goldentest.Read(t, "redirect.json"))
+		w := &recordingTransport{}
+		w.respond(http.StatusOK, goldentest.Read(t, "redirect.json"))
 		client := runner.NewLeaderClient(directory, &http.Client{Transport: w})
 		poll := assignment.Poll{Worker: "worker-1", Agent: "agent-1", Sequence: 7, Term: 4}
 		if _, err := client.Poll(ctx, poll); err == nil {
-			t.Error("a leader answered before one was known")
+			t.Error("the poll succeeded before a leader was known")
 		}
 		time.Sleep(time.Second)
-		w.answers(http.StatusOK, goldentest.Read(t, "answer.json"))
+		w.respond(http.StatusOK, goldentest.Read(t, "answer.json"))
 		answer, err := client.Poll(ctx, poll)
 		if err != nil || answer.Term != 4 || answer.Fence != 65537 {
 			t.Errorf("got %+v, %v", answer, err)
@@ -85,45 +85,45 @@
 		if answer.Held() != 300*time.Millisecond || answer.Lease() != lease {
 			t.Errorf("got %v, %v", answer.Held(), answer.Lease())
 		}
-		w.answers(http.StatusConflict, []byte(`{"term":5,"address":"10.0.0.3:7000","self":"entry-2/1"}`))
+		w.respond(http.StatusConflict, []byte(`{"term":5,"address":"10.0.0.3:7000","self":"entry-2/1"}`))
 		if _, err := client.Poll(ctx, poll); err == nil {
-			t.Error("a redirect was taken for an answer")
+			t.Error("a redirect was accepted as an answer")
 		}
 		if got := directory.Leader(); got.Term != 5 || got.Address != "10.0.0.3:7000" {
-			t.Errorf("from the redirect was learnt %+v", got)
+			t.Errorf("after the redirect the leader is %+v", got)
 		}
 		time.Sleep(time.Second)
-		goldentest.Bytes(t, "leader-requests.txt", w.noted())
+		goldentest.Bytes(t, "leader-requests.txt", w.recorded())
 	})
 }
 
-// scripted is a worker that answers as a test tells it to.
-type scripted struct {
+// scriptedWorker is a worker whose answers are set by the test.
+type scriptedWorker struct {
 	mu      sync.Mutex
 	listing runner.Listing
 	err     error
 	starts  map[assignment.RunID]error
 }
 
-func (w *scripted) Start(_ context.Context, _ runner.Order, s assignment.Start, _ int64) (int64, error) {
+func (w *scriptedWorker) Start(_ context.Context, _ runner.Order, s assignment.Start, _ int64) (int64, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return 1000, w.starts[s.RunID]
 }
 
-func (w *scripted) Stop(context.Context, runner.Order, assignment.RunID) (int64, error) {
+func (w *scriptedWorker) Stop(context.Context, runner.Order, assignment.RunID) (int64, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return 1000, w.err
 }
 
-func (w *scripted) Throttle(context.Context, runner.Order, assignment.RunID, int) (int64, error) {
+func (w *scriptedWorker) Throttle(context.Context, runner.Order, assignment.RunID, int) (int64, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return 1000, w.err
 }
 
-func (w *scripted) Sync(
+func (w *scriptedWorker) Sync(
 	_ context.Context, _ runner.Order, _, _ int64, wait time.Duration,
 ) (runner.Listing, int64, error) {
 	time.Sleep(wait)
@@ -132,16 +132,16 @@
 	return w.listing, 1000, w.err
 }
 
-// set changes what the worker answers, and lets the agent hear it.
-func (w *scripted) set(change func(w *scripted)) {
+// set changes the worker's answers, and waits until the agent has received them.
+func (w *scriptedWorker) set(change func(w *scriptedWorker)) {
 	w.mu.Lock()
 	change(w)
 	w.mu.Unlock()
 	time.Sleep(3 * time.Second)
 }
 
-// lineShapes are the lines of a log as their levels, steps, fields and whether there is a text,
-// each once.
+// lineShapes returns each distinct combination of level, step and field names in a log, including
+// whether there is a message.
 func lineShapes(t *testing.T, log []byte) []byte {
 	t.Helper()
 	shapes := map[string]bool{}
@@ -156,13 +156,13 @@
 	return []byte(strings.Join(slices.Sorted(maps.Keys(shapes)), ""))
 }
 
-// TestGoldenLogLines: the steps and the fields of what an agent logs, which operators' tools
+// TestGoldenLogLines checks the steps and fields of the agent's log lines, which operators' tools
 // read.
 func TestGoldenLogLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var lines bytes.Buffer
-		w := &scripted{starts: map[assignment.RunID]error{}}
+		w := &scriptedWorker{starts: map[assignment.RunID]error{}}
 		o := &leader{answer: assignment.Answer{Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds()}}
 		r := runner.New(
 			runner.Settings{Name: "w", Agent: "1", Lease: lease, CordonWithin: jobtest.CordonBound, Service: "s", Zone: "z"},
@@ -175,14 +175,14 @@
 			},
 		)
 		go r.Run(ctx)
-		said := assignment.WorkerState{
+		reported := assignment.WorkerState{
 			ID:       incarnation.ID{Instance: "i-1"},
 			Service:  "s",
 			Zone:     "z",
 			Capacity: job.Resources{Accelerators: 8},
 		}
 		beat := func(change func(l *assignment.WorkerState)) {
-			changed := said
+			changed := reported
 			change(&changed)
 			r.Heartbeat(ctx, changed)
 		}
@@ -194,7 +194,7 @@
 			return list
 		}
 		start := func(run int) {
-			r.Heartbeat(ctx, said)
+			r.Heartbeat(ctx, reported)
 			o.set(func(a *assignment.Answer) { a.Start = []assignment.Start{{RunID: id(run)}} })
 			time.Sleep(time.Second)
 			o.set(func(a *assignment.Answer) { a.Start = nil })
@@ -202,37 +202,37 @@
 
 		start(1)
 		o.set(func(a *assignment.Answer) { a.ZoneOpen = true })
-		w.set(func(w *scripted) { w.listing.Runs = listed(1) })
+		w.set(func(w *scriptedWorker) { w.listing.Runs = listed(1) })
 		start(1)
-		w.set(func(w *scripted) { w.listing.Runs = listed(1) })
+		w.set(func(w *scriptedWorker) { w.listing.Runs = listed(1) })
 		beat(func(l *assignment.WorkerState) { l.Zone = "y" })
 		beat(func(l *assignment.WorkerState) { l.Capacity.Accelerators = 4 })
 		o.set(func(a *assignment.Answer) {
 			a.Roles = []assignment.Role{{RunID: id(1), BestEffort: true}, {RunID: id(2), LatencyTargetMillis: 100}}
 		})
-		w.set(func(w *scripted) { w.listing.Runs = listed(1, 2) })
+		w.set(func(w *scriptedWorker) { w.listing.Runs = listed(1, 2) })
 		o.set(func(a *assignment.Answer) { a.Roles, a.Stop = nil, []assignment.RunID{id(2)} })
-		w.set(func(w *scripted) { w.listing.Unreadable = []error{errors.New("unreadable")} })
-		w.set(func(w *scripted) {
+		w.set(func(w *scriptedWorker) { w.listing.Unreadable = []error{errors.New("unreadable")} })
+		w.set(func(w *scriptedWorker) {
 			w.listing = runner.Listing{Runs: listed(2), Ends: []assignment.End{{RunID: id(1), Number: 1, Reason: job.EndDone}}}
 		})
 		o.set(func(a *assignment.Answer) { a.Stop, a.AckedEnd = nil, 3 })
 		time.Sleep(time.Second)
-		w.set(func(w *scripted) {
+		w.set(func(w *scriptedWorker) {
 			w.listing = runner.Listing{Ends: []assignment.End{{RunID: id(9), Number: 2, Reason: job.EndDone}}}
 		})
-		w.set(func(w *scripted) { w.listing = runner.Listing{Runs: listed(10)} })
-		w.set(func(w *scripted) { w.err = errors.New("no answer") })
+		w.set(func(w *scriptedWorker) { w.listing = runner.Listing{Runs: listed(10)} })
+		w.set(func(w *scriptedWorker) { w.err = errors.New("no answer") })
 		time.Sleep(3 * lease)
-		w.set(func(w *scripted) { w.err, w.listing = nil, runner.Listing{Runs: listed(11)} })
+		w.set(func(w *scriptedWorker) { w.err, w.listing = nil, runner.Listing{Runs: listed(11)} })
 		beat(func(l *assignment.WorkerState) { l.ID.Instance = "i-0" })
 		beat(func(l *assignment.WorkerState) { l.Draining, l.DrainMillis = true, 900 })
 		r.Deregister("i-1")
-		said.ID.StartMillis = 1764722812345
-		r.Heartbeat(ctx, said)
-		w.set(func(w *scripted) { w.listing.StartMillis, w.listing.Runs = said.ID.StartMillis, listed(12) })
+		reported.ID.StartMillis = 1764722812345
+		r.Heartbeat(ctx, reported)
+		w.set(func(w *scriptedWorker) { w.listing.StartMillis, w.listing.Runs = reported.ID.StartMillis, listed(12) })
 		r.Deregister("i-1")
-		w.set(func(w *scripted) { w.err = runner.ErrOtherIncarnation })
+		w.set(func(w *scriptedWorker) { w.err = runner.ErrOtherIncarnation })
 		cancel()
 		time.Sleep(20 * time.Second)
 		goldentest.Bytes(t, "log-lines.txt", lineShapes(t, lines.Bytes()))
--- a/jobs/runner/incarnations.go
+++ b/jobs/runner/incarnations.go
@@ -12,13 +12,13 @@
 	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 )
 
-// formerIncarnations are the incarnations of the worker that have ended.
+// formerIncarnations holds the ended incarnations of the worker.
 type formerIncarnations struct {
 	known map[incarnation.ID]bool
-	// unacked are those whose end the leader has not acknowledged yet.
+	// unacked holds the incarnations whose end the leader has not acknowledged yet.
 	unacked map[incarnation.ID]endedIncarnation
-	// unregistered is the present incarnation after the end of one, if a list has named it and
-	// it has not reported yet.
+	// unregistered is an incarnation that follows an ended one and is known only from a list; it
+	// has not sent a heartbeat yet. It is zero if there is none.
 	unregistered incarnation.ID
 }
 
@@ -26,26 +26,26 @@
 	return formerIncarnations{known: map[incarnation.ID]bool{}, unacked: map[incarnation.ID]endedIncarnation{}}
 }
 
-// endedIncarnation is an incarnation whose end is reported until the leader has acknowledged a
-// poll with it.
+// endedIncarnation is an incarnation whose end is reported until the leader has acknowledged a poll
+// that contains it.
 type endedIncarnation struct {
 	assignment.IncarnationEnd
-	// since is the number of the poll since which all polls report it; zero if the newest did
-	// not.
+	// since is the number of the first poll of the present unbroken series that reports the end;
+	// zero if the newest poll did not report it.
 	since int64
-	// ordersVoid is set once no order for it can have an effect any more. Until then its end is
-	// not reported, since the leader would place its runs again.
+	// ordersVoid is set once no order for the incarnation can take effect. Its end is not reported
+	// before that, because the leader would place its runs again.
 	ordersVoid bool
 	// lastContact is when the worker was last known to be running; zero if this agent had no
 	// contact with it.
 	lastContact time.Time
 }
 
-// ackedBy reports whether the end is acknowledged with the poll of a number.
+// ackedBy reports whether the acknowledgment of a poll covers the end.
 func (e endedIncarnation) ackedBy(poll int64) bool { return e.since != 0 && e.since <= poll }
 
-// noteDrained notes the end of an incarnation that is not the present one.
-func (f *formerIncarnations) noteDrained(id incarnation.ID) {
+// recordDrained records the end of an incarnation other than the present one.
+func (f *formerIncarnations) recordDrained(id incarnation.ID) {
 	if _, ok := f.unacked[id]; ok {
 		return
 	}
@@ -56,21 +56,21 @@
 	}
 }
 
-// voidOrders notes that no order for a former incarnation can have an effect any more. It
-// reports whether that is news.
+// voidOrders records that no order for a former incarnation can take effect. It reports whether
+// that was not known before for one of them.
 func (f *formerIncarnations) voidOrders() bool {
-	news := false
+	changed := false
 	for id, e := range f.unacked {
 		if !e.ordersVoid {
 			e.ordersVoid = true
 			f.unacked[id] = e
-			news = true
+			changed = true
 		}
 	}
-	return news
+	return changed
 }
 
-// closing lists the incarnations that are over and that the newest poll doesn't report as ended.
+// closing lists the ended incarnations whose end the newest poll does not report.
 func (f *formerIncarnations) closing() []incarnation.ID {
 	var ids []incarnation.ID
 	for id, e := range f.unacked {
@@ -81,10 +81,10 @@
 	return ids
 }
 
-// reportEnded lists the ended incarnations that the poll being made reports. One that shares
-// its instance with the present incarnation is reported only beside a complete list: orders for
-// the former one may have been carried out by the present one, and the leader has to see both
-// at once. The lock must be held.
+// reportEnded lists the ended incarnations that the poll being made reports. An incarnation that
+// shares its instance with the present one is reported only with a complete list: the present
+// incarnation may have carried out orders for the former one, and the leader has to see both at
+// once. The lock must be held.
 func (r *Runner) reportEnded() []assignment.IncarnationEnd {
 	var ends []assignment.IncarnationEnd
 	byName := func(a, b incarnation.ID) int { return cmp.Compare(a.String(), b.String()) }
@@ -98,25 +98,25 @@
 		e.since = cmp.Or(e.since, r.polls.sequence)
 		r.former.unacked[id] = e
 		if !e.lastContact.IsZero() {
-			e.SinceMillis = time.Since(e.lastContact).Milliseconds()
+			e.LastContactMillis = time.Since(e.lastContact).Milliseconds()
 		}
 		ends = append(ends, e.IncarnationEnd)
 	}
 	return ends
 }
 
-// needsList reports whether the end of a former incarnation has to wait for the list of the
-// present one. The lock must be held.
+// needsList reports whether the end of a former incarnation has to wait for the list of the present
+// one. The lock must be held.
 func (r *Runner) needsList(former incarnation.ID) bool {
 	return !r.described() && r.worker != nil && r.worker.ID.SharesInstance(former)
 }
 
-// errDrained is why the incarnation ends of a worker that has deregistered.
+// errDrained is the reason for the end of an incarnation that has deregistered.
 var errDrained = errors.New("the worker has deregistered")
 
 // endIncarnation ends the present incarnation. The lock must be held.
 func (r *Runner) endIncarnation(why error) {
-	lastContact := r.present.contact.last()
+	lastContact := r.present.contact.lastConfirmed()
 	drained := errors.Is(why, errDrained) || r.worker.Draining && !lastContact.Before(r.present.drainsAt)
 	end := assignment.IncarnationEnd{
 		ID:       r.worker.ID,
@@ -141,16 +141,16 @@
 	case errors.As(why, &restarted):
 		r.former.unregistered = restarted.present
 	case !errors.Is(why, errDrained):
-		// Another instance is there, which refuses what was sent to this one.
-		r.open.meet("")
+		// The worker has another instance, which refuses orders for this one.
+		r.open.switchTo("")
 	}
 	signal(r.report)
 }
 
-// ordersVoid reports whether no order for the present incarnation, which ends, can have an
-// effect any more: the worker has another instance, or it has drained and no start is
-// uncertain. An incarnation that shares the instance has not seen a fence yet, and may carry
-// out an order that is under way. The lock must be held.
+// ordersVoid reports whether no order for the present incarnation, which is ending, can take
+// effect: the worker has another instance, or it has drained and the outcome of every start is
+// known. A new incarnation that shares the instance has not seen a fence yet, and may carry out an
+// order that is still in flight. The lock must be held.
 func (r *Runner) ordersVoid(why error) bool {
 	switch {
 	case r.worker.ID.StartMillis == 0:
@@ -162,11 +162,11 @@
 	return !errors.As(why, &restarted)
 }
 
-// logEnd logs how an incarnation ended and what was running. The lock must be held.
+// logEnd logs how an incarnation ended and which runs it had. The lock must be held.
 func (r *Runner) logEnd(end assignment.IncarnationEnd, why error) {
 	r.dependencies.Logger.Info().Str("step", "runner.endLife").Stringer("life", end.ID).AnErr("why", why).
 		Bool("left", end.Drained).Int("runs", len(end.Runs)).
-		Int64("silent_ms", time.Since(r.present.contact.last()).Milliseconds()).Msg("incarnation is over")
+		Int64("silent_ms", time.Since(r.present.contact.lastConfirmed()).Milliseconds()).Msg("incarnation ended")
 	for _, run := range end.Runs {
 		r.dependencies.Logger.Info().Str("step", "runner.endLife").Stringer("life", end.ID).
 			Bool("left", end.Drained).Stringer("task", run.Task).Int("run", run.Run).
@@ -174,9 +174,9 @@
 	}
 }
 
-// fenceUnregistered sends the present fence to an incarnation that has not reported yet. Until it
-// has seen one, it would carry out orders for former incarnations that are still under way,
-// though their runs may be placed elsewhere by now.
+// fenceUnregistered sends the present fence to an incarnation that has not sent a heartbeat yet.
+// Until it has seen a fence, it carries out orders for former incarnations that are still in
+// flight, although their runs may have been placed elsewhere.
 func (r *Runner) fenceUnregistered(ctx context.Context) {
 	r.mu.Lock()
 	order, generation := Order{Incarnation: r.former.unregistered, Fence: r.orderFence()}, r.generation
@@ -194,7 +194,8 @@
 	switch {
 	case generation != r.generation || r.worker != nil:
 	case errors.As(err, &restarted):
-		// It has restarted once more, and the new incarnation has seen the fence by this call.
+		// The worker has restarted once more, and the new incarnation has seen the fence through
+		// this call.
 		r.former.unregistered = restarted.present
 	case errors.Is(err, ErrOtherIncarnation):
 		r.former.unregistered = incarnation.ID{}
--- a/jobs/runner/incarnations_test.go
+++ b/jobs/runner/incarnations_test.go
@@ -10,9 +10,9 @@
 	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 )
 
-// TestNewLife: the end of an incarnation is reported, and its runs are forgotten.
+// TestNewLife checks that the end of an incarnation is reported and that its runs are dropped.
 func TestNewLife(t *testing.T) {
-	within(t, func(t *testing.T, a *agent) {
+	withAgent(t, func(t *testing.T, a *agent) {
 		a.leader.set(func(answer *assignment.Answer) { answer.Start = []assignment.Start{{RunID: id(1)}} })
 		time.Sleep(500 * time.Millisecond)
 		a.leader.set(func(answer *assignment.Answer) { answer.Start = nil })
@@ -21,22 +21,22 @@
 		time.Sleep(50 * time.Millisecond)
 		next, _ := a.worker.Beat()
 		if !a.runner.Heartbeat(t.Context(), next) || a.runner.Heartbeat(t.Context(), old) {
-			t.Error("the new incarnation must be taken and the old one not")
+			t.Error("want the heartbeat of the new incarnation to be accepted and that of the old one to be rejected")
 		}
 		time.Sleep(time.Second)
 		p := a.leader.last()
 		if p.State.ID != next.ID || len(p.Runs) != 0 {
-			t.Errorf("the incarnation is %v, and the runs %+v", p.State.ID, p.Runs)
+			t.Errorf("incarnation is %v with runs %+v", p.State.ID, p.Runs)
 		}
 		if len(p.EndedIncarnations) != 1 || p.EndedIncarnations[0].ID != old.ID {
-			t.Errorf("the ended incarnations are %+v", p.EndedIncarnations)
+			t.Errorf("ended incarnations are %+v", p.EndedIncarnations)
 		}
 	})
 }
 
-// TestLifeEnd: the report of an incarnation's end says how it ended and what was running: a run
-// that had started with its age, one whose start got no answer, and none whose start was never
-// sent.
+// TestLifeEnd checks that the report of an incarnation's end says how it ended and which runs it
+// had: a run that had started, with its age, and a run whose start got no answer, but no run whose
+// start was never sent.
 func TestLifeEnd(t *testing.T) {
 	started := assignment.InterruptedRun{RunID: id(1), Started: true, AgeMillis: 400}
 	ending := func(runs ...assignment.InterruptedRun) assignment.IncarnationEnd {
@@ -46,9 +46,9 @@
 		return func(a *agent, _ string) { a.workers.CrashOn(task, d, 3*time.Second) }
 	}
 	tests := []struct {
-		name   string
-		strike func(a *agent, instance string)
-		want   assignment.IncarnationEnd
+		name string
+		act  func(a *agent, instance string)
+		want assignment.IncarnationEnd
 	}{
 		{"a run crashes it", crashAfter(400 * time.Millisecond), ending(started)},
 		{"a start crashes it", crashAfter(0), ending(assignment.InterruptedRun{RunID: id(1)})},
@@ -64,10 +64,10 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			within(t, func(t *testing.T, a *agent) {
+			withAgent(t, func(t *testing.T, a *agent) {
 				present, _ := a.worker.Beat()
 				test.want.ID, test.want.Complete = present.ID, true
-				test.strike(a, present.ID.Instance)
+				test.act(a, present.ID.Instance)
 				a.leader.set(func(answer *assignment.Answer) { answer.Start = []assignment.Start{{RunID: id(1)}} })
 				time.Sleep(3500 * time.Millisecond)
 				next, _ := a.worker.Beat()
@@ -75,24 +75,24 @@
 				time.Sleep(300 * time.Millisecond)
 				p := a.leader.last()
 				if len(p.EndedIncarnations) != 1 {
-					t.Fatalf("the lives that are over are %+v, want %+v", p.EndedIncarnations, test.want)
+					t.Fatalf("ended incarnations are %+v, want %+v", p.EndedIncarnations, test.want)
 				}
-				p.EndedIncarnations[0].SinceMillis = 0
-				for i, cut := range p.EndedIncarnations[0].Runs {
-					p.EndedIncarnations[0].Runs[i].AgeMillis = cut.AgeMillis / 100 * 100
+				p.EndedIncarnations[0].LastContactMillis = 0
+				for i, run := range p.EndedIncarnations[0].Runs {
+					p.EndedIncarnations[0].Runs[i].AgeMillis = run.AgeMillis / 100 * 100
 				}
 				if !reflect.DeepEqual(p.EndedIncarnations[0], test.want) {
-					t.Errorf("the life ended as %+v, want %+v", p.EndedIncarnations[0], test.want)
+					t.Errorf("the incarnation ended as %+v, want %+v", p.EndedIncarnations[0], test.want)
 				}
 			})
 		})
 	}
 }
 
-// TestLateHeartbeat: a late heartbeat of an incarnation that has crashed changes nothing, also
-// at an agent that began after that incarnation and has not heard of it.
+// TestLateHeartbeat checks that a late heartbeat of a crashed incarnation has no effect, even at an
+// agent that started after that incarnation and does not know it.
 func TestLateHeartbeat(t *testing.T) {
-	within(t, func(t *testing.T, a *agent) {
+	withAgent(t, func(t *testing.T, a *agent) {
 		a.workers.SetWork(time.Minute)
 		a.leader.set(func(answer *assignment.Answer) { answer.Start = []assignment.Start{{RunID: id(1)}} })
 		time.Sleep(500 * time.Millisecond)
@@ -100,15 +100,15 @@
 		late := present
 		late.ID = incarnation.ID{Instance: "an incarnation that the agent never knew"}
 		if a.runner.Heartbeat(t.Context(), late) {
-			t.Error("the late heartbeat was taken")
+			t.Error("the late heartbeat was accepted")
 		}
 		time.Sleep(time.Second)
 		p := a.leader.last()
 		if p.State == nil || p.State.ID != present.ID || len(p.Runs) != 1 || len(p.EndedIncarnations) != 0 {
-			t.Errorf("after it the agent says %+v", p)
+			t.Errorf("after the late heartbeat the agent polls %+v", p)
 		}
 		if !a.runner.Heartbeat(t.Context(), present) {
-			t.Error("the next heartbeat of the present life was not taken")
+			t.Error("the next heartbeat of the present incarnation was rejected")
 		}
 	})
 }
--- a/jobs/runner/leader_client.go
+++ b/jobs/runner/leader_client.go
@@ -18,30 +18,30 @@
 )
 
 const (
-	// maxAnswerBytes bounds an answer of a leader or an entry.
+	// maxAnswerBytes limits the size of an answer from a leader or an entry.
 	maxAnswerBytes = 4 << 20
-	// askTimeout bounds the question to an entry who the leader is; askPause is the shortest
-	// time between two rounds.
-	askTimeout = 500 * time.Millisecond
-	askPause   = 300 * time.Millisecond
-	// askedAtOnce is how many entries are asked in a round, drawn at random: so few that an
-	// outage of the store doesn't let all agents flood all entries, and enough that one of them
-	// most likely knows.
-	askedAtOnce = 3
+	// queryTimeout limits a query to an entry for the leader. queryInterval is the minimum time
+	// between two rounds of queries.
+	queryTimeout  = 500 * time.Millisecond
+	queryInterval = 300 * time.Millisecond
+	// entriesPerRound is the number of randomly drawn entries that are queried in a round. It is
+	// small enough that all agents together do not flood the entries during an outage of the store,
+	// and large enough that one of the entries most likely knows the leader.
+	entriesPerRound = 3
 )
 
-// LeaderClient carries polls to the leader. It finds the leader by the directory, and while
-// that can't be read by what entries say. It implements Leader.
+// LeaderClient sends polls to the leader. It finds the leader in the directory, or by querying
+// entries while the directory cannot be read. It implements Leader.
 type LeaderClient struct {
 	directory *directory.Directory
 	client    *http.Client
 
 	mu sync.Mutex
-	// askedAt is when the newest round of questions began.
-	askedAt time.Time
+	// queriedAt is when the newest round of queries began.
+	queriedAt time.Time
 }
 
-// NewLeaderClient returns a client that looks the leader up in the directory.
+// NewLeaderClient returns a client that looks up the leader in the directory.
 func NewLeaderClient(d *directory.Directory, client *http.Client) *LeaderClient {
 	return &LeaderClient{directory: d, client: client}
 }
@@ -49,12 +49,13 @@
 // errNoLeader is returned while no leader is known.
 var errNoLeader = errors.New("no leader is known")
 
-// SupersededError is returned if the leader of a term hears a newer process of the agent.
+// SupersededError is returned if the leader of a term accepts polls from a newer process of the
+// agent.
 type SupersededError struct{ Term int64 }
 
 // Error implements error.
 func (e *SupersededError) Error() string {
-	return fmt.Sprintf("the leader of term %d hears a newer process of the agent", e.Term)
+	return fmt.Sprintf("the leader of term %d accepts polls from a newer process of the agent", e.Term)
 }
 
 // isSuperseded reports whether err is a SupersededError.
@@ -63,12 +64,12 @@
 	return errors.As(err, &superseded)
 }
 
-// Poll implements Leader. A poll that failed asks entries who the leader is, so that a later
-// one may find it, unless it was the leader that answered.
+// Poll implements Leader. If a poll fails, Poll queries entries for the leader, so that a later
+// poll may find it. It does not do so if the answer came from the leader.
 func (l *LeaderClient) Poll(ctx context.Context, p assignment.Poll) (assignment.Answer, error) {
 	leader, changed := l.directory.Leader(), l.directory.Changed()
 	if leader.Address == "" {
-		l.ask(ctx)
+		l.queryEntries(ctx)
 		return assignment.Answer{}, errNoLeader
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -83,13 +84,13 @@
 	case err == nil:
 		return answer, nil
 	case !isSuperseded(err):
-		l.ask(ctx)
+		l.queryEntries(ctx)
 	}
 	return answer, fault.New("runner.Poll", leader.Address, err)
 }
 
-// cancelAfter cancels a poll at the leader of a term once the directory, which then has
-// changed, names a later one.
+// cancelAfter cancels a poll to the leader of a term once the directory has changed and names the
+// leader of a later term.
 func (l *LeaderClient) cancelAfter(ctx context.Context, term int64, changed <-chan struct{}, cancel func()) {
 	select {
 	case <-changed:
@@ -100,26 +101,27 @@
 	}
 }
 
-// ask begins a round of questions to a few entries, unless one has begun within askPause.
-func (l *LeaderClient) ask(ctx context.Context) {
+// queryEntries starts a round of queries to a few entries, unless one has started within
+// queryInterval.
+func (l *LeaderClient) queryEntries(ctx context.Context) {
 	l.mu.Lock()
-	early := time.Since(l.askedAt) < askPause
+	early := time.Since(l.queriedAt) < queryInterval
 	if !early {
-		l.askedAt = time.Now()
+		l.queriedAt = time.Now()
 	}
 	l.mu.Unlock()
 	if early {
 		return
 	}
-	for _, address := range sample.Draw(l.directory.Addresses(), askedAtOnce) {
-		go l.askEntry(context.WithoutCancel(ctx), address)
+	for _, address := range sample.Draw(l.directory.Addresses(), entriesPerRound) {
+		go l.queryEntry(context.WithoutCancel(ctx), address)
 	}
 }
 
-// askEntry asks an entry who the leader is. One that doesn't know or doesn't answer is passed
-// over.
-func (l *LeaderClient) askEntry(ctx context.Context, address string) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// queryEntry asks an entry for the leader. An entry that does not know it or does not answer is
+// ignored.
+func (l *LeaderClient) queryEntry(ctx context.Context, address string) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	var r assignment.Redirect
 	status, err := l.exchange(ctx, http.MethodGet, address, assignment.LeaderPath, nil, &r)
@@ -128,8 +130,9 @@
 	}
 }
 
-// exchange makes one exchange, and decodes the body of a success into out. From a redirect it
-// learns the leader; its error is a SupersededError if the leader hears a newer process.
+// exchange sends a request and decodes the body of a successful response into out. A redirect
+// updates the leader in the directory. The error is a SupersededError if the leader accepts polls
+// from a newer process of the agent.
 func (l *LeaderClient) exchange(ctx context.Context, method, address, path string, body, out any) (int, error) {
 	var data []byte
 	if body != nil {
--- a/jobs/runner/leader_client_test.go
+++ b/jobs/runner/leader_client_test.go
@@ -18,20 +18,20 @@
 	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
 
-// countingTransport answers nothing and counts what it was asked.
+// countingTransport answers no request and counts the queries for the leader.
 type countingTransport struct{ asked atomic.Int64 }
 
 func (c *countingTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.URL.Path == assignment.LeaderPath {
 		c.asked.Add(1)
 	}
-	return nil, errors.New("nobody there")
+	return nil, errors.New("connection refused")
 }
 
-// TestFewEntriesAreAsked: when a third of the entries could not reach the store, each of 800
-// agents asked each of 183 entries who leads, three times a second: 160,000 connections, and 27
-// MB of memory at each entry instead of 7. How many entries an agent asks must not depend on
-// how many there are.
+// TestFewEntriesAreAsked checks that the number of entries that an agent queries does not depend on
+// how many there are. Querying all of them scales badly: when a third of the entries could not
+// reach the store, 800 agents that each queried 183 entries three times a second caused 160,000
+// connections, and 27 MB of memory at each entry instead of 7.
 func TestFewEntriesAreAsked(t *testing.T) {
 	for _, n := range []int{20, 40} {
 		synctest.Test(t, func(t *testing.T) {
@@ -49,12 +49,12 @@
 			const rounds = 10
 			for range rounds {
 				if _, err := client.Poll(ctx, assignment.Poll{}); err == nil {
-					t.Fatal("a leader was found where there is none")
+					t.Fatal("the poll succeeded although there is no leader")
 				}
 				time.Sleep(time.Second)
 			}
 			if got := counted.asked.Load(); got == 0 || got > 3*rounds {
-				t.Errorf("of %d entries %d were asked in %d rounds, want at most 3 in each", n, got, rounds)
+				t.Errorf("with %d entries, %d queries were sent in %d rounds, want at most 3 in each", n, got, rounds)
 			}
 		})
 	}
--- a/jobs/runner/lease.go
+++ b/jobs/runner/lease.go
@@ -6,34 +6,34 @@
 	"yarrowgrade.example/yarrowgrade/internal/suspend"
 )
 
-// leadership is what leaders have granted.
+// leadership holds what the agent has received from leaders.
 type leadership struct {
 	term  int64
 	fence int64
-	// offered is the newest fence that a leader has offered without hearing this process yet.
-	offered int64
-	// refused is the fence that the worker has refused, since it has seen a higher one.
-	refused int64
-	// superseded is set while the leader hears a newer process of the agent.
+	// offeredFence is the newest fence that a leader has offered before accepting this process.
+	offeredFence int64
+	// refusedFence is the fence that the worker has refused because it has seen a higher one.
+	refusedFence int64
+	// superseded is set while the leader accepts polls from a newer process of the agent.
 	superseded bool
 	// leaseUntil is the end of the lease that the leader granted.
 	leaseUntil suspend.Instant
 }
 
-// fenceIncarnationBits are the low bits of a fence, which count the worker's incarnations; the
-// leader's fence stands above them. So fences stay below 2^53, the largest whole number that
-// each JSON reader knows, for half a million terms.
+// fenceIncarnationBits is the number of low bits of a fence that count the worker's incarnations.
+// The leader's fence occupies the bits above. Fences thus stay below 2^53, the largest integer that
+// every JSON reader represents exactly, for half a million terms.
 const fenceIncarnationBits = 14
 
-// orderFence is the fence of orders for the present incarnation. An order can't name an
-// incarnation among those that share an instance, and a new one has seen no fence; the first
-// call that brings this fence voids what was sent to former ones. The lock must be held.
+// orderFence returns the fence of orders for the present incarnation. An order cannot distinguish
+// incarnations that share an instance, and a new incarnation has seen no fence. The first call with
+// this fence voids the orders that were sent to former incarnations. The lock must be held.
 func (r *Runner) orderFence() int64 {
 	return r.leader.fence<<fenceIncarnationBits | int64(min(r.generation, 1<<fenceIncarnationBits-1))
 }
 
-// order returns what comes with a call, or false while there is no worker or no fence. The lock
-// must be held.
+// order returns the incarnation and the fence for a call. It returns false while there is no worker
+// or no fence. The lock must be held.
 func (r *Runner) order() (Order, bool) {
 	if r.worker == nil || r.leader.fence == 0 {
 		return Order{}, false
@@ -41,10 +41,9 @@
 	return Order{Incarnation: r.worker.ID, Fence: r.orderFence()}, true
 }
 
-// leaseDeadline is the end of the lease by the worker's clock, in milliseconds, and false if
-// there is none: the leader has granted none, or the worker is unresponsive. In that case the
-// lease that it may have received must not grow, or it would never be over. The lock must be
-// held.
+// leaseDeadline returns the end of the lease by the worker's clock, in milliseconds. It returns
+// false if there is no lease: the leader has granted none, or the worker is unresponsive. The lease
+// of an unresponsive worker must not grow, or it would never expire. The lock must be held.
 func (r *Runner) leaseDeadline(now time.Time) (int64, bool) {
 	until := r.monotonic(r.leader.leaseUntil)
 	clock := r.present.clock
@@ -60,8 +59,8 @@
 	return clock.at(until), true
 }
 
-// monotonic is an instant on the monotonic clock of this process, moved back by what the
-// machine has been suspended since: the leader's clock went on.
+// monotonic converts an instant to the monotonic clock of this process, moved back by the time for
+// which the machine has been suspended since: the leader's clock kept running.
 func (r *Runner) monotonic(i suspend.Instant) time.Time {
 	return r.dependencies.Suspension.Monotonic(i)
 }
--- a/jobs/runner/listing.go
+++ b/jobs/runner/listing.go
@@ -6,32 +6,32 @@
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 )
 
-// takeList takes over what the worker listed. Of the runs that were running when the list was
-// asked for, those that are not listed have ended; their ends are listed too, or nobody will
-// read them. The lock must be held.
-func (r *Runner) takeList(l Listing, running map[assignment.RunID]bool) {
-	r.noteUnreadable(l)
-	news := !r.present.complete
+// applyListing applies a list from the worker. Runs that were running when the list was requested
+// and that it does not contain have ended. Their ends are in the same list, or can no longer be
+// read. The lock must be held.
+func (r *Runner) applyListing(l Listing, running map[assignment.RunID]bool) {
+	r.recordUnreadable(l)
+	changed := !r.present.complete
 	r.present.complete = true
-	if l.whole() && r.former.voidOrders() {
+	if l.readable() && r.former.voidOrders() {
 		signal(r.report)
 	}
 	clear(r.present.runs.abandoned)
-	news = r.takeRuns(l.Runs) || news
-	news = r.takeEnds(l.Ends) || news
-	if l.whole() {
+	changed = r.applyRuns(l.Runs) || changed
+	changed = r.applyEnds(l.Ends) || changed
+	if l.readable() {
 		r.dropUnlisted(l, running)
 	}
-	if news {
+	if changed {
 		signal(r.report)
 	}
 }
 
-// takeRuns takes over the listed runs, and reports whether one of them was not known. The lock
-// must be held.
-func (r *Runner) takeRuns(listed []assignment.Run) (news bool) {
+// applyRuns applies the listed runs, and reports whether one of them was unknown. The lock must be
+// held.
+func (r *Runner) applyRuns(listed []assignment.Run) (changed bool) {
 	for _, run := range listed {
-		if r.present.runs.over(run.RunID) {
+		if r.present.runs.hasEnded(run.RunID) {
 			// A newer list has overtaken this one.
 			continue
 		}
@@ -39,35 +39,35 @@
 		if k == nil {
 			k = newRun()
 			r.present.runs.known[run.RunID] = k
-			news = true
+			changed = true
 		}
 		k.running = true
 		k.percent = run.Percent
 		k.latencyMillis = run.LatencyMillis
 		k.listedAt = time.Now()
 	}
-	return news
+	return changed
 }
 
-// takeEnds takes over the listed ends, and reports whether one of them was not known. The lock
-// must be held.
-func (r *Runner) takeEnds(listed []assignment.End) (news bool) {
+// applyEnds applies the listed ends, and reports whether one of them was unknown. The lock must be
+// held.
+func (r *Runner) applyEnds(listed []assignment.End) (changed bool) {
 	for _, e := range listed {
 		if e.Number <= r.present.ends.acked {
-			r.noteSkipped(e)
+			r.recordSkippedEnd(e)
 			continue
 		}
 		if _, known := r.present.ends.unstored[e.Number]; !known {
-			r.takeEnd(e)
-			news = true
+			r.addEnd(e)
+			changed = true
 		}
 		r.present.runs.end(e.RunID)
 	}
-	return news
+	return changed
 }
 
-// takeEnd takes over an end that was not known. The lock must be held.
-func (r *Runner) takeEnd(e assignment.End) {
+// addEnd stores a new end. The lock must be held.
+func (r *Runner) addEnd(e assignment.End) {
 	if k := r.present.runs.known[e.RunID]; k != nil {
 		e.TookMillis = k.age(time.Now()).Milliseconds()
 	}
@@ -77,7 +77,8 @@
 		Str("how", string(e.Reason)).Int64("number", e.Number).Msg("run ended")
 }
 
-// dropUnlisted ends the runs that are gone from the worker's list. The lock must be held.
+// dropUnlisted marks as ended the runs that are missing from the worker's list. The lock must be
+// held.
 func (r *Runner) dropUnlisted(l Listing, running map[assignment.RunID]bool) {
 	listed := make(map[assignment.RunID]bool, len(l.Runs))
 	for _, run := range l.Runs {
@@ -85,40 +86,41 @@
 	}
 	for id := range running {
 		if k := r.present.runs.known[id]; k != nil && k.running && !listed[id] {
-			r.noteGone(id, l)
+			r.recordVanishedRun(id, l)
 			r.present.runs.end(id)
 		}
 	}
 }
 
-// noteUnreadable logs rows that can't be read, when the first list with such rows comes. The
-// lock must be held.
-func (r *Runner) noteUnreadable(l Listing) {
+// recordUnreadable counts the rows that cannot be read, and logs the first list of a series with
+// such rows. The lock must be held.
+func (r *Runner) recordUnreadable(l Listing) {
 	r.metrics.unreadableRows.Inc(int64(len(l.Unreadable)))
-	if !l.whole() && !r.unreadableRows {
+	if !l.readable() && !r.unreadableRows {
 		r.dependencies.Logger.Warn().Str("step", "runner.list").Stringer("life", r.worker.ID).
 			Int("rows", len(l.Unreadable)).Err(l.Unreadable[0]).
-			Msg("rows of the worker's list can't be read; the others are taken")
+			Msg("skipping unreadable rows of the worker's list")
 	}
-	r.unreadableRows = !l.whole()
+	r.unreadableRows = !l.readable()
 }
 
-// noteSkipped logs an end that counts as stored by its number though this agent has not read
-// it. The lock must be held.
-func (r *Runner) noteSkipped(e assignment.End) {
-	if r.present.runs.over(e.RunID) {
+// recordSkippedEnd logs and counts an end whose number is already acknowledged although this agent
+// has not read it. The lock must be held.
+func (r *Runner) recordSkippedEnd(e assignment.End) {
+	if r.present.runs.hasEnded(e.RunID) {
 		return
 	}
 	r.metrics.skippedEnds.Inc(1)
 	r.dependencies.Logger.Warn().Str("step", "runner.list").Stringer("task", e.Task).Int("run", e.Run).
 		Str("how", string(e.Reason)).Int64("number", e.Number).Int64("read_up_to", r.present.ends.acked).
-		Msg("end is skipped: its number counts as stored")
+		Msg("skipping unread end: its number is already acknowledged")
 }
 
-// noteGone logs a run that is gone from the worker's list without an end. The lock must be held.
-func (r *Runner) noteGone(id assignment.RunID, l Listing) {
-	r.metrics.goneRuns.Inc(1)
+// recordVanishedRun logs and counts a run that is missing from the worker's list and has no end.
+// The lock must be held.
+func (r *Runner) recordVanishedRun(id assignment.RunID, l Listing) {
+	r.metrics.vanishedRuns.Inc(1)
 	r.dependencies.Logger.Warn().Str("step", "runner.list").Stringer("task", id.Task).Int("run", id.Run).
 		Int64("born", l.StartMillis).Int64("read_up_to", r.present.ends.acked).Int("ends", len(l.Ends)).
-		Msg("run is gone from the list without an end")
+		Msg("run disappeared from the worker's list without an end")
 }
--- a/jobs/runner/metrics.go
+++ b/jobs/runner/metrics.go
@@ -10,7 +10,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// outcome is how a call to the worker, or a poll, ended, as it is counted.
+// outcome is the result of a call to the worker or of a poll, as a metric tag.
 type outcome string
 
 const (
@@ -30,14 +30,14 @@
 	case errors.Is(err, ErrFenced):
 		return outcomeFenced
 	}
-	refusals := []error{ErrAlreadyRan, ErrLeaseOver, ErrNoCapacity, ErrUnavailable, ErrRejected}
+	refusals := []error{ErrAlreadyRan, ErrLeaseExpired, ErrNoCapacity, ErrUnavailable, ErrRejected}
 	if isAny(err, refusals) {
 		return outcomeRefused
 	}
 	return outcomeNoAnswer
 }
 
-// endOutcome is how an incarnation of the worker ended, as it is counted.
+// endOutcome is how an incarnation of the worker ended, as a metric tag.
 type endOutcome string
 
 const (
@@ -52,24 +52,26 @@
 	return endCrashed
 }
 
-// metrics are a runner's.
+// metrics holds the metrics of a runner.
 type metrics struct {
 	incarnations telemetry.Counters[endOutcome]
 
 	starts, stops, syncs, polls telemetry.Counters[outcome]
 
 	ends telemetry.Counters[job.EndReason]
-	// zoneWaits counts starts that had to wait for a proof that the zone is not cordoned.
+	// zoneWaits counts the starts that had to wait for a proof that the zone is not cordoned.
 	zoneWaits tally.Counter
-	// skippedEnds counts ends that were skipped, since their numbers count as stored.
+	// skippedEnds counts the unread ends that were skipped because their numbers were already
+	// acknowledged.
 	skippedEnds tally.Counter
-	// goneRuns counts runs that went from a list without an end.
-	goneRuns tally.Counter
-	// unreadableRows counts rows of lists that could not be read.
+	// vanishedRuns counts the runs that disappeared from a list without an end.
+	vanishedRuns tally.Counter
+	// unreadableRows counts the rows of lists that could not be read.
 	unreadableRows tally.Counter
-	// implausible counts heartbeats that were dropped for the identity that they claim.
-	implausible tally.Counter
-	// superseded counts how often this process has given way to a newer one.
+	// unexpectedIdentities counts the heartbeats that were dropped because of the identity that
+	// they claim.
+	unexpectedIdentities tally.Counter
+	// superseded counts how often this process has stood down for a newer one.
 	superseded tally.Counter
 }
 
@@ -79,17 +81,17 @@
 			outcomeDone, outcomeOtherIncarnation, outcomeFenced, outcomeRefused, outcomeNoAnswer)
 	}
 	return metrics{
-		incarnations:   telemetry.NewCounters(scope, "lives_over", "how", endDrained, endCrashed),
-		starts:         counters("starts_ordered"),
-		stops:          counters("stops_ordered"),
-		syncs:          counters("holds"),
-		polls:          counters("polls"),
-		zoneWaits:      scope.Counter("starts_held_for_cordon"),
-		skippedEnds:    scope.Counter("ends_passed_over"),
-		goneRuns:       scope.Counter("runs_gone_without_end"),
-		unreadableRows: scope.Counter("rows_unreadable"),
-		implausible:    scope.Counter("heartbeats_odd"),
-		superseded:     scope.Counter("superseded"),
+		incarnations:         telemetry.NewCounters(scope, "lives_over", "how", endDrained, endCrashed),
+		starts:               counters("starts_ordered"),
+		stops:                counters("stops_ordered"),
+		syncs:                counters("holds"),
+		polls:                counters("polls"),
+		zoneWaits:            scope.Counter("starts_held_for_cordon"),
+		skippedEnds:          scope.Counter("ends_passed_over"),
+		vanishedRuns:         scope.Counter("runs_gone_without_end"),
+		unreadableRows:       scope.Counter("rows_unreadable"),
+		unexpectedIdentities: scope.Counter("heartbeats_odd"),
+		superseded:           scope.Counter("superseded"),
 		ends: telemetry.NewCounters(scope, "ends_listed", "how",
 			job.EndDone,
 			job.EndFailed,
--- a/jobs/runner/open_orders.go
+++ b/jobs/runner/open_orders.go
@@ -6,47 +6,49 @@
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 )
 
-// openOrders are the calls to the worker whose effect is still open: they are under way, or got
-// no answer, and the worker may carry them out later. Within an incarnation that does no harm. An
-// incarnation that follows under the same instance has seen no fence at first, so it carries
-// them out too: it starts a run that was given up meanwhile, or forgets ends that nobody has
+// openOrders tracks the calls to the worker whose outcome is open: they are in flight, or got no
+// answer and may still be carried out later. Within one incarnation this is harmless. A following
+// incarnation with the same instance has seen no fence at first, so it carries out such calls too:
+// it would start a run that has been given up in the meantime, or forget ends that have not been
 // read.
 //
-// So the leader is told of open starts, and places no other run of their tasks until they are
-// closed. And a start and a sync that lets the worker forget ends are never open at once: the
-// run could start late, end, and have its end forgotten late.
+// Therefore open starts are reported to the leader, which places no other run of their tasks until
+// they are closed. In addition, a start and a sync that lets the worker forget ends are never open
+// at the same time. Otherwise the run could start late and end, and its end could then be forgotten
+// unread.
 //
-// Calls for a worker that doesn't report when it started are not kept here: each of its
-// incarnations has an instance of its own, and refuses what was meant for others.
+// Calls to a worker that does not report its start time are not tracked: each of its incarnations
+// has its own instance, and refuses calls for other instances.
 type openOrders struct {
-	// instance is the one that the calls name.
+	// instance is the instance that the calls name.
 	instance string
 	starts   map[assignment.RunID]openOrder
 	forget   openOrder
 }
 
-// openOrder is a kind of call whose effect may be open.
+// openOrder tracks the calls of one kind whose outcome may be open.
 type openOrder struct {
-	// underWay counts the calls that were sent and have not returned.
+	// underWay counts the calls in flight.
 	underWay int
-	// until is the time from which on no call without an answer is carried out any more; zero if
-	// each was answered.
+	// until is the time after which a call without an answer can no longer be carried out; zero if
+	// every call was answered.
 	until time.Time
 }
 
-// open reports whether a call is under way or may still be carried out.
+// open reports whether a call is in flight or may still be carried out.
 func (o openOrder) open(now time.Time) bool { return o.underWay > 0 || o.unanswered(now) }
 
 // unanswered reports whether a call got no answer and may still be carried out.
 func (o openOrder) unanswered(now time.Time) bool { return now.Before(o.until) }
 
-// sent returns the order with one more call under way.
+// sent returns the order with one more call in flight.
 func (o openOrder) sent() openOrder {
 	o.underWay++
 	return o
 }
 
-// returned returns the order with one call less under way, which may have got an answer.
+// returned returns the order with one call less in flight. answered reports whether the call got an
+// answer.
 func (o openOrder) returned(now time.Time, answered bool) openOrder {
 	o.underWay--
 	if !answered {
@@ -57,21 +59,21 @@
 
 func newOpenOrders() openOrders { return openOrders{starts: map[assignment.RunID]openOrder{}} }
 
-// meet turns to the instance of a worker. What was sent to another one has no effect any more.
-func (o *openOrders) meet(instance string) {
+// switchTo sets the instance of the worker. Calls to any other instance can no longer take effect.
+func (o *openOrders) switchTo(instance string) {
 	if o.instance != instance {
 		*o = newOpenOrders()
 		o.instance = instance
 	}
 }
 
-// startSent notes that a start is under way to an instance.
+// startSent records that a start for an instance is in flight.
 func (o *openOrders) startSent(instance string, id assignment.RunID) {
-	o.meet(instance)
+	o.switchTo(instance)
 	o.starts[id] = o.starts[id].sent()
 }
 
-// startReturned notes that a start to an instance has returned.
+// startReturned records that a start for an instance has returned.
 func (o *openOrders) startReturned(instance string, id assignment.RunID, now time.Time, answered bool) {
 	if o.instance != instance {
 		return
@@ -84,22 +86,22 @@
 	o.starts[id] = start
 }
 
-// forgetSent notes that a sync that lets an instance forget ends is under way.
+// forgetSent records that a sync that lets an instance forget ends is in flight.
 func (o *openOrders) forgetSent(instance string) {
-	o.meet(instance)
+	o.switchTo(instance)
 	o.forget = o.forget.sent()
 }
 
-// forgetReturned notes that such a sync has returned.
+// forgetReturned records that such a sync has returned.
 func (o *openOrders) forgetReturned(instance string, now time.Time, answered bool) {
 	if o.instance == instance {
 		o.forget = o.forget.returned(now, answered)
 	}
 }
 
-// close drops the starts that are closed. listedAt is when the newest list was asked for: it
-// shows what was carried out before. Without a list, what a late start began ends with its
-// lease, which lasts no longer than lease from its start.
+// close drops the starts whose outcome is settled. listedAt is when the newest list was requested;
+// that list shows everything that was carried out before. Without a list, a run that was started
+// late ends with its lease, which lasts at most the given duration.
 func (o *openOrders) close(now, listedAt time.Time, lease time.Duration) {
 	for id, start := range o.starts {
 		listed := listedAt.After(start.until)
@@ -137,14 +139,14 @@
 	return starts
 }
 
-// longestLateLease bounds for how long after the delay of a late start what it began runs without
-// being listed: a sync that was sent before the worker became unresponsive may be late too, and
-// extend the lease once more.
+// longestLateLease returns the longest time for which a run that was started late can go on without
+// being listed, counted from the end of the start's maximum delay. A sync that was sent before the
+// worker became unresponsive may be late too, and extend the lease once more.
 func (r *Runner) longestLateLease() time.Duration {
 	lease := time.Duration(float64(r.settings.Lease) * (1 + r.settings.Drift))
 	return unresponsiveAfter + lease + expiryMargin
 }
 
-// sharesInstance reports whether a later incarnation of the worker may have the instance of the
-// present one. The lock must be held.
+// sharesInstance reports whether a later incarnation of the worker may have the same instance as
+// the present one. The lock must be held.
 func (r *Runner) sharesInstance() bool { return r.worker != nil && r.worker.ID.StartMillis != 0 }
--- a/jobs/runner/open_orders_test.go
+++ b/jobs/runner/open_orders_test.go
@@ -17,64 +17,64 @@
 	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
 
-// mute is a recorder's worker that gets no answer through: to starts, or to syncs that let it
-// forget ends, until a time.
-type mute struct {
+// blockingWorker wraps a recorder's worker. Until a given time, starts, or syncs that let the
+// worker forget ends, get no answer and do not reach the worker.
+type blockingWorker struct {
 	runner.Worker
 
 	mu              sync.Mutex
 	starts, forgets time.Time
-	// sentStarts and sentForgets are when those calls were sent.
+	// sentStarts and sentForgets hold the times at which these calls were sent.
 	sentStarts, sentForgets []time.Time
 }
 
-func (m *mute) Start(ctx context.Context, o runner.Order, s assignment.Start, until int64) (int64, error) {
+func (m *blockingWorker) Start(ctx context.Context, o runner.Order, s assignment.Start, until int64) (int64, error) {
 	m.mu.Lock()
 	m.sentStarts = append(m.sentStarts, time.Now())
-	muted := time.Now().Before(m.starts)
+	blocked := time.Now().Before(m.starts)
 	m.mu.Unlock()
-	if muted {
+	if blocked {
 		<-ctx.Done()
 		return 0, ctx.Err()
 	}
 	return m.Worker.Start(ctx, o, s, until)
 }
 
-func (m *mute) Sync(
+func (m *blockingWorker) Sync(
 	ctx context.Context, o runner.Order, until, forget int64, wait time.Duration,
 ) (runner.Listing, int64, error) {
 	m.mu.Lock()
-	muted := forget > 0 && time.Now().Before(m.forgets)
+	blocked := forget > 0 && time.Now().Before(m.forgets)
 	if forget > 0 {
 		m.sentForgets = append(m.sentForgets, time.Now())
 	}
 	m.mu.Unlock()
-	if muted {
+	if blocked {
 		<-ctx.Done()
 		return runner.Listing{}, 0, ctx.Err()
 	}
 	return m.Worker.Sync(ctx, o, until, forget, wait)
 }
 
-// set mutes starts and forgets, each until a time, and forgets what was sent.
-func (m *mute) set(starts, forgets time.Time) {
+// set blocks starts and forgets, each until a given time, and clears the recorded calls.
+func (m *blockingWorker) set(starts, forgets time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.starts, m.forgets, m.sentStarts, m.sentForgets = starts, forgets, nil, nil
 }
 
-// sent returns when starts and forgets were sent.
-func (m *mute) sent() (starts, forgets []time.Time) {
+// sent returns the times at which starts and forgets were sent.
+func (m *blockingWorker) sent() (starts, forgets []time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Clone(m.sentStarts), slices.Clone(m.sentForgets)
 }
 
-// TestOpenStartsAndForgets: a start that got no answer and a sync without an answer that lets the
-// worker forget ends are never open at once.
+// TestOpenStartsAndForgets checks that a start and a sync that lets the worker forget ends are
+// never both open, that is, without an answer.
 //
-// The next incarnation carried both out late: the run started and ended, its end was forgotten
-// before anybody had read it, and the task was done once more.
+// The next incarnation could carry out both late: the run would start and end, its end would be
+// forgotten unread, and the task would be executed once more.
 func TestOpenStartsAndForgets(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -84,9 +84,9 @@
 		{"a forget without an answer", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			withRestarts(t, func(t *testing.T, a *restarting) {
-				m := &mute{Worker: a.recorder.Worker}
-				a.recorder.through(m)
+			withSharedInstance(t, func(t *testing.T, a *restartingAgent) {
+				m := &blockingWorker{Worker: a.recorder.Worker}
+				a.recorder.routeThrough(m)
 				a.workers.SetWork(200 * time.Millisecond)
 				a.want(assignment.Start{RunID: id(1)})
 				time.Sleep(time.Second)
@@ -112,25 +112,25 @@
 					return
 				}
 				if apart := starts[0].Sub(forgets[0]).Abs(); apart < assignment.MaxOrderDelay {
-					t.Errorf("the second was sent %v after the first, which was still open", apart)
+					t.Errorf("the second call was sent %v after the first, which was still open", apart)
 				}
 			})
 		})
 	}
 }
 
-// TestOpenStartIsReported: a start that got no answer is reported as open until it can't be
-// carried out any more, also when its run was stopped, and the worker has restarted.
+// TestOpenStartIsReported checks that a start without an answer is reported as open until it can no
+// longer be carried out, even if its run has been stopped and the worker has restarted.
 func TestOpenStartIsReported(t *testing.T) {
-	withRestarts(t, func(t *testing.T, a *restarting) {
-		m := &mute{Worker: a.recorder.Worker}
+	withSharedInstance(t, func(t *testing.T, a *restartingAgent) {
+		m := &blockingWorker{Worker: a.recorder.Worker}
 		m.set(time.Now().Add(500*time.Millisecond), time.Time{})
-		a.recorder.through(m)
+		a.recorder.routeThrough(m)
 		a.want(assignment.Start{RunID: id(1)})
 		time.Sleep(400 * time.Millisecond)
 		a.leader.set(func(answer *assignment.Answer) {
 			answer.Start, answer.StopUnlisted = nil, []assignment.RunID{id(1)}
-			a.leader.heard = false
+			a.leader.acks = false
 		})
 		time.Sleep(time.Second)
 		a.worker.CrashProcess(100 * time.Millisecond)
@@ -144,7 +144,7 @@
 		for ; time.Since(starts[0]) < assignment.MaxOrderDelay; time.Sleep(time.Second) {
 			open := a.leader.last().OpenStarts
 			if len(open) != 1 || open[0].RunID != id(1) || open[0].OpenMillis <= lease.Milliseconds() {
-				t.Errorf("%v after the start the open ones are %+v", time.Since(starts[0]), open)
+				t.Errorf("%v after the start the open starts are %+v", time.Since(starts[0]), open)
 			}
 		}
 		time.Sleep(4 * time.Second)
@@ -154,8 +154,8 @@
 	})
 }
 
-// TestNoOpenOrdersWithoutStartTimes: where each incarnation has an instance of its own, a sync
-// without an answer that lets the worker forget ends holds up no start.
+// TestNoOpenOrdersWithoutStartTimes checks that an unanswered sync that lets the worker forget ends
+// does not delay starts if each incarnation has its own instance.
 func TestNoOpenOrdersWithoutStartTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -163,8 +163,8 @@
 		workers.NoStartTimes, workers.Work = true, 200*time.Millisecond
 		step := job.Step{Tasks: 1, Resources: job.Resources{Accelerators: 1}}
 		workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{step}})
-		m := &mute{Worker: workers.Add("w", "s", "z", "r", job.Resources{Accelerators: 2})}
-		o := granting()
+		m := &blockingWorker{Worker: workers.Add("w", "s", "z", "r", job.Resources{Accelerators: 2})}
+		o := newGrantingLeader()
 		o.answer.Start = []assignment.Start{{RunID: id(1)}}
 		r := runner.New(agentSettings("1"),
 			runner.Dependencies{Worker: m, Leader: o, Logger: zerolog.Nop(), Metrics: tally.NoopScope})
--- a/jobs/runner/poll.go
+++ b/jobs/runner/poll.go
@@ -10,22 +10,24 @@
 )
 
 const (
-	// pollTimeout bounds a poll; it must be well above the time for which a leader holds one.
+	// pollTimeout limits a poll. It must be well above the time for which a leader holds a poll.
 	pollTimeout = 1800 * time.Millisecond
-	// repeatPause holds back the next waiting poll after an answer that was held for less than
-	// heldAtLeast: it would only repeat what was just reported.
-	heldAtLeast = 5 * time.Millisecond
+	// repeatPause is the pause before the next waiting poll if the leader held the last one for
+	// less than minHold. Without the pause, the poll would only repeat what was just reported.
+	minHold     = 5 * time.Millisecond
 	repeatPause = 30 * time.Millisecond
-	// supersededPause is the pause between polls while a newer process of the agent is heard.
+	// supersededPause is the pause between polls while the leader accepts polls from a newer
+	// process of the agent.
 	supersededPause = 500 * time.Millisecond
 )
 
-// pollLoop polls the leader. One loop waits there for orders, the other one brings news at once.
-func (r *Runner) pollLoop(ctx context.Context, wait bool, news chan struct{}) {
+// pollLoop polls the leader. It runs twice: one loop lets the leader hold its polls until there are
+// orders, the other one polls at once whenever trigger fires.
+func (r *Runner) pollLoop(ctx context.Context, wait bool, trigger chan struct{}) {
 	for ctx.Err() == nil {
-		if news != nil {
+		if trigger != nil {
 			select {
-			case <-news:
+			case <-trigger:
 			case <-ctx.Done():
 				return
 			}
@@ -34,16 +36,16 @@
 		switch {
 		case err != nil:
 			pause.For(ctx, pauseAfter(err))
-			if news != nil {
-				signal(news)
+			if trigger != nil {
+				signal(trigger)
 			}
-		case wait && held < heldAtLeast:
+		case wait && held < minHold:
 			pause.For(ctx, repeatPause)
 		}
 	}
 }
 
-// pauseAfter is how long to wait after a poll that failed.
+// pauseAfter returns the pause after a failed poll.
 func pauseAfter(err error) time.Duration {
 	if isSuperseded(err) {
 		return supersededPause
@@ -51,7 +53,7 @@
 	return retryPause
 }
 
-// pollOnce makes one poll and applies the answer. It returns for how long the leader held the
+// pollOnce makes one poll and applies the answer. It returns the time for which the leader held the
 // poll.
 func (r *Runner) pollOnce(ctx context.Context, wait bool) (held time.Duration, err error) {
 	poll, generation := r.nextPoll(wait)
@@ -62,7 +64,7 @@
 	r.metrics.polls.Inc(outcomeOf(err))
 	var superseded *SupersededError
 	if errors.As(err, &superseded) {
-		r.giveWay(superseded.Term)
+		r.standDown(superseded.Term)
 	}
 	if err != nil {
 		return 0, err
@@ -71,8 +73,8 @@
 	return answer.Held(), nil
 }
 
-// nextPoll describes the worker, in full or as a delta, and returns the generation that is
-// described.
+// nextPoll returns a poll that describes the worker, in full or as a delta, and the generation that
+// it describes.
 func (r *Runner) nextPoll(wait bool) (assignment.Poll, int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,7 +86,7 @@
 		AgentMillis:   r.ageMillis(now),
 		Sequence:      r.polls.sequence,
 		Term:          r.leader.term,
-		Fence:         max(r.leader.fence, r.leader.offered),
+		Fence:         max(r.leader.fence, r.leader.offeredFence),
 		Complete:      r.described(),
 		AckedEnd:      r.present.ends.acked,
 		Wait:          wait,
@@ -101,8 +103,8 @@
 		state := *r.worker
 		p.State = &state
 	}
-	if r.leader.refused == r.leader.fence {
-		p.RefusedFence = r.leader.refused
+	if r.leader.refusedFence == r.leader.fence {
+		p.RefusedFence = r.leader.refusedFence
 	}
 	if !p.Complete {
 		return p, r.generation
@@ -115,15 +117,17 @@
 	return r.shorten(p), r.generation
 }
 
-// described reports whether the worker has listed what it runs under the newest fence, so that polls
-// describe it. The lock must be held.
-func (r *Runner) described() bool { return r.present.complete && r.leader.offered <= r.leader.fence }
+// described reports whether polls describe the worker: it has listed its runs under the newest
+// fence. The lock must be held.
+func (r *Runner) described() bool {
+	return r.present.complete && r.leader.offeredFence <= r.leader.fence
+}
 
-// ageMillis is how long this process has run or is back, in milliseconds and at least one, while a
-// start that another one has sent may be open; zero after that.
+// ageMillis returns the time since this process started or resumed, in milliseconds and at least
+// one, as long as a start that was sent by another process may be open. After that it returns zero.
 func (r *Runner) ageMillis(now time.Time) int64 {
-	age := now.Sub(r.begunAt)
-	if age >= assignment.MaxOpenTime {
+	age := now.Sub(r.activeSince)
+	if age >= assignment.MaxOpenStartTime {
 		return 0
 	}
 	return max(age.Milliseconds(), 1)
--- a/jobs/runner/reports_test.go
+++ b/jobs/runner/reports_test.go
@@ -12,16 +12,16 @@
 	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
 
-// TestOddHeartbeats: a heartbeat of another identity than the worker's is taken only when it
-// comes twice in a row: others may send heartbeats too.
+// TestOddHeartbeats checks that a heartbeat with an unexpected identity is accepted only if it
+// comes twice in a row, because processes other than the worker may send heartbeats.
 func TestOddHeartbeats(t *testing.T) {
-	within(t, func(t *testing.T, a *agent) {
+	withAgent(t, func(t *testing.T, a *agent) {
 		sound, _ := a.worker.Beat()
 		odd := sound
 		odd.Service, odd.Draining = "another", true
 		other := odd
 		other.Service = "a third"
-		for i, said := range []struct {
+		for i, reported := range []struct {
 			state assignment.WorkerState
 			taken bool
 		}{
@@ -35,23 +35,23 @@
 			{sound, false},
 			{sound, true},
 		} {
-			if got := a.runner.Heartbeat(t.Context(), said.state); got != said.taken {
-				t.Errorf("heartbeat %d of service %s: taken %v, want %v", i, said.state.Service, got, said.taken)
+			if got := a.runner.Heartbeat(t.Context(), reported.state); got != reported.taken {
+				t.Errorf("heartbeat %d of service %s: accepted %v, want %v", i, reported.state.Service, got, reported.taken)
 			}
 		}
 		time.Sleep(time.Second)
 		if p := a.leader.last(); p.State == nil || p.State.Service != sound.Service || p.State.Draining {
-			t.Errorf("after them the agent says %+v", p.State)
+			t.Errorf("after the heartbeats the agent polls state %+v", p.State)
 		}
 	})
 }
 
-// TestFailureIsReportedAtOnce: a poll says that the worker gives no answer as soon as a sync has
-// failed, so that the leader sends no suspected task there.
+// TestFailureIsReportedAtOnce checks that a poll reports an unanswered sync immediately, so that
+// the leader sends no suspect task to the worker.
 func TestFailureIsReportedAtOnce(t *testing.T) {
-	within(t, func(t *testing.T, a *agent) {
+	withAgent(t, func(t *testing.T, a *agent) {
 		a.worker.SetUnreachable(true)
-		// The sync under way fails after its wait and a call's timeout.
+		// The sync in flight fails after its wait plus the timeout of a call.
 		time.Sleep(1750 * time.Millisecond)
 		failing := time.Duration(0)
 		for _, p := range a.leader.all() {
@@ -61,42 +61,43 @@
 			}
 		}
 		if failing != time.Millisecond {
-			t.Errorf("the first poll that tells says that it has failed for %v, want 1ms", failing)
+			t.Errorf("the first poll that reports the failure says that syncs have failed for %v, want 1ms", failing)
 		}
 	})
 }
 
-// garbling is a worker of whose lists one row can't be read for a while.
-type garbling struct {
+// rowLosingWorker is a worker in whose lists one row is temporarily unreadable.
+type rowLosingWorker struct {
 	*jobtest.Worker
-	mu   sync.Mutex
-	lost bool
+	mu     sync.Mutex
+	losing bool
 }
 
-func (w *garbling) set(lost bool) {
+func (w *rowLosingWorker) set(losing bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lost = lost
+	w.losing = losing
 }
 
-func (w *garbling) Sync(
+func (w *rowLosingWorker) Sync(
 	ctx context.Context, o runner.Order, until, forget int64, wait time.Duration,
 ) (runner.Listing, int64, error) {
 	l, clock, err := w.Worker.Sync(ctx, o, until, forget, wait)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.lost && err == nil && len(l.Runs) > 0 {
+	if w.losing && err == nil && len(l.Runs) > 0 {
 		l.Runs, l.Unreadable = l.Runs[1:], []error{errors.New("running[0]: a row that is no list")}
 	}
 	return l, clock, err
 }
 
-// TestUnreadableRow: a run whose row can't be read for a while counts as neither gone nor ended.
+// TestUnreadableRow checks that a run whose row is temporarily unreadable counts neither as
+// vanished nor as ended.
 func TestUnreadableRow(t *testing.T) {
-	withRestarts(t, func(t *testing.T, a *restarting) {
-		worker := &garbling{Worker: a.worker}
+	withSharedInstance(t, func(t *testing.T, a *restartingAgent) {
+		worker := &rowLosingWorker{Worker: a.worker}
 		a.recorder.mu.Lock()
-		a.recorder.garbles = worker
+		a.recorder.rowLosing = worker
 		a.recorder.mu.Unlock()
 		a.workers.SetWork(4 * time.Second)
 		a.want(assignment.Start{RunID: id(1)})
@@ -105,7 +106,7 @@
 		worker.set(true)
 		time.Sleep(1500 * time.Millisecond)
 		if p := a.leader.last(); len(p.Runs) != 1 || len(p.Ends)+len(p.Refused) != 0 {
-			t.Errorf("while its row can't be read the agent says runs %+v, ends %+v, refused %+v", p.Runs, p.Ends, p.Refused)
+			t.Errorf("while the row is unreadable the agent polls runs %+v, ends %+v, refused %+v", p.Runs, p.Ends, p.Refused)
 		}
 		worker.set(false)
 		time.Sleep(4 * time.Second)
@@ -114,7 +115,7 @@
 			ended = ended || len(p.Ends) == 1
 		}
 		if !ended {
-			t.Error("its end was never told")
+			t.Error("the end of the run was never reported")
 		}
 	})
 }
--- a/jobs/runner/restarts_test.go
+++ b/jobs/runner/restarts_test.go
@@ -18,25 +18,25 @@
 	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
 
-// heldCall is one call of a recorder's Sync: what it brought, and how it ended.
-type heldCall struct {
+// syncRecord is one call of a recorder's Sync: its arguments and its result.
+type syncRecord struct {
 	at     time.Time
 	order  runner.Order
 	forget int64
 	err    error
 }
 
-// recorder is a worker that keeps what it was told.
+// recorder is a worker that records its calls.
 type recorder struct {
 	*jobtest.Worker
-	// muted, if set, takes the calls instead.
-	muted *mute
-	// garbles, if set, stands between the worker and the agent.
-	garbles *garbling
-	// busy says that it is unavailable.
+	// blocked, if set, receives the calls instead.
+	blocked *blockingWorker
+	// rowLosing, if set, receives the syncs instead.
+	rowLosing *rowLosingWorker
+	// busy is set if the worker answers that it is unavailable.
 	busy   bool
 	mu     sync.Mutex
-	holds  []heldCall
+	syncs  []syncRecord
 	starts []time.Time
 }
 
@@ -46,11 +46,11 @@
 	at := time.Now()
 	w.mu.Lock()
 	sync := w.Worker.Sync
-	if w.garbles != nil {
-		sync = w.garbles.Sync
+	if w.rowLosing != nil {
+		sync = w.rowLosing.Sync
 	}
-	if w.muted != nil {
-		sync = w.muted.Sync
+	if w.blocked != nil {
+		sync = w.blocked.Sync
 	}
 	busy := w.busy
 	w.mu.Unlock()
@@ -60,7 +60,7 @@
 	listing, clock, err := sync(ctx, o, until, forget, wait)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.holds = append(w.holds, heldCall{at: at, order: o, forget: forget, err: err})
+	w.syncs = append(w.syncs, syncRecord{at: at, order: o, forget: forget, err: err})
 	return listing, clock, err
 }
 
@@ -68,26 +68,26 @@
 	w.mu.Lock()
 	w.starts = append(w.starts, time.Now())
 	start := w.Worker.Start
-	if w.muted != nil {
-		start = w.muted.Start
+	if w.blocked != nil {
+		start = w.blocked.Start
 	}
 	w.mu.Unlock()
 	return start(ctx, o, s, until)
 }
 
-// through lets all further calls go through m.
-func (w *recorder) through(m *mute) {
+// routeThrough routes all further calls through m.
+func (w *recorder) routeThrough(m *blockingWorker) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.muted = m
+	w.blocked = m
 }
 
-// calls returns the syncs since a time, in the order in which they were sent.
-func (w *recorder) calls(since time.Time) []heldCall {
+// calls returns the syncs sent since a given time.
+func (w *recorder) calls(since time.Time) []syncRecord {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var calls []heldCall
-	for _, c := range w.holds {
+	var calls []syncRecord
+	for _, c := range w.syncs {
 		if !c.at.Before(since) {
 			calls = append(calls, c)
 		}
@@ -95,22 +95,23 @@
 	return calls
 }
 
-// restarting is an agent beside a recorder whose incarnations share one instance.
-type restarting struct {
+// restartingAgent is an agent with a recorder whose incarnations share one instance.
+type restartingAgent struct {
 	*agent
 	recorder *recorder
 }
 
-// withRestarts runs a test with an agent that has been running for a second.
-func withRestarts(t *testing.T, f func(t *testing.T, a *restarting)) {
+// withSharedInstance runs a test with an agent that has been running for a second. The incarnations
+// of its worker share one instance.
+func withSharedInstance(t *testing.T, f func(t *testing.T, a *restartingAgent)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		workers := jobtest.NewWorkers(1)
 		workers.SameIDShare = 1
 		step := job.Step{Tasks: 9, Resources: job.Resources{Accelerators: 1}}
 		workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{step}})
-		a := &restarting{agent: &agent{workers: workers, leader: &leader{
-			answer: assignment.Answer{Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds(), ZoneOpen: true}, heard: true,
+		a := &restartingAgent{agent: &agent{workers: workers, leader: &leader{
+			answer: assignment.Answer{Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds(), ZoneOpen: true}, acks: true,
 		}}}
 		a.worker = workers.Add("w", "s", "z", "r", job.Resources{Accelerators: 2})
 		a.recorder = &recorder{Worker: a.worker}
@@ -126,28 +127,29 @@
 	})
 }
 
-// beat lets the worker report, and returns the report.
-func (a *restarting) beat(t *testing.T) assignment.WorkerState {
+// beat sends a heartbeat of the worker, and returns its content.
+func (a *restartingAgent) beat(t *testing.T) assignment.WorkerState {
 	t.Helper()
-	said, _ := a.worker.Beat()
-	a.runner.Heartbeat(t.Context(), said)
-	return said
+	reported, _ := a.worker.Beat()
+	a.runner.Heartbeat(t.Context(), reported)
+	return reported
 }
 
-// want sets what the leader wants to start.
-func (a *restarting) want(runs ...assignment.Start) {
+// want sets the starts that the leader orders.
+func (a *restartingAgent) want(runs ...assignment.Start) {
 	a.leader.set(func(answer *assignment.Answer) { answer.Start = runs })
 }
 
-// TestNumbersOfAFormerStart: an incarnation is never told to forget the ends of a former one,
-// and the first call that it hears brings a higher fence than all before.
+// TestNumbersOfAFormerStart checks that an incarnation is never made to forget ends of a former
+// one, and that the first call that it receives carries a higher fence than all earlier calls.
 func TestNumbersOfAFormerStart(t *testing.T) {
-	withRestarts(t, func(t *testing.T, a *restarting) {
+	withSharedInstance(t, func(t *testing.T, a *restartingAgent) {
 		a.workers.SetWork(200 * time.Millisecond)
 		a.want(assignment.Start{RunID: id(1)})
 		time.Sleep(time.Second)
 		a.want()
-		// The leader has stored the end, but the worker crashes before it is told to forget it.
+		// The leader has stored the end, but the worker crashes before it receives the
+		// acknowledgment.
 		a.worker.CrashProcess(500 * time.Millisecond)
 		a.leader.set(func(answer *assignment.Answer) { answer.AckedEnd = 1 })
 		crashed := time.Now()
@@ -161,27 +163,27 @@
 		answered := false
 		for _, c := range a.recorder.calls(crashed.Add(500 * time.Millisecond)) {
 			if c.forget != 0 {
-				t.Errorf("the new start was told to forget the ends up to %d", c.forget)
+				t.Errorf("the new incarnation was made to forget the ends up to %d", c.forget)
 			}
 			answered = answered || c.err == nil && c.order.Fence > highest
 		}
 		if !answered {
-			t.Errorf("0.7 s after its start, without a report, the worker has not heard a fence above %d", highest)
+			t.Errorf("0.7 s after its start, without a heartbeat, the worker has not received a fence above %d", highest)
 		}
 	})
 }
 
-// TestEndIsToldBesideTheList: the end of a former incarnation is reported only beside the list
-// of the present one.
+// TestEndIsToldBesideTheList checks that the end of a former incarnation is reported only together
+// with the list of the present one.
 func TestEndIsToldBesideTheList(t *testing.T) {
-	withRestarts(t, func(t *testing.T, a *restarting) {
+	withSharedInstance(t, func(t *testing.T, a *restartingAgent) {
 		a.workers.SetWork(time.Minute)
 		a.want(assignment.Start{RunID: id(1)})
 		time.Sleep(500 * time.Millisecond)
 		a.want()
 		a.leader.set(func(answer *assignment.Answer) { answer.AckedPoll = 0 })
 		a.leader.mu.Lock()
-		a.leader.heard = false
+		a.leader.acks = false
 		a.leader.mu.Unlock()
 		former := a.beat(t)
 		a.worker.CrashProcess(200 * time.Millisecond)
@@ -193,27 +195,28 @@
 		a.beat(t)
 		time.Sleep(500 * time.Millisecond)
 		if p := a.leader.last(); len(p.EndedIncarnations) != 1 || p.EndedIncarnations[0].ID != former.ID || !p.Complete {
-			t.Errorf("after it has listed, the ends %+v are told, listed %v", p.EndedIncarnations, p.Complete)
+			t.Errorf("with the list, ended incarnations are %+v, complete %v", p.EndedIncarnations, p.Complete)
 		}
-		// A new leader's fence has to reach the worker first, which gives no answer meanwhile.
+		// The fence of a new leader has to reach the worker first, which does not answer for a
+		// while.
 		a.worker.SetUnreachable(true)
 		a.leader.set(func(answer *assignment.Answer) { answer.Term, answer.Fence = 2, 2 })
 		time.Sleep(time.Second)
 		if p := a.leader.last(); p.Complete || len(p.EndedIncarnations) != 0 {
-			t.Errorf("without a list, the ends %+v are told, listed %v", p.EndedIncarnations, p.Complete)
+			t.Errorf("without a list, ended incarnations are %+v, complete %v", p.EndedIncarnations, p.Complete)
 		}
 		a.worker.SetUnreachable(false)
 		time.Sleep(2 * time.Second)
 		if p := a.leader.last(); len(p.EndedIncarnations) != 1 {
-			t.Errorf("beside the next list, the ends %+v are told, want one", p.EndedIncarnations)
+			t.Errorf("with the next list, ended incarnations are %+v, want one", p.EndedIncarnations)
 		}
 	})
 }
 
-// TestStartInDoubtIsNotSentOn: a run whose start crashes the worker is not started again on the
-// incarnation that follows: nobody would count that crash.
+// TestStartInDoubtIsNotSentOn checks that a run whose start crashes the worker is not started again
+// on the following incarnation, because that crash would not be counted.
 func TestStartInDoubtIsNotSentOn(t *testing.T) {
-	withRestarts(t, func(t *testing.T, a *restarting) {
+	withSharedInstance(t, func(t *testing.T, a *restartingAgent) {
 		a.workers.CrashOn(task, 0, 300*time.Millisecond)
 		a.want(assignment.Start{RunID: id(1)})
 		time.Sleep(3 * time.Second)
@@ -224,45 +227,45 @@
 		a.beat(t)
 		time.Sleep(500 * time.Millisecond)
 		if n := a.workers.CrashesBy(task); n != 1 {
-			t.Errorf("%d workers crashed by it, want one", n)
+			t.Errorf("the task crashed %d workers, want one", n)
 		}
 	})
 }
 
-// TestReportsOfNoStart: heartbeats of a former incarnation, and those without a start or with
-// one that no list confirms, change nothing.
+// TestReportsOfNoStart checks that heartbeats of a former incarnation, without a start time, or
+// with one that no list confirms have no effect.
 func TestReportsOfNoStart(t *testing.T) {
-	withRestarts(t, func(t *testing.T, a *restarting) {
+	withSharedInstance(t, func(t *testing.T, a *restartingAgent) {
 		former := a.beat(t)
 		a.worker.CrashProcess(100 * time.Millisecond)
 		time.Sleep(300 * time.Millisecond)
 		present := a.beat(t)
 		if present.ID == former.ID || !present.ID.SharesInstance(former.ID) {
-			t.Fatalf("the worker is %v after %v", present.ID, former.ID)
+			t.Fatalf("after the crash the worker is %v, before it was %v", present.ID, former.ID)
 		}
 		time.Sleep(500 * time.Millisecond)
 		withoutStart, later, earlier := present, present, present
 		withoutStart.ID.StartMillis = 0
 		later.ID.StartMillis = present.ID.StartMillis + 7
 		earlier.ID.StartMillis = former.ID.StartMillis - 7
-		for _, said := range []assignment.WorkerState{former, withoutStart, later, earlier} {
-			said.Capacity = job.Resources{Accelerators: 1}
-			if a.runner.Heartbeat(t.Context(), said) {
-				t.Errorf("a report of %v was taken", said.ID)
+		for _, reported := range []assignment.WorkerState{former, withoutStart, later, earlier} {
+			reported.Capacity = job.Resources{Accelerators: 1}
+			if a.runner.Heartbeat(t.Context(), reported) {
+				t.Errorf("the heartbeat of %v was accepted", reported.ID)
 			}
 		}
 		time.Sleep(500 * time.Millisecond)
 		p := a.leader.last()
 		if p.State == nil || p.State.ID != present.ID || p.State.Capacity != present.Capacity || !p.Complete {
-			t.Errorf("after them the agent says %+v", p)
+			t.Errorf("after the heartbeats the agent polls %+v", p)
 		}
 	})
 }
 
-// TestBusyStart: a refusal does not say which incarnation it is from, so the heartbeat of a new
-// one that is unavailable at first is not taken for a late one for good.
+// TestBusyStart checks that the heartbeat of a new incarnation that is unavailable at first is not
+// rejected permanently as a late one. A refusal does not show which incarnation it comes from.
 func TestBusyStart(t *testing.T) {
-	withRestarts(t, func(t *testing.T, a *restarting) {
+	withSharedInstance(t, func(t *testing.T, a *restartingAgent) {
 		setBusy := func(busy bool) {
 			a.recorder.mu.Lock()
 			defer a.recorder.mu.Unlock()
@@ -275,19 +278,19 @@
 		setBusy(false)
 		time.Sleep(time.Second)
 		if !a.runner.Heartbeat(t.Context(), present) {
-			t.Error("the report of the new start is not taken once it answers")
+			t.Error("the heartbeat of the new incarnation is rejected although the worker answers again")
 		}
 	})
 }
 
-// TestFirstReportOfAnother: an agent that has heard nothing before takes a heartbeat of a
-// former incarnation for the worker's, until a list says otherwise.
+// TestFirstReportOfAnother checks that a newly started agent accepts a heartbeat of a former
+// incarnation only until a list shows that the worker has restarted.
 func TestFirstReportOfAnother(t *testing.T) {
-	withRestarts(t, func(t *testing.T, a *restarting) {
+	withSharedInstance(t, func(t *testing.T, a *restartingAgent) {
 		former := a.beat(t)
 		a.worker.CrashProcess(100 * time.Millisecond)
 		time.Sleep(300 * time.Millisecond)
-		successor := granting()
+		successor := newGrantingLeader()
 		successor.answer.Fence = 9
 		fresh := runner.New(agentSettings("2"), runner.Dependencies{
 			Worker:  a.recorder,
@@ -301,38 +304,38 @@
 		fresh.Heartbeat(ctx, former)
 		time.Sleep(500 * time.Millisecond)
 		if fresh.Heartbeat(ctx, former) {
-			t.Error("a second report of the former start was taken")
+			t.Error("a second heartbeat of the former incarnation was accepted")
 		}
 		present, _ := a.worker.Beat()
 		if !fresh.Heartbeat(ctx, present) {
-			t.Error("the report of the present start was not taken")
+			t.Error("the heartbeat of the present incarnation was rejected")
 		}
 	})
 }
 
-// TestGoneOfAFormerStart: a deregistration is believed only of a draining worker: that of a
-// former incarnation may come late.
+// TestGoneOfAFormerStart checks that a deregistration is accepted only for a draining worker,
+// because a deregistration of a former incarnation may arrive late.
 func TestGoneOfAFormerStart(t *testing.T) {
-	withRestarts(t, func(t *testing.T, a *restarting) {
+	withSharedInstance(t, func(t *testing.T, a *restartingAgent) {
 		present := a.beat(t)
 		a.runner.Deregister(present.ID.Instance)
 		time.Sleep(500 * time.Millisecond)
 		if p := a.leader.last(); p.State == nil || p.State.ID != present.ID || len(p.EndedIncarnations) != 0 {
-			t.Errorf("after a late deregistration the agent says state %+v, ended %+v", p.State, p.EndedIncarnations)
+			t.Errorf("after a late deregistration the agent polls state %+v, ended %+v", p.State, p.EndedIncarnations)
 		}
 		a.worker.Leave(time.Minute)
 		a.beat(t)
 		a.leader.mu.Lock()
-		a.leader.heard = false
+		a.leader.acks = false
 		a.leader.mu.Unlock()
 		a.runner.Deregister(present.ID.Instance)
 		time.Sleep(500 * time.Millisecond)
 		p := a.leader.last()
 		if p.State != nil || len(p.EndedIncarnations) != 1 {
-			t.Fatalf("after it has gone the agent says state %+v, ended %+v", p.State, p.EndedIncarnations)
+			t.Fatalf("after a timely deregistration the agent polls state %+v, ended %+v", p.State, p.EndedIncarnations)
 		}
 		if end := p.EndedIncarnations[0]; !end.Drained || end.ID != present.ID {
-			t.Errorf("after it has gone the agent says that it ended as %+v", end)
+			t.Errorf("after a timely deregistration the agent reports the end as %+v", end)
 		}
 	})
 }
--- a/jobs/runner/runner.go
+++ b/jobs/runner/runner.go
@@ -1,21 +1,21 @@
-// Package runner is the agent's side of jobs: it keeps one worker running what the leader wants.
+// Package runner implements the agent's side of jobs: it makes one worker run what the leader
+// orders.
 //
-// A Runner owns the agent's view of its worker: the present incarnation, the runs on it, the
-// ends that the leader has not stored yet, and the refusals that it has not acknowledged. It
-// keeps nothing beyond the process: a new one learns all from the worker's list and the
-// leader's answers, and decides nothing by itself.
+// A Runner holds the agent's view of its worker: the present incarnation, its runs, the ends that
+// the leader has not stored yet, and the refusals that the leader has not acknowledged yet. This
+// state is lost with the process. A new process rebuilds it from the worker's list and the leader's
+// answers, and makes no placement decisions of its own.
 //
-// Four loops and one goroutine for each start or stop share that view under one lock, which is
-// never held during a call. The loops poll the leader, synchronize with the worker, extend its
-// lease and throttle best-effort runs. Each call notes the generation of the worker's
-// incarnation that it was made for, and its outcome is dropped when another incarnation has
-// followed.
+// Five loops, and one goroutine for each start or stop, share that state under one lock, which is
+// never held during a call. Two loops poll the leader; the others synchronize with the worker,
+// extend its lease and throttle best-effort runs. Each call records the generation of the worker's
+// incarnation for which it was made, and its result is dropped if another incarnation has followed.
 //
-// It relies on three things. Every order carries a fence, which rises with each term of a
-// leader and each incarnation, and a worker refuses orders below the highest that it has seen.
-// A worker ends by itself what runs beyond its lease, and the agent never extends that beyond
-// what the leader granted. A worker lists an end until the agent confirms that it is stored,
-// which the agent does only after the leader has.
+// The package relies on three guarantees. Every order carries a fence, which increases with each
+// term of a leader and with each incarnation, and a worker refuses orders with a fence below the
+// highest one that it has seen. A worker stops its runs when their lease expires, and the agent
+// never extends the lease beyond what the leader granted. A worker lists an end until the agent
+// confirms that it is stored, and the agent does so only after the leader has stored it.
 //
 // # Usage
 //
@@ -37,45 +37,45 @@
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 )
 
-// Settings of a runner.
+// Settings configures a runner.
 type Settings struct {
-	// Name is that of the worker's box; Agent names this start of the agent's process.
+	// Name is the name of the worker's box. Agent identifies this start of the agent's process.
 	Name  string
 	Agent string
-	// Service and Zone are the worker's as the platform has set them up; empty if unknown.
+	// Service and Zone are those that the platform has configured for the worker; empty if unknown.
 	Service, Zone string
-	// Lease is the longest for which a worker keeps a run without an extension.
+	// Lease is the maximum time for which a worker keeps a run without an extension.
 	Lease time.Duration
-	// Drift is the most by which the worker's clock may be slow, as a share.
+	// Drift is the maximum fraction by which the worker's clock may run slow.
 	Drift float64
-	// CordonWithin is how long after its zone was cordoned a worker may still start something.
+	// CordonWithin is how long after a cordon of its zone a worker may still start runs.
 	CordonWithin time.Duration
 }
 
-// Leader finds the leader and carries polls to it.
+// Leader finds the leader and sends polls to it.
 type Leader interface {
-	// Poll carries a poll to the leader and returns its answer.
+	// Poll sends a poll to the leader and returns its answer.
 	Poll(ctx context.Context, p assignment.Poll) (assignment.Answer, error)
 }
 
-// Dependencies are what a runner works with.
+// Dependencies holds the collaborators of a runner.
 type Dependencies struct {
 	Worker  Worker
 	Leader  Leader
 	Logger  zerolog.Logger
 	Metrics tally.Scope
-	// Suspension counts for how long this machine was suspended.
+	// Suspension reports how long this machine has been suspended.
 	Suspension suspend.Clock
 }
 
 const (
-	// callTimeout bounds a call to the worker, on top of the wait that the call asks for.
+	// callTimeout limits a call to the worker, in addition to the wait that the call asks for.
 	callTimeout = 700 * time.Millisecond
-	// retryPause is the pause before a failed call is made again.
+	// retryPause is the pause before a failed call is retried.
 	retryPause = 100 * time.Millisecond
 )
 
-// Runner keeps one worker running what the leader wants.
+// Runner makes one worker run what the leader orders.
 type Runner struct {
 	settings     Settings
 	dependencies Dependencies
@@ -83,38 +83,39 @@
 
 	// mu guards the fields up to the channels.
 	mu sync.Mutex
-	// begunAt is when this process began, or came back after another one was heard.
-	begunAt time.Time
-	// worker is what the worker reported last; nil while no incarnation is present.
+	// activeSince is when this process started, or resumed after having been superseded.
+	activeSince time.Time
+	// worker is the worker's latest report; nil while there is no present incarnation.
 	worker *assignment.WorkerState
 	// generation counts the worker's incarnations.
 	generation int
-	// present is what holds for the present incarnation only.
+	// present holds the state of the present incarnation.
 	present incarnationState
-	// former are the incarnations that have ended.
+	// former holds the ended incarnations.
 	former formerIncarnations
-	// open are the calls to the worker whose effect is open.
+	// open holds the calls to the worker whose outcome is open.
 	open   openOrders
 	leader leadership
 	polls  pollHistory
-	// doubtful is the identity that the newest heartbeat claimed, if it was rejected for it.
-	doubtful identity
-	// unreadableRows is set while the newest list has rows that can't be read.
+	// rejectedIdentity is the identity that the newest heartbeat claimed, if it was rejected for
+	// that.
+	rejectedIdentity identity
+	// unreadableRows is set while the newest list has rows that cannot be read.
 	unreadableRows bool
 
 	// report triggers a poll, extend a sync, and shared the throttling of best-effort runs.
 	report, extend, shared chan struct{}
-	// background are the goroutines of starts and stops.
+	// background holds the goroutines of starts and stops.
 	background *conc.WaitGroup
 }
 
-// New returns a runner. Run starts it.
+// New returns a runner. Call Run to start it.
 func New(s Settings, d Dependencies) *Runner {
 	return &Runner{
 		settings:     s,
 		dependencies: d,
 		metrics:      newMetrics(d.Metrics),
-		begunAt:      time.Now(),
+		activeSince:  time.Now(),
 		generation:   1,
 		present:      newIncarnationState(),
 		former:       newFormerIncarnations(),
@@ -126,7 +127,7 @@
 	}
 }
 
-// Run works until ctx ends.
+// Run runs the loops until ctx ends.
 func (r *Runner) Run(ctx context.Context) {
 	var wg conc.WaitGroup
 	wg.Go(func() { r.pollLoop(ctx, true, nil) })
@@ -138,7 +139,7 @@
 	r.background.Wait()
 }
 
-// signal asks for something without waiting; signals that were not taken yet run together.
+// signal sends a signal without blocking. Signals that have not been received yet are merged.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
--- a/jobs/runner/runs.go
+++ b/jobs/runner/runs.go
@@ -12,21 +12,21 @@
 // percentUnknown is the progress of a run that the worker has not listed yet.
 const percentUnknown = -1
 
-// run is a run that the agent knows of.
+// run is a run that the agent knows about.
 type run struct {
-	// running is set once the worker has confirmed the run; before that a start or a stop is
-	// under way.
+	// running is set once the worker has confirmed the run. Before that, a start or a stop is in
+	// progress.
 	running bool
 	percent int
-	// latencyMillis is the worker's figure for the run; see assignment.Run.
+	// latencyMillis is the tail latency that the worker reports for the run; see assignment.Run.
 	latencyMillis int
-	// ordered is set while a start was sent, or is being sent, and may have been carried out.
+	// ordered is set while a start has been sent, or is being sent, and may have been carried out.
 	ordered bool
-	// uncertainAt is when a start ended without saying whether it was carried out; zero if none
-	// did.
+	// uncertainAt is when a start returned without its outcome being known; zero if none did.
 	uncertainAt time.Time
 	stopping    bool
-	// startedAt is when the worker confirmed the start; zero if it was ordered by another agent.
+	// startedAt is when the worker confirmed the start; zero if another process of the agent
+	// ordered it.
 	startedAt time.Time
 	// listedAt is when the worker listed the percentage.
 	listedAt time.Time
@@ -35,10 +35,10 @@
 // newRun returns a run that the worker has not confirmed yet.
 func newRun() *run { return &run{percent: percentUnknown} }
 
-// maybeRunning reports whether the run is on the worker as far as the agent can tell.
+// maybeRunning reports whether the run may be on the worker, as far as the agent can tell.
 func (k *run) maybeRunning() bool { return k.running || k.ordered }
 
-// age is how long the run has been running at a time; zero if unknown.
+// age returns how long the run has been running at a given time; zero if unknown.
 func (k *run) age(at time.Time) time.Duration {
 	if k.startedAt.IsZero() {
 		return 0
@@ -46,7 +46,7 @@
 	return max(at.Sub(k.startedAt), 0)
 }
 
-// listedAge is how old the run was when its percentage was listed; zero if unknown.
+// listedAge returns how old the run was when its percentage was listed; zero if unknown.
 func (k *run) listedAge() time.Duration {
 	if k.startedAt.IsZero() || k.listedAt.Before(k.startedAt) {
 		return 0
@@ -57,10 +57,10 @@
 // runTable holds the runs of an incarnation.
 type runTable struct {
 	known map[assignment.RunID]*run
-	// ended is the highest run of each task that has ended or was refused.
+	// ended holds, for each task, the number of its latest run that has ended or was refused.
 	ended map[job.TaskName]int
-	// abandoned are runs that were given up when the worker's lease was over, with whether they
-	// were running. If the worker turns out to have crashed, they were on it.
+	// abandoned holds the runs that were given up when the worker's lease expired, each with
+	// whether it was running. If the worker turns out to have crashed, these runs were on it.
 	abandoned map[assignment.RunID]bool
 }
 
@@ -72,16 +72,16 @@
 	}
 }
 
-// over reports whether the run, or a later one of its task, has ended.
-func (t *runTable) over(id assignment.RunID) bool { return t.ended[id.Task] >= id.Run }
+// hasEnded reports whether the run, or a later run of its task, has ended.
+func (t *runTable) hasEnded(id assignment.RunID) bool { return t.ended[id.Task] >= id.Run }
 
-// end notes that a run is over.
+// end records that a run has ended.
 func (t *runTable) end(id assignment.RunID) {
 	delete(t.known, id)
 	t.ended[id.Task] = max(t.ended[id.Task], id.Run)
 }
 
-// running lists the runs that the worker has confirmed.
+// running returns the runs that the worker has confirmed.
 func (t *runTable) running() map[assignment.RunID]bool {
 	running := make(map[assignment.RunID]bool, len(t.known))
 	for id, k := range t.known {
@@ -92,7 +92,7 @@
 	return running
 }
 
-// anyUncertain reports whether some start may or may not have been carried out.
+// anyUncertain reports whether the outcome of a start is unknown.
 func (t *runTable) anyUncertain() bool {
 	for _, k := range t.known {
 		if !k.uncertainAt.IsZero() {
@@ -102,8 +102,8 @@
 	return false
 }
 
-// interrupted lists the runs that end with the worker, or may, by their tasks' names. Ages
-// count to lastContact.
+// interrupted lists, sorted by task name, the runs that ended or may have ended with the worker.
+// Ages are as of lastContact.
 func (t *runTable) interrupted(lastContact time.Time) []assignment.InterruptedRun {
 	var runs []assignment.InterruptedRun
 	for id, k := range t.known {
--- a/jobs/runner/starts.go
+++ b/jobs/runner/starts.go
@@ -10,43 +10,44 @@
 )
 
 const (
-	// maxUnavailable is how often a start is tried on an unavailable worker before it is refused.
-	maxUnavailable = 8
-	// forgetPause is the pause before a start that a sync under way holds up, which is answered
-	// within milliseconds as a rule.
+	// maxUnavailableAttempts is the number of attempts to start a run on an unavailable worker
+	// before the run is refused.
+	maxUnavailableAttempts = 8
+	// forgetPause is the pause before a start that has to wait for a sync in flight. Such a sync is
+	// usually answered within milliseconds.
 	forgetPause = 5 * time.Millisecond
-	// wakeMargin is how long this process may have to wait for a processor between looking
-	// at a clock and sending.
-	wakeMargin = 150 * time.Millisecond
+	// schedulingMargin is the time for which this process may have to wait for a processor between
+	// reading a clock and sending a call.
+	schedulingMargin = 150 * time.Millisecond
 )
 
-// zoneProofMaxAge is how old the proof that the worker's zone is not cordoned may be when a
-// start is sent. An operator's cordon is acknowledged no earlier than the proof was taken, and
-// the start is carried out no later than its call ends, so with this bound nothing starts later
-// than CordonWithin after it.
+// zoneProofMaxAge is the maximum age of the proof that the worker's zone is not cordoned when a
+// start is sent. An operator's cordon is acknowledged no earlier than the proof was taken, and the
+// start is carried out no later than its call ends. With this limit, nothing starts later than
+// CordonWithin after the acknowledgment.
 func (s Settings) zoneProofMaxAge() time.Duration {
-	return time.Duration(float64(s.CordonWithin)*(1-s.Drift)) - callTimeout - wakeMargin
+	return time.Duration(float64(s.CordonWithin)*(1-s.Drift)) - callTimeout - schedulingMargin
 }
 
-// pendingStart is a start that the agent tries to get carried out.
+// pendingStart is a start that the agent tries to have carried out.
 type pendingStart struct {
 	assignment.Start
 	generation int
 	// unavailable counts the attempts at which the worker was unavailable.
 	unavailable int
-	// confirmed is set if the worker has answered just before the attempt.
+	// confirmed is set if the worker has answered immediately before the attempt.
 	confirmed bool
-	// zoneLogged is set once it was logged that the start waits for a proof of the zone.
+	// zoneLogged is set once the wait for a proof of the open zone has been logged.
 	zoneLogged bool
 }
 
-// beginStart starts a run in the background unless it is known already. The lock must be held.
+// beginStart starts a run in the background unless it is already known. The lock must be held.
 func (r *Runner) beginStart(ctx context.Context, s assignment.Start) {
 	if r.worker == nil || r.present.runs.known[s.RunID] != nil {
 		return
 	}
-	if r.present.runs.over(s.RunID) {
-		r.reportOver(s.RunID)
+	if r.present.runs.hasEnded(s.RunID) {
+		r.refuseEnded(s.RunID)
 		return
 	}
 	if r.worker.Draining {
@@ -58,7 +59,7 @@
 	r.background.Go(func() { r.start(ctx, pending) })
 }
 
-// start tries until it is known whether the run has started, or until the run is no longer
+// start retries until it is known whether the run has started, or until the run is no longer
 // wanted.
 func (r *Runner) start(ctx context.Context, s *pendingStart) {
 	for ctx.Err() == nil {
@@ -77,29 +78,30 @@
 	}
 }
 
-// startAttempt is the decision whether a start may be sent now, with what it carries.
+// startAttempt is the decision whether a start may be sent now, together with the arguments of the
+// call.
 type startAttempt struct {
-	// obsolete is set if nothing is left to do: the run is running or stopping, or its
-	// incarnation is over.
+	// obsolete is set if there is nothing left to do: the run is running or stopping, or its
+	// incarnation has ended.
 	obsolete bool
 	allowed  bool
-	// confirm is set if the worker has to answer first.
+	// confirm is set if the worker has to answer a sync first.
 	confirm bool
 	order   Order
 	// until is the end of the lease by the worker's clock, in milliseconds.
 	until int64
 	// repeated is set if an earlier attempt may have been carried out.
 	repeated bool
-	// tracked is set if the attempt is kept among the open orders.
+	// tracked is set if the attempt is recorded among the open orders.
 	tracked bool
-	// wait is how long to wait before the next attempt, if this one is not allowed.
+	// wait is the pause before the next attempt if this one is not allowed.
 	wait time.Duration
 }
 
-// prepareStart decides whether a start may be sent now. There must be a fence, a lease that is
-// not over, a recent enough proof that the zone is not cordoned, a leader that knows the
-// worker's capacity, no earlier attempt whose outcome is open, an answer of the worker just before if
-// the task is a suspect, and no sync that may still let the worker forget ends.
+// prepareStart decides whether a start may be sent now. It requires a fence, a lease that has not
+// expired, a recent enough proof that the zone is not cordoned, a leader that knows the worker's
+// capacity, no earlier attempt with an unknown outcome, an immediately preceding answer from the
+// worker if the task is a suspect, and no open sync that may let the worker forget ends.
 func (r *Runner) prepareStart(s *pendingStart) startAttempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,7 +114,7 @@
 	}
 	open := r.zoneOpen(now)
 	if fenced && !open {
-		r.noteZoneWait(s)
+		r.recordZoneWait(s)
 	}
 	resolved := r.outcomeKnown(k)
 	attempt := startAttempt{order: order, until: until, repeated: k.ordered, wait: retryPause}
@@ -135,29 +137,29 @@
 	return attempt
 }
 
-// zoneOpen reports whether the proof that the worker's zone is not cordoned is new enough. The
+// zoneOpen reports whether the proof that the worker's zone is not cordoned is recent enough. The
 // lock must be held.
 func (r *Runner) zoneOpen(now time.Time) bool {
 	return now.Sub(r.monotonic(r.present.zoneOpenAt)) <= r.settings.zoneProofMaxAge()
 }
 
-// noteZoneWait logs and counts, once for each start, that it waits for a proof of the zone. The
-// lock must be held.
-func (r *Runner) noteZoneWait(s *pendingStart) {
+// recordZoneWait logs and counts, once for each start, that it waits for a proof of the open zone.
+// The lock must be held.
+func (r *Runner) recordZoneWait(s *pendingStart) {
 	if s.zoneLogged {
 		return
 	}
 	s.zoneLogged = true
 	r.dependencies.Logger.Info().Str("step", "runner.start").Stringer("task", s.Task).Int("run", s.Run).
-		Msg("start waits until the zone is known not to be cordoned")
+		Msg("start waits for proof that the zone is not cordoned")
 	r.metrics.zoneWaits.Inc(1)
 }
 
-// outcomeKnown reports whether it is known what became of the last attempt to start a run. One
-// that got no answer may have crashed the worker, and the next one would reach the incarnation
-// that follows under the same instance, and crash it too, uncounted. So a list has to say first
-// that the worker is still in the same incarnation. Where each incarnation has an instance of
-// its own, the order itself makes sure of that. The lock must be held.
+// outcomeKnown reports whether the outcome of the last attempt to start a run is known. An attempt
+// without an answer may have crashed the worker. The next attempt would then reach the following
+// incarnation with the same instance and crash it too, without being counted. So a list has to
+// confirm first that the worker is still in the same incarnation. Where each incarnation has its
+// own instance, the order itself ensures this. The lock must be held.
 func (r *Runner) outcomeKnown(k *run) bool {
 	if k.uncertainAt.IsZero() || !r.sharesInstance() || r.present.listedAt.After(k.uncertainAt) {
 		return true
@@ -177,7 +179,7 @@
 	if attempt.tracked {
 		answered := err == nil || errors.Is(err, ErrAlreadyRan) || notApplied(err)
 		r.open.startReturned(attempt.order.Incarnation.Instance, s.RunID, time.Now(), answered)
-		r.forgetHeldBack()
+		r.signalForget()
 	}
 	k := r.present.runs.known[s.RunID]
 	if s.generation != r.generation || k == nil {
@@ -186,14 +188,14 @@
 	if !attempt.repeated && notApplied(err) {
 		k.ordered = false
 	}
-	r.noteAnswer(attempt.order, clock, err)
+	r.recordAnswer(attempt.order, clock, err)
 	r.dependencies.Logger.Info().Str("step", "runner.start").Stringer("task", s.Task).Int("run", s.Run).Err(err).
 		Msg("start ordered")
 	return r.applyStart(ctx, s, k, err)
 }
 
-// applyStart applies the answer to a start, and reports whether there is nothing left to try.
-// The lock must be held.
+// applyStart applies the answer to a start, and reports whether there is nothing left to try. The
+// lock must be held.
 func (r *Runner) applyStart(ctx context.Context, s *pendingStart, k *run, err error) (done bool) {
 	switch {
 	case err == nil:
@@ -203,8 +205,8 @@
 		r.endIncarnation(err)
 		return true
 	case errors.Is(err, ErrAlreadyRan):
-		// An attempt without an answer may have started it, and it may have ended: only a list
-		// can tell.
+		// An attempt without an answer may have started the run, which may have ended since. Only a
+		// list can show it.
 		r.beginStop(ctx, s.RunID, reasonAlreadyRan)
 		return true
 	case errors.Is(err, ErrNoCapacity):
@@ -214,7 +216,7 @@
 		r.beginStop(ctx, s.RunID, reasonRejected)
 		return true
 	case errors.Is(err, ErrUnavailable):
-		if s.unavailable++; s.unavailable >= maxUnavailable {
+		if s.unavailable++; s.unavailable >= maxUnavailableAttempts {
 			r.beginStop(ctx, s.RunID, reasonUnavailable)
 			return true
 		}
--- a/jobs/runner/starts_test.go
+++ b/jobs/runner/starts_test.go
@@ -17,13 +17,13 @@
 	"yarrowgrade.example/yarrowgrade/jobs/runner"
 )
 
-// TestRefusals: a run that does not fit, or that is stopped before its start came, is reported
-// as one that never starts.
+// TestRefusals checks that a run is reported as one that never starts if it does not fit, or if it
+// is stopped before its start arrives.
 func TestRefusals(t *testing.T) {
 	tests := []struct {
-		name   string
-		room   job.Resources
-		answer func(a *assignment.Answer)
+		name      string
+		resources job.Resources
+		answer    func(a *assignment.Answer)
 	}{
 		{"no room", job.Resources{Accelerators: 9}, func(a *assignment.Answer) {
 			a.Start = []assignment.Start{{RunID: id(1)}}
@@ -34,8 +34,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			within(t, func(t *testing.T, a *agent) {
-				a.workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{{Tasks: 1, Resources: test.room}}})
+			withAgent(t, func(t *testing.T, a *agent) {
+				a.workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{{Tasks: 1, Resources: test.resources}}})
 				a.leader.set(test.answer)
 				time.Sleep(2 * time.Second)
 				if p := a.leader.last(); len(p.Refused) != 1 || p.Refused[0].RunID != id(1) {
@@ -46,48 +46,48 @@
 				})
 				time.Sleep(2 * time.Second)
 				if a.workers.AnyRun(task.Job) {
-					t.Error("it started after it was refused")
+					t.Error("the run started after it was refused")
 				}
 			})
 		})
 	}
 }
 
-// lossy is a worker whose answers are lost: that to the first start of a run, and those to
-// syncs for two seconds from then on.
-type lossy struct {
+// lossyWorker is a worker that loses answers: the one to the first start of each run, and those to
+// syncs during the two seconds after that start.
+type lossyWorker struct {
 	*jobtest.Worker
-	// anonymous says that it does not say when it started.
+	// anonymous is set if the worker does not report its start time.
 	anonymous bool
 
-	mu      sync.Mutex
-	started map[assignment.RunID]bool
-	deaf    time.Time
+	mu          sync.Mutex
+	started     map[assignment.RunID]bool
+	silentUntil time.Time
 }
 
-func (l *lossy) Start(ctx context.Context, o runner.Order, s assignment.Start, until int64) (int64, error) {
+func (l *lossyWorker) Start(ctx context.Context, o runner.Order, s assignment.Start, until int64) (int64, error) {
 	l.mu.Lock()
-	again := l.started[s.RunID]
-	if !again {
-		l.started[s.RunID], l.deaf = true, time.Now().Add(2*time.Second)
+	repeated := l.started[s.RunID]
+	if !repeated {
+		l.started[s.RunID], l.silentUntil = true, time.Now().Add(2*time.Second)
 	}
 	l.mu.Unlock()
 	clock, err := l.Worker.Start(ctx, o, s, until)
-	if !again {
+	if !repeated {
 		<-ctx.Done()
 		return 0, ctx.Err()
 	}
 	return clock, err
 }
 
-func (l *lossy) Sync(
+func (l *lossyWorker) Sync(
 	ctx context.Context, o runner.Order, until, forget int64, wait time.Duration,
 ) (runner.Listing, int64, error) {
 	listing, clock, err := l.Worker.Sync(ctx, o, until, forget, wait)
 	l.mu.Lock()
-	deaf := time.Now().Before(l.deaf)
+	silent := time.Now().Before(l.silentUntil)
 	l.mu.Unlock()
-	if deaf {
+	if silent {
 		<-ctx.Done()
 		return runner.Listing{}, 0, ctx.Err()
 	}
@@ -97,10 +97,10 @@
 	return listing, clock, err
 }
 
-// TestEndedBeforeItsAnswer: a run that ended before its start was answered was reported as one
-// that did not start, and the leader started its task once more. It must be reported as ended,
-// whether the worker says when it started, so that its list is asked for first, or does not, so
-// that the start is sent again and refused.
+// TestEndedBeforeItsAnswer checks that a run that ends before its start is answered is reported as
+// ended. If it were reported as refused, the leader would start its task again. If the worker
+// reports its start time, the agent requests its list first; otherwise it sends the start again,
+// which is refused.
 func TestEndedBeforeItsAnswer(t *testing.T) {
 	for name, anonymous := range map[string]bool{"incarnation is known": false, "instance only": true} {
 		t.Run(name, func(t *testing.T) {
@@ -116,10 +116,10 @@
 	step := job.Step{Tasks: 1, Resources: job.Resources{Accelerators: 1}}
 	workers.Expect(&job.Job{ID: task.Job, Service: "s", Steps: []job.Step{step}})
 	worker := workers.Add("w", "s", "z", "r", job.Resources{Accelerators: 2})
-	o := granting()
+	o := newGrantingLeader()
 	o.answer.Start = []assignment.Start{{RunID: id(1)}}
 	r := runner.New(agentSettings("1"), runner.Dependencies{
-		Worker:  &lossy{Worker: worker, anonymous: anonymous, started: map[assignment.RunID]bool{}},
+		Worker:  &lossyWorker{Worker: worker, anonymous: anonymous, started: map[assignment.RunID]bool{}},
 		Leader:  o,
 		Logger:  zerolog.Nop(),
 		Metrics: tally.NoopScope,
@@ -136,20 +136,20 @@
 	for _, p := range o.polls {
 		ended = ended || len(p.Ends) == 1 && p.Ends[0].Reason == job.EndDone
 		if !ended && len(p.Refused) > 0 {
-			t.Errorf("poll %d says that it did not start: %+v", p.Sequence, p.Refused)
+			t.Errorf("poll %d reports the run as refused: %+v", p.Sequence, p.Refused)
 			break
 		}
 	}
 	if !ended {
-		t.Error("its end was never told")
+		t.Error("the end of the run was never reported")
 	}
 	cancel()
 	time.Sleep(20 * time.Second)
 }
 
-// TestStartWaitsForOpenZone: a start is sent only while the proof that the worker's zone is not
-// cordoned is new enough, its age at the leader included, and is sent by itself once a new
-// proof has come.
+// TestStartWaitsForOpenZone checks that a start is sent only while the proof that the worker's zone
+// is not cordoned is recent enough, including the proof's age at the leader, and that a waiting
+// start is sent when a new proof arrives.
 func TestStartWaitsForOpenZone(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -166,7 +166,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				o := granting()
+				o := newGrantingLeader()
 				o.answer.ZoneOpen, o.answer.ZoneProofMillis = test.open, test.age.Milliseconds()
 				o.answer.Start = []assignment.Start{{RunID: id(1)}}
 				a := startAgent(ctx, t, o)
@@ -177,7 +177,7 @@
 				a.leader.set(func(answer *assignment.Answer) { answer.ZoneOpen, answer.ZoneProofMillis = true, 0 })
 				time.Sleep(time.Second)
 				if a.workers.Starts != 1 {
-					t.Errorf("%d starts a second after the zone is known to be open, want 1", a.workers.Starts)
+					t.Errorf("%d starts one second after a new proof of the open zone, want 1", a.workers.Starts)
 				}
 				cancel()
 				time.Sleep(20 * time.Second)
@@ -186,9 +186,9 @@
 	}
 }
 
-// takeOrderInHand leaves the agent without a leader, and with a start that it can't send since
-// its worker can't be reached.
-func (a *agent) takeOrderInHand() {
+// holdUpStart gives the agent a start that it cannot send because its worker is unreachable, and
+// then disconnects the leader.
+func (a *agent) holdUpStart() {
 	a.worker.SetUnreachable(true)
 	a.leader.set(func(answer *assignment.Answer) { answer.Start = []assignment.Start{{RunID: id(1)}} })
 	time.Sleep(500 * time.Millisecond)
@@ -197,22 +197,22 @@
 	a.leader.down = true
 }
 
-// reachAgain lets the worker be reached, and report its capacity, so that only the bounds of
-// the order hold it back.
-func (a *agent) reachAgain(t *testing.T) {
+// reconnect makes the worker reachable again and lets it report its capacity, so that only the
+// limits of the order can prevent the start.
+func (a *agent) reconnect(t *testing.T) {
 	t.Helper()
 	a.worker.SetUnreachable(false)
-	said, _ := a.worker.Beat()
-	a.runner.Heartbeat(t.Context(), said)
+	reported, _ := a.worker.Beat()
+	a.runner.Heartbeat(t.Context(), reported)
 }
 
-// TestOrderInHand: a start that could not be sent for a while is not sent any more once a
-// cordon that the agent can't have heard of may bind, although its lease would still allow it.
+// TestOrderInHand checks that a delayed start is not sent once a cordon that the agent cannot know
+// about may have taken effect, although its lease would still allow it.
 func TestOrderInHand(t *testing.T) {
-	within(t, func(t *testing.T, a *agent) {
-		a.takeOrderInHand()
+	withAgent(t, func(t *testing.T, a *agent) {
+		a.holdUpStart()
 		time.Sleep(3900 * time.Millisecond)
-		a.reachAgain(t)
+		a.reconnect(t)
 		time.Sleep(20 * time.Second)
 		if a.workers.Starts > 0 {
 			t.Errorf("%d runs started", a.workers.Starts)
@@ -220,14 +220,14 @@
 	})
 }
 
-// TestSuspendedOrder: a start that waits while the machine is suspended is not sent once its
-// lease is over, though by the agent's monotonic clock it is not: the leader may have given the
-// run up and started it elsewhere.
+// TestSuspendedOrder checks that a start that waits while the machine is suspended is not sent
+// after its lease has expired, although the lease is still valid by the agent's monotonic clock.
+// The leader may have given up the run and started it elsewhere.
 func TestSuspendedOrder(t *testing.T) {
-	within(t, func(t *testing.T, a *agent) {
-		a.takeOrderInHand()
+	withAgent(t, func(t *testing.T, a *agent) {
+		a.holdUpStart()
 		suspended.Add(int64(lease))
-		a.reachAgain(t)
+		a.reconnect(t)
 		time.Sleep(20 * time.Second)
 		if a.workers.Starts > 0 {
 			t.Errorf("%d runs started", a.workers.Starts)
@@ -235,10 +235,10 @@
 	})
 }
 
-// TestShrunkOrder: a start that waits when the worker's capacity shrinks is sent only once the
-// leader has decided for the new capacity.
+// TestShrunkOrder checks that a start that is pending when the worker's capacity shrinks is sent
+// only once the leader has decided on the basis of the new capacity.
 func TestShrunkOrder(t *testing.T) {
-	within(t, func(t *testing.T, a *agent) {
+	withAgent(t, func(t *testing.T, a *agent) {
 		a.worker.SetUnreachable(true)
 		a.leader.set(func(answer *assignment.Answer) { answer.Start = []assignment.Start{{RunID: id(1)}} })
 		time.Sleep(500 * time.Millisecond)
@@ -250,28 +250,29 @@
 			time.Sleep(time.Second)
 		}
 		if a.workers.Starts > 0 {
-			t.Errorf("%d runs started before the leader has heard of the new capacity", a.workers.Starts)
+			t.Errorf("%d runs started before the leader knew the new capacity", a.workers.Starts)
 		}
 		a.leader.mu.Lock()
-		a.leader.heard = true
+		a.leader.acks = true
 		a.leader.mu.Unlock()
 		a.runner.Heartbeat(t.Context(), reported)
 		time.Sleep(time.Second)
 		if a.workers.Starts != 1 {
-			t.Errorf("%d runs started once it has, want 1", a.workers.Starts)
+			t.Errorf("%d runs started after the leader has learned the new capacity, want 1", a.workers.Starts)
 		}
 	})
 }
 
-// TestSuspectOnGoneWorker: a start of a task under which workers have crashed is not sent to a worker
-// that has just gone, so it doesn't count as one more crash under the task. Others are sent as ever.
+// TestSuspectOnGoneWorker checks that the start of a suspect task, one under which workers have
+// crashed, is not sent to a worker that has just stopped, so that it does not count as another
+// crash under the task. Other starts are sent as usual.
 //
-// The sync that the agent holds shows after up to 1.7 s that the worker is gone; a start meanwhile
-// got no answer, and the task was given up.
+// The sync that the worker holds shows only after up to 1.7 s that the worker is gone. A start sent
+// in the meantime would get no answer, and the task would be given up.
 func TestSuspectOnGoneWorker(t *testing.T) {
 	for _, suspect := range []bool{true, false} {
 		t.Run(fmt.Sprintf("suspect %v", suspect), func(t *testing.T) {
-			within(t, func(t *testing.T, a *agent) {
+			withAgent(t, func(t *testing.T, a *agent) {
 				time.Sleep(time.Second)
 				a.worker.Crash(3 * time.Second)
 				start := assignment.Start{RunID: id(1), Suspect: suspect}
@@ -286,17 +287,17 @@
 				if len(ended) != 1 || !ended[0].Complete {
 					t.Fatalf("ended incarnations: %+v", ended)
 				}
-				if blamed := len(ended[0].Runs) > 0; blamed == suspect {
-					t.Errorf("the run may have been there: %v, want %v", blamed, !suspect)
+				if reported := len(ended[0].Runs) > 0; reported == suspect {
+					t.Errorf("the run is reported with the ended incarnation: %v, want %v", reported, !suspect)
 				}
 			})
 		})
 	}
 }
 
-// TestSuspectStarts: a start of a suspect is sent once its worker has answered.
+// TestSuspectStarts checks that the start of a suspect task is sent once the worker has answered.
 func TestSuspectStarts(t *testing.T) {
-	within(t, func(t *testing.T, a *agent) {
+	withAgent(t, func(t *testing.T, a *agent) {
 		a.leader.set(func(answer *assignment.Answer) {
 			answer.Start = []assignment.Start{{RunID: id(1), Suspect: true}}
 		})
--- a/jobs/runner/state.go
+++ b/jobs/runner/state.go
@@ -7,20 +7,20 @@
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 )
 
-// incarnationState is what the agent knows of one incarnation of its worker.
+// incarnationState is the agent's view of one incarnation of its worker.
 type incarnationState struct {
 	runs     runTable
 	ends     endLog
 	refusals map[assignment.RunID]refusal
-	// complete is set once the worker has listed what it runs under the newest fence.
+	// complete is set once the worker has listed its runs under the newest fence.
 	complete bool
-	// listedAt is when the newest sync was sent whose list was taken over.
+	// listedAt is the send time of the latest sync whose list has been applied.
 	listedAt time.Time
 	contact  contact
 	clock    workerClock
-	// leaseSent is the latest end of a lease that the worker may have received.
+	// leaseSent is the latest lease end that the worker may have received.
 	leaseSent time.Time
-	// drainsAt is the earliest time at which a draining worker goes.
+	// drainsAt is the earliest time at which a draining worker may shut down.
 	drainsAt time.Time
 	// zoneOpenAt is when the newest proof was taken that the worker's zone is not cordoned.
 	zoneOpenAt suspend.Instant
@@ -37,8 +37,8 @@
 	}
 }
 
-// refusal is a run that will never start here. It is reported until the leader has acknowledged
-// a poll later than the one numbered since.
+// refusal is a run that never starts on this worker. It is reported until the leader has
+// acknowledged a poll with a number above since.
 type refusal struct {
 	assignment.Refusal
 	since int64
--- a/jobs/runner/stops.go
+++ b/jobs/runner/stops.go
@@ -8,7 +8,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 )
 
-// Reasons of refusals, as polls carry them and the leader logs them.
+// Reasons for refusals, which polls carry and the leader logs.
 const (
 	reasonStopped      = "stopped"
 	reasonOver         = "over"
@@ -20,17 +20,17 @@
 	reasonUnresponsive = "the worker is silent and its lease is over"
 )
 
-// refuse notes that a run will never start here. The lock must be held.
+// refuse records that a run will never start on this worker. The lock must be held.
 func (r *Runner) refuse(refused assignment.Refusal) {
 	r.present.runs.end(refused.RunID)
 	r.present.refusals[refused.RunID] = refusal{Refusal: refused, since: r.polls.sequence}
 	signal(r.report)
 }
 
-// reportOver reports once more that a run is over which the leader still orders, unless its end
-// is about to be reported. Where the order was only overtaken by the report of the end, the
-// leader ignores it. The lock must be held.
-func (r *Runner) reportOver(id assignment.RunID) {
+// refuseEnded reports once more that a run has ended although the leader still orders it, unless
+// its end is already waiting to be stored. If the order was only overtaken by the report of the
+// end, the leader ignores the refusal. The lock must be held.
+func (r *Runner) refuseEnded(id assignment.RunID) {
 	if r.present.ends.has(id) {
 		return
 	}
@@ -39,16 +39,16 @@
 	}
 }
 
-// pendingStop is a stop that the agent tries to get carried out.
+// pendingStop is a stop that the agent tries to have carried out.
 type pendingStop struct {
 	assignment.RunID
 	generation int
-	// reason is that of the refusal if the run turns out never to have been there.
+	// reason is the reason for the refusal if the run turns out never to have been on the worker.
 	reason string
 }
 
-// beginStop stops a run in the background. If the run turns out never to have been there, it is
-// refused with the reason. The lock must be held.
+// beginStop stops a run in the background. If the run turns out never to have been on the worker,
+// it is refused with the given reason. The lock must be held.
 func (r *Runner) beginStop(ctx context.Context, id assignment.RunID, reason string) {
 	if r.worker == nil {
 		return
@@ -66,8 +66,8 @@
 	r.background.Go(func() { r.stop(ctx, pending) })
 }
 
-// stop tries until the worker has taken the stop, and then finds out whether the run was there
-// at all.
+// stop retries until the worker has accepted the stop, and then finds out whether the run was on
+// the worker at all.
 func (r *Runner) stop(ctx context.Context, s pendingStop) {
 	for ctx.Err() == nil {
 		order, ok, obsolete := r.prepareStop(s)
@@ -81,17 +81,18 @@
 	}
 }
 
-// prepareStop returns the order to send, and false if there is none. A stop is obsolete once
-// the run is over.
+// prepareStop returns the order to send, and false if there is none. A stop is obsolete once the
+// run has ended.
 func (r *Runner) prepareStop(s pendingStop) (order Order, ok, obsolete bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	order, ok = r.order()
-	return order, ok, r.isOver(s)
+	return order, ok, r.stopObsolete(s)
 }
 
-// isOver reports whether the run to stop is over, or its incarnation. The lock must be held.
-func (r *Runner) isOver(s pendingStop) bool {
+// stopObsolete reports whether the run to stop, or its incarnation, has ended. The lock must be
+// held.
+func (r *Runner) stopObsolete(s pendingStop) bool {
 	return s.generation != r.generation || r.present.runs.known[s.RunID] == nil
 }
 
@@ -107,15 +108,15 @@
 	return err == nil && r.confirmStop(ctx, s)
 }
 
-// applyStop applies the answer to a stop. It returns false if the incarnation was over before
-// it came.
+// applyStop applies the answer to a stop. It returns false if the incarnation ended before the
+// answer arrived.
 func (r *Runner) applyStop(s pendingStop, order Order, clock int64, err error) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s.generation != r.generation {
 		return false
 	}
-	r.noteAnswer(order, clock, err)
+	r.recordAnswer(order, clock, err)
 	r.dependencies.Logger.Info().Str("step", "runner.stop").Stringer("task", s.Task).Int("run", s.Run).Err(err).
 		Msg("stop ordered")
 	if errors.Is(err, ErrOtherIncarnation) {
@@ -124,9 +125,9 @@
 	return true
 }
 
-// confirmStop asks the worker whether a run that was stopped is still there, and reports
-// whether the answer settles it. If the run is neither running nor among the ends, it never
-// started, and never will.
+// confirmStop asks the worker whether a stopped run is still running, and reports whether the
+// answer is conclusive. A run that is neither running nor among the ends has not started and never
+// will.
 func (r *Runner) confirmStop(ctx context.Context, s pendingStop) (done bool) {
 	r.mu.Lock()
 	order, ok := r.order()
@@ -139,7 +140,7 @@
 	list, clock, err := r.sync(call, syncCall{order: order})
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.isOver(s) {
+	if r.stopObsolete(s) {
 		return true
 	}
 	if errors.Is(err, ErrOtherIncarnation) {
@@ -149,16 +150,16 @@
 	if err != nil || order.Fence != r.orderFence() {
 		return false
 	}
-	r.noteClock(clock)
+	r.recordClock(clock)
 	for _, listed := range list.Runs {
 		if listed.RunID == s.RunID {
-			// It ends soon; the lists of the sync loop will show it.
+			// The run ends soon, and the sync loop will list its end.
 			r.present.runs.known[s.RunID].running = true
 			return true
 		}
 	}
-	r.takeList(list, nil)
-	if !list.whole() {
+	r.applyListing(list, nil)
+	if !list.readable() {
 		return false
 	}
 	if r.present.runs.known[s.RunID] != nil {
--- a/jobs/runner/superseded.go
+++ b/jobs/runner/superseded.go
@@ -6,15 +6,15 @@
 	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 )
 
-// While the leader hears a newer process of the agent, this one gives way: it sends the worker
-// nothing, judges nothing, and polls only to hear when it is needed again. It forgets what it knows
-// of the worker, as that changes without it, and learns it from the worker's list when it is back,
-// as a process that has just started does. Only the starts that it has sent stay known while they
-// are open: the leader has to hear of them.
+// While the leader accepts polls from a newer process of the agent, this process stands down: it
+// sends nothing to the worker, makes no decisions, and polls only to learn when it is needed again.
+// It discards its view of the worker, which changes without it, and rebuilds it from the worker's
+// list when it resumes, as a newly started process does. It keeps only the starts that it has sent,
+// while they are open, because they have to be reported to the leader.
 
-// giveWay stops all that this process does with its worker, since the leader of a term hears a newer
-// one.
-func (r *Runner) giveWay(term int64) {
+// standDown stops all work with the worker because the leader of a term accepts polls from a newer
+// process of the agent.
+func (r *Runner) standDown(term int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.leader.superseded || term < r.leader.term {
@@ -23,7 +23,7 @@
 	r.leader.superseded = true
 	r.metrics.superseded.Inc(1)
 	r.dependencies.Logger.Warn().Str("step", "runner.giveWay").Int64("term", term).
-		Msg("a newer process of the agent is heard; this one gives way until that is silent")
+		Msg("leader accepts a newer process of the agent; this process stands down until that one stops polling")
 	r.worker = nil
 	r.present = newIncarnationState()
 	r.generation++
@@ -31,17 +31,19 @@
 	clear(r.former.unacked)
 }
 
-// comeBack begins again once the leader hears this process. The lock must be held.
-func (r *Runner) comeBack() {
+// resume restarts the work with the worker once the leader accepts this process again. The lock
+// must be held.
+func (r *Runner) resume() {
 	if !r.leader.superseded {
 		return
 	}
 	r.leader.superseded = false
-	r.begunAt = time.Now()
-	r.dependencies.Logger.Info().Str("step", "runner.comeBack").Msg("the newer process is silent; this one is heard again")
+	r.activeSince = time.Now()
+	r.dependencies.Logger.Info().Str("step", "runner.comeBack").
+		Msg("newer process of the agent has stopped polling; this process resumes")
 }
 
-// isSuperseded reports whether a newer process of the agent is heard.
+// isSuperseded reports whether the leader accepts polls from a newer process of the agent.
 func (r *Runner) isSuperseded() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/jobs/runner/sync.go
+++ b/jobs/runner/sync.go
@@ -12,7 +12,7 @@
 // syncWait is how long a worker holds a sync while no run ends.
 const syncWait = time.Second
 
-// syncLoop synchronizes with the worker again and again; an answer comes as soon as a run ends.
+// syncLoop synchronizes with the worker continuously. An answer arrives as soon as a run ends.
 func (r *Runner) syncLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !r.syncOnce(ctx, r.nextWait()) {
@@ -22,8 +22,8 @@
 	}
 }
 
-// nextWait is how long the next sync may wait for an end. After a failure it doesn't wait,
-// so that it is known at once whether the worker has restarted.
+// nextWait returns how long the next sync may wait for an end. After a failure it does not wait, so
+// that a restart of the worker is detected immediately.
 func (r *Runner) nextWait() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -33,8 +33,8 @@
 	return syncWait
 }
 
-// extendLoop synchronizes when the leader has granted a longer lease or stored ends, without
-// waiting for an end.
+// extendLoop synchronizes, without waiting for an end, when the leader has granted a longer lease
+// or stored ends.
 func (r *Runner) extendLoop(ctx context.Context) {
 	for {
 		select {
@@ -54,18 +54,18 @@
 	}
 }
 
-// syncSent is a sync under way, with what was known when it was sent.
-type syncSent struct {
+// pendingSync is a sync in flight, with the state at the time when it was sent.
+type pendingSync struct {
 	syncCall
 	at         time.Time
 	generation int
-	// tracked is set if the sync is kept among the open orders.
+	// tracked is set if the sync is recorded among the open orders.
 	tracked bool
-	// running are the runs that were running.
+	// running holds the runs that were running.
 	running map[assignment.RunID]bool
 }
 
-// syncOnce makes one sync and applies its answer. It returns false if that failed.
+// syncOnce makes one sync and applies its answer. It returns false if the sync failed.
 func (r *Runner) syncOnce(ctx context.Context, wait time.Duration) bool {
 	call, ok := r.prepareSync(wait)
 	if !ok {
@@ -78,8 +78,8 @@
 	return r.applySync(call, list, clock, err)
 }
 
-// prepareSync returns what a sync brings, and false if there is nothing to call with.
-func (r *Runner) prepareSync(wait time.Duration) (syncSent, bool) {
+// prepareSync returns the arguments of a sync, and false if there is no worker or no fence.
+func (r *Runner) prepareSync(wait time.Duration) (pendingSync, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
@@ -87,23 +87,23 @@
 	until, _ := r.leaseDeadline(now)
 	call := syncCall{order: order, until: until, wait: wait}
 	if ok {
-		call.forget = r.toForget(now)
+		call.forget = r.forgetUpTo(now)
 	}
 	tracked := call.forget > 0 && r.sharesInstance()
 	if tracked {
-		// The shorter the call, the less often it gets no answer.
+		// A shorter call is less likely to get no answer.
 		call.wait = 0
 		r.open.forgetSent(order.Incarnation.Instance)
 	}
 	running := r.present.runs.running()
-	return syncSent{syncCall: call, at: now, generation: r.generation, tracked: tracked, running: running}, ok
+	return pendingSync{syncCall: call, at: now, generation: r.generation, tracked: tracked, running: running}, ok
 }
 
-// toForget is up to which end the worker may forget its ends. It is zero once the worker has
-// forgotten them, and while it gives no answer: an incarnation that has just followed would
-// drop ends that nobody has read. It is zero too while a start is open: the next incarnation
-// might carry out both. The lock must be held.
-func (r *Runner) toForget(now time.Time) int64 {
+// forgetUpTo returns the highest number of the ends that the worker may forget. It is zero once the
+// worker has forgotten them, and while syncs fail: a new incarnation would drop ends that have not
+// been read. It is also zero while a start is open, because the next incarnation might carry out
+// both calls. The lock must be held.
+func (r *Runner) forgetUpTo(now time.Time) int64 {
 	ends := &r.present.ends
 	if ends.acked == ends.forgotten || !r.present.contact.failingSince.IsZero() {
 		return 0
@@ -114,16 +114,16 @@
 	return ends.acked
 }
 
-// forgetHeldBack has the worker forget ends after a start has returned that held this up. The
-// lock must be held.
-func (r *Runner) forgetHeldBack() {
-	if r.toForget(time.Now()) > 0 {
+// signalForget triggers a sync that lets the worker forget ends, after the return of a start that
+// had delayed it. The lock must be held.
+func (r *Runner) signalForget() {
+	if r.forgetUpTo(time.Now()) > 0 {
 		signal(r.extend)
 	}
 }
 
 // applySync applies the answer to a sync. It returns false if the call failed.
-func (r *Runner) applySync(call syncSent, list Listing, clock int64, err error) bool {
+func (r *Runner) applySync(call pendingSync, list Listing, clock int64, err error) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if call.tracked {
@@ -137,24 +137,24 @@
 		r.endIncarnation(err)
 		return false
 	case errors.Is(err, ErrFenced):
-		r.noteFenced(call.order, clock)
+		r.recordFenced(call.order, clock)
 		return false
 	case err != nil:
-		r.noteFailing(err)
+		r.recordFailure(err)
 		r.abandonRuns(time.Now())
 		return false
 	}
 	firstReading := r.present.clock.readAt.IsZero()
-	r.noteClock(clock)
+	r.recordClock(clock)
 	r.present.ends.forgotten = max(r.present.ends.forgotten, call.forget)
 	if call.order.Fence != r.orderFence() {
 		return true
 	}
 	if firstReading {
-		// Only now that the worker's clock is known can a lease be given.
+		// A lease can be granted only now that the worker's clock is known.
 		signal(r.extend)
 	}
-	r.takeList(list, call.running)
+	r.applyListing(list, call.running)
 	if call.at.After(r.present.listedAt) {
 		r.present.listedAt = call.at
 	}
--- a/jobs/runner/throttle.go
+++ b/jobs/runner/throttle.go
@@ -8,37 +8,38 @@
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 )
 
-// Best-effort runs are throttled while runs with a latency target share their worker. The
-// worker's latency figures are of the last half second, so each adjustment, one per
-// throttleInterval, sees the effect of the one before.
+// Best-effort runs are throttled while runs with a latency target share their worker. The worker
+// reports latencies over the last half second, so each adjustment, one per throttleInterval, sees
+// the effect of the previous one.
 const (
 	throttleInterval = 700 * time.Millisecond
 	// fullSpeed, in percent, is the speed of a run that is not throttled.
 	fullSpeed = 100
-	// firstSpeed is the speed at which best-effort runs begin beside a run with a latency target.
-	firstSpeed = 50
-	// Above highLatency, as a share of the target, the speed is halved, and below minSpeed it
-	// is zero. Below lowLatency it is raised by speedStep.
+	// initialSpeed is the speed at which best-effort runs start next to a run with a latency
+	// target.
+	initialSpeed = 50
+	// Above highLatency, as a fraction of the target, the speed is halved; below minSpeed it
+	// becomes zero. Below lowLatency the speed is raised by speedStep.
 	highLatency = 0.9
 	lowLatency  = 0.7
 	minSpeed    = 10
 	speedStep   = 10
 )
 
-// throttle sets the speed of the best-effort runs on one worker.
+// throttle controls the speed of the best-effort runs on one worker.
 type throttle struct {
 	roles map[assignment.RunID]assignment.Role
-	// speed is that of all best-effort runs, in percent, while the worker is shared.
+	// speed is the common speed of all best-effort runs while they share the worker, in percent.
 	speed int
-	// applied is the speed that the worker has for each run; none is fullSpeed.
+	// applied holds the speed that the worker has for each run; a missing entry means fullSpeed.
 	applied map[assignment.RunID]int
 }
 
 func newThrottle() throttle {
-	return throttle{speed: firstSpeed, applied: map[assignment.RunID]int{}}
+	return throttle{speed: initialSpeed, applied: map[assignment.RunID]int{}}
 }
 
-// assign takes over the roles of the worker's runs.
+// assign stores the roles of the worker's runs.
 func (t *throttle) assign(roles []assignment.Role) {
 	t.roles = make(map[assignment.RunID]assignment.Role, len(roles))
 	for _, role := range roles {
@@ -57,11 +58,10 @@
 	return targeted && bestEffort
 }
 
-// adjust sets the speed by the latency of the run that is closest to its target, or furthest
-// above it.
+// adjust sets the speed by the run with the highest latency in proportion to its target.
 func (t *throttle) adjust(runs map[assignment.RunID]*run) {
 	if !t.shared(runs) {
-		t.speed = firstSpeed
+		t.speed = initialSpeed
 		return
 	}
 	worst := 0.0
@@ -80,7 +80,7 @@
 	}
 }
 
-// changes returns the runs whose speed on the worker is to change, with the new speed in percent.
+// changes returns the runs whose speed on the worker has to change, with the new speed in percent.
 func (t *throttle) changes(runs map[assignment.RunID]*run) map[assignment.RunID]int {
 	want := fullSpeed
 	if t.shared(runs) {
@@ -104,8 +104,8 @@
 	return changes
 }
 
-// throttleLoop throttles best-effort runs while the worker is shared. It sleeps until an answer
-// of the leader names roles.
+// throttleLoop throttles best-effort runs while they share the worker. It sleeps until an answer of
+// the leader contains roles.
 func (r *Runner) throttleLoop(ctx context.Context) {
 	for {
 		select {
@@ -119,8 +119,8 @@
 	}
 }
 
-// throttleOnce sets the speed by the worker's newest figures. It reports whether there is
-// anything to watch.
+// throttleOnce sets the speed by the worker's latest latencies. It reports whether throttling has
+// to go on.
 func (r *Runner) throttleOnce(ctx context.Context) bool {
 	r.mu.Lock()
 	shared := r.present.throttle.shared(r.present.runs.known)
@@ -143,8 +143,8 @@
 	return shared || len(changes) > 0
 }
 
-// setSpeed sets the speed of a run on the worker, in percent. If no answer comes, the next
-// adjustment sends it again.
+// setSpeed sets the speed of a run on the worker, in percent. If the call gets no answer, the next
+// adjustment repeats it.
 func (r *Runner) setSpeed(ctx context.Context, order Order, id assignment.RunID, percent, generation int) {
 	attempt, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -154,7 +154,7 @@
 	if generation != r.generation {
 		return
 	}
-	r.noteAnswer(order, clock, err)
+	r.recordAnswer(order, clock, err)
 	r.dependencies.Logger.Info().Str("step", "runner.pace").Stringer("task", id.Task).Int("run", id.Run).
 		Int("percent", percent).Err(err).Msg("speed ordered")
 	if err == nil {
