--- a/cmd/yarrowgrade/job.go
+++ b/cmd/yarrowgrade/job.go
@@ -137,7 +137,7 @@
 			"CORES", "MEMORY_MB", "ACCELERATORS", "RUNS", "CORDONED")
 		for _, v := range list {
 			cores := fmt.Sprintf("%.1f", float64(v.Capacity.CPU)/1000)
-			row(w, v.Worker, v.Life.Instance, startedText(v.Life), v.Zone, v.Rack, v.Service, workerStateText(v),
+			row(w, v.Worker, v.Incarnation.Instance, startedText(v.Incarnation), v.Zone, v.Rack, v.Service, workerStateText(v),
 				cores, v.Capacity.Memory, v.Capacity.Accelerators, v.Runs, cordonText(v.Cordon))
 			for _, former := range v.Former {
 				fmt.Fprintf(w, "%s\t%s\t%s\t\t\t\tover\t\t\t\t\t\n", v.Worker, former.Instance, startedText(former))
@@ -156,7 +156,7 @@
 
 func workerStateText(v leader.WorkerStatus) string {
 	switch {
-	case v.Silent:
+	case v.Unresponsive:
 		return "silent"
 	case v.Draining:
 		return "leaving"
--- a/jobs/directory/directory.go
+++ b/jobs/directory/directory.go
@@ -1,13 +1,13 @@
-// Package directory tells who is there: the entries, their addresses and sizes, and who is the
-// leader.
+// Package directory maintains the service directory: the entries with their addresses and sizes,
+// and the current leader.
 //
-// It owns the directory's topic, which holds a record for the address and one for the size of each
-// entry, and one for the leader. Entries register themselves, the leader announces itself and
-// deregisters entries that it can't reach. Agents follow this small topic instead of that of the
-// jobs. The package also has the rule which entries should lead: the eligible ones, and of these
-// the few standbys.
+// It owns the directory topic, which holds one address record and one size record for each entry,
+// and one record for the leader. Entries register themselves; the leader announces itself and
+// deregisters entries that it can't reach. Agents follow this small topic instead of the job topic.
+// The package also determines which entries should lead: the eligible ones, and among these the few
+// standbys.
 //
-// It relies on package topic for reading and on the log for fencing off announcements of former
+// It relies on package topic for reading and on the log for fencing announcements of former
 // leaders.
 //
 // # Usage
@@ -33,44 +33,46 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// Prefixes of keys, before the name of an entry. The value under addressPrefix is the entry's
-// address, that under coresPrefix its share of processor time in cores; older entries write only
-// the former.
+// Key prefixes, followed by the name of an entry. The value under addressPrefix is the entry's
+// address; the value under coresPrefix is its CPU share in cores. Entries of older versions write
+// only the address.
 const (
 	addressPrefix = "e/"
 	coresPrefix   = "p/"
 )
 
-// Pace of reads. Every entry and agent reads the directory.
+// Read intervals. Every entry and agent reads the directory.
 const (
-	// readWait is how long a read waits for records. Changes are rare; a connection that goes
-	// silent meanwhile is noticed by probes, and agents also learn of a new leader from entries.
+	// readWait is how long a read waits for records. It can be long because changes are rare,
+	// probes detect a connection that has gone silent, and agents also learn of a new leader from
+	// the entries.
 	readWait = 20 * time.Second
-	// minReadInterval lets one read bring the records of entries that start together.
+	// minReadInterval is the shortest time between two reads. It lets one read return the records
+	// of entries that start at the same time.
 	minReadInterval = 250 * time.Millisecond
-	// assumedReaders is the number of readers for which probes of a log that doesn't answer are
-	// paced. Agents don't know the actual number.
+	// assumedReaders is the number of readers assumed when limiting the rate of probes to a log
+	// that doesn't answer. Agents don't know the actual number.
 	assumedReaders = 250
 )
 
-// Directory holds the newest state of the directory's topic. Its methods may be called from any
-// goroutine.
+// Directory holds the latest known state of the directory topic. It is safe for concurrent use.
 type Directory struct {
 	tail   *topic.Tail
 	logger zerolog.Logger
 
 	mu     sync.Mutex
 	leader Leader
-	// addresses and cores are those of the entries, by name. The size of an entry may be unknown.
+	// addresses and cores hold the addresses and sizes of the entries by name. The size of an entry
+	// may be unknown.
 	addresses map[string]string
 	cores     map[string]float64
 	standbys  map[string]bool
-	// synced says that the whole topic has been read once.
+	// synced is set once the whole topic has been read.
 	synced  bool
 	changed broadcast.Signal
 }
 
-// NewDirectory returns an empty directory.
+// NewDirectory returns an empty directory. Run fills it.
 func NewDirectory(log topic.Log, logger zerolog.Logger) *Directory {
 	tail := topic.NewTail(log, "directory", readWait, logger).
 		WithMinInterval(func() time.Duration { return minReadInterval }).
@@ -99,7 +101,8 @@
 	}
 }
 
-// applyRecord applies one record; keys of newer versions are ignored. The lock must be held.
+// applyRecord applies one record. Unknown keys, which newer versions may write, are ignored. d.mu
+// must be held.
 func (d *Directory) applyRecord(key string, value []byte) {
 	if name, ok := strings.CutPrefix(key, addressPrefix); ok {
 		d.applyAddress(name, value)
@@ -114,25 +117,25 @@
 	}
 }
 
-// applyAddress sets the address of an entry or removes the entry. A malformed address is ignored.
-// The lock must be held.
+// applyAddress sets the address of an entry, or removes the entry if value is nil. A malformed
+// address is ignored. d.mu must be held.
 func (d *Directory) applyAddress(name string, value []byte) {
 	if value == nil {
 		delete(d.addresses, name)
 		return
 	}
 	address := string(value)
-	if address == "" || strings.ContainsFunc(address, notInAddress) {
-		d.logger.Error().Str("step", "jobstore.directory").Str("entry", name).Msg("address is unreadable")
+	if address == "" || strings.ContainsFunc(address, isInvalidInAddress) {
+		d.logger.Error().Str("step", "jobstore.directory").Str("entry", name).Msg("ignoring malformed entry address")
 		return
 	}
 	d.addresses[name] = address
 }
 
-// notInAddress reports whether a host and port can't contain the rune.
-func notInAddress(c rune) bool { return c <= ' ' || c >= unicode.MaxASCII || c == '/' }
+// isInvalidInAddress reports whether c can't occur in a host and port.
+func isInvalidInAddress(c rune) bool { return c <= ' ' || c >= unicode.MaxASCII || c == '/' }
 
-// applyCores sets or removes the size of an entry. The lock must be held.
+// applyCores sets the size of an entry, or removes it if value is nil. d.mu must be held.
 func (d *Directory) applyCores(name string, value []byte) {
 	if value == nil {
 		delete(d.cores, name)
@@ -141,17 +144,17 @@
 	cores, err := strconv.ParseFloat(string(value), 64)
 	if err != nil {
 		d.logger.Error().Str("step", "jobstore.directory").Str("entry", name).Err(err).
-			Msg("processor time is unreadable")
+			Msg("ignoring malformed entry size")
 		return
 	}
 	d.cores[name] = cores
 }
 
-// applyLeader sets the leader, unless its term is over. The lock must be held.
+// applyLeader sets the leader, unless a later term is already known. d.mu must be held.
 func (d *Directory) applyLeader(value []byte) {
 	leader, err := DecodeLeader(value)
 	if err != nil {
-		d.logger.Error().Str("step", "jobstore.directory").Err(err).Msg("leader is unreadable")
+		d.logger.Error().Str("step", "jobstore.directory").Err(err).Msg("ignoring malformed leader record")
 		return
 	}
 	if leader.Term >= d.leader.Term {
@@ -159,7 +162,8 @@
 	}
 }
 
-// ObserveLeader sets the leader from another source, if its term is newer than the known one.
+// ObserveLeader sets the leader from a source other than the topic, if its term is later than the
+// known one.
 func (d *Directory) ObserveLeader(leader Leader) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -169,14 +173,14 @@
 	}
 }
 
-// Leader returns the newest known leader, or the zero value.
+// Leader returns the leader of the latest known term, or the zero value if none is known.
 func (d *Directory) Leader() Leader {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.leader
 }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed on the next change.
 func (d *Directory) Changed() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -204,7 +208,7 @@
 	return len(d.addresses)
 }
 
-// names returns the names of the entries that keep selects, sorted. The lock must be held.
+// names returns the sorted names of the entries for which keep returns true. d.mu must be held.
 func (d *Directory) names(keep func(name string) bool) []string {
 	names := slices.Collect(maps.Keys(d.addresses))
 	names = slices.DeleteFunc(names, func(name string) bool { return !keep(name) })
@@ -212,7 +216,7 @@
 	return names
 }
 
-// addressesOf returns the addresses of entries. The lock must be held.
+// addressesOf returns the addresses of the named entries, in the same order. d.mu must be held.
 func (d *Directory) addressesOf(names []string) []string {
 	addresses := make([]string, len(names))
 	for i, name := range names {
--- a/jobs/directory/directory_test.go
+++ b/jobs/directory/directory_test.go
@@ -12,7 +12,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
-// bubble runs a test in a bubble with a context that ends before it.
+// bubble runs a test in a synctest bubble, with a context that is canceled before the bubble ends.
 func bubble(t *testing.T, f func(t *testing.T, ctx context.Context, log *jobtest.Log)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -30,18 +30,18 @@
 		directory.RegisterEntry(ctx, log.Client("a"), "a", "10.0.0.1:1", 0.8)
 		directory.AnnounceLeader(ctx, log.Client("a"), directory.Leader{Term: 2, Incarnation: "a", Address: "10.0.0.1:1"})
 		directory.AnnounceLeader(ctx, log.Client("b"), directory.Leader{Term: 1, Incarnation: "b", Address: "10.0.0.2:1"})
-		// Records that come close together are read together, some 250 ms after the first read.
+		// Records written in quick succession are read together, about 250 ms after the first read.
 		time.Sleep(300 * time.Millisecond)
 		if got := d.Addresses(); len(got) != 2 || got[0] != "10.0.0.1:1" {
-			t.Errorf("entries are %v", got)
+			t.Errorf("addresses are %v, want two, the first being 10.0.0.1:1", got)
 		}
 		if got := d.Leader(); got.Term != 2 {
-			t.Errorf("the leader is %+v; a former leader must not replace it", got)
+			t.Errorf("leader is %+v, want term 2: a former leader must not replace it", got)
 		}
 		d.ObserveLeader(directory.Leader{Term: 1, Address: "old"})
 		d.ObserveLeader(directory.Leader{Term: 3, Address: "new"})
 		if got := d.Leader(); got.Address != "new" {
-			t.Errorf("the leader is %+v", got)
+			t.Errorf("leader is %+v, want the observed leader of term 3", got)
 		}
 	})
 }
--- a/jobs/directory/golden_test.go
+++ b/jobs/directory/golden_test.go
@@ -18,7 +18,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// lines writes records one a line, as text.
+// lines formats records as text, one per line.
 func lines(records []topic.Record) []byte {
 	var out bytes.Buffer
 	for _, r := range records {
@@ -31,7 +31,7 @@
 	return out.Bytes()
 }
 
-// readLines is the reverse of lines.
+// readLines parses a golden file in the format of lines.
 func readLines(t *testing.T, name string) []topic.Record {
 	t.Helper()
 	var records []topic.Record
@@ -50,7 +50,7 @@
 	return records
 }
 
-// stored reads all records of a log.
+// stored returns all records of a log.
 func stored(t *testing.T, log *jobtest.Log) []topic.Record {
 	t.Helper()
 	batch, err := log.Client("reader").Read(t.Context(), topic.Query{})
@@ -64,8 +64,9 @@
 	return records
 }
 
-// TestGoldenDirectoryTopic: the records of the directory's topic, and the directory that reads
-// them. Earlier versions register no size.
+// TestGoldenDirectoryTopic checks the encoding of the records of the directory topic, and that a
+// directory can read the golden records. They include an entry without a size, as earlier versions
+// register it.
 func TestGoldenDirectoryTopic(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		client := log.Client("entry")
@@ -88,24 +89,25 @@
 		time.Sleep(time.Second)
 		want := map[string]string{"entry-1": "10.1.0.19:7000", "entry-2": "10.1.0.20:7000", "entry-3": "10.1.0.21:7000"}
 		if got := d.AddressesByName(); !reflect.DeepEqual(got, want) {
-			t.Errorf("the entries are %v, want %v", got, want)
+			t.Errorf("addresses are %v, want %v", got, want)
 		}
 		if got := d.LargerThan(0.4); !reflect.DeepEqual(got, []string{"10.1.0.20:7000"}) {
-			t.Errorf("larger are %v", got)
+			t.Errorf("entries larger than 0.4 cores are %v, want only 10.1.0.20:7000", got)
 		}
 		if got := d.Leader(); got != (directory.Leader{Term: 7, Incarnation: "entry-1", Address: "10.1.0.19:7000"}) {
-			t.Errorf("the leader is %+v", got)
+			t.Errorf("leader is %+v, want entry-1 in term 7", got)
 		}
 	})
 }
 
-// TestGoldenProducer: the name under which a leader writes fences those of earlier versions too.
+// TestGoldenProducer checks the producer of a leader. Its name must not change, because appends of
+// leaders of earlier versions are fenced by it too.
 func TestGoldenProducer(t *testing.T) {
 	p := directory.TermProducer(7, 3)
 	goldentest.Bytes(t, "producer", fmt.Appendf(nil, "%s %d %d\n", p.Name, p.Epoch, p.Sequence))
 }
 
-// TestGoldenLeader: the record that says who leads.
+// TestGoldenLeader checks the encoding of the leader record.
 func TestGoldenLeader(t *testing.T) {
 	goldentest.JSON(t, "leader", directory.Leader{Term: 7, Incarnation: "entry-1", Address: "10.1.0.19:7000"})
 }
--- a/jobs/directory/leader.go
+++ b/jobs/directory/leader.go
@@ -7,24 +7,24 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// LeaderKey is the key of the record that names the leader, in the directory's topic and in that of
-// the jobs.
+// LeaderKey is the key of the record that names the leader, in both the directory topic and the job
+// topic.
 const LeaderKey = "d"
 
-// producerName is the producer of all leaders; the log orders them by their terms.
+// producerName is the producer name shared by all leaders, which the log orders by term.
 const producerName = "dispatcher"
 
-// Leader is the leader of a term.
+// Leader identifies the leader of a term.
 type Leader struct {
 	Term int64 `json:"term"`
-	// Incarnation names the start of the entry that leads; it is empty if the leader has stepped
+	// Incarnation identifies the start of the leading entry. It is empty if the leader has stepped
 	// down.
 	Incarnation string `json:"holder"`
-	// Address is where agents reach the leader, as a host and port.
+	// Address is the host and port at which agents reach the leader.
 	Address string `json:"address"`
 }
 
-// LeaderRecord returns the record that names the leader.
+// LeaderRecord encodes the record that names the leader.
 func LeaderRecord(leader Leader) (topic.Record, error) {
 	value, err := json.Marshal(leader)
 	return topic.Record{Key: LeaderKey, Value: value}, err
@@ -39,7 +39,8 @@
 	return leader, nil
 }
 
-// TermProducer returns the producer under which the leader of a term appends.
+// TermProducer returns the producer that the leader of a term uses for its appends. The log fences
+// producers of earlier terms.
 func TermProducer(term, sequence int64) *topic.Producer {
 	return &topic.Producer{Name: producerName, Epoch: term, Sequence: sequence}
 }
--- a/jobs/directory/register.go
+++ b/jobs/directory/register.go
@@ -13,21 +13,21 @@
 const (
 	// appendTimeout bounds one attempt to write to the directory.
 	appendTimeout = time.Second
-	// retryDelay is the delay after a failed attempt.
+	// retryDelay is the delay between a failed attempt and the next one.
 	retryDelay = 80 * time.Millisecond
-	// minRegisterInterval is the shortest time between two registrations of an entry. It leaves
-	// time for the registration to be read back.
+	// minRegisterInterval is the shortest time between two registrations of an entry. It allows the
+	// registration to be read back before the entry checks whether it is missing.
 	minRegisterInterval = 5 * time.Second
 )
 
-// KeepRegistered registers an entry, and again whenever it is missing from the directory: the
-// leader deregisters entries that it can't reach, and this one may only have been cut off for a
-// while.
+// KeepRegistered registers an entry, and registers it again whenever it is missing from the
+// directory, until ctx ends. The leader deregisters entries that it can't reach, even if they are
+// only temporarily disconnected.
 func (d *Directory) KeepRegistered(ctx context.Context, log topic.Log, name, address string, cores float64) {
 	for ctx.Err() == nil {
 		RegisterEntry(ctx, log, name, address, cores)
 		pause.For(ctx, minRegisterInterval)
-		for changed := d.Changed(); ctx.Err() == nil && !d.lacks(name, address); changed = d.Changed() {
+		for changed := d.Changed(); ctx.Err() == nil && !d.isMissing(name, address); changed = d.Changed() {
 			select {
 			case <-changed:
 			case <-ctx.Done():
@@ -36,15 +36,16 @@
 	}
 }
 
-// lacks reports whether the directory has been read and doesn't list an entry at that address.
-func (d *Directory) lacks(name, address string) bool {
+// isMissing reports whether the directory has been read completely and doesn't list the entry at
+// the given address.
+func (d *Directory) isMissing(name, address string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.synced && d.addresses[name] != address
 }
 
-// RegisterEntry writes the address and the size of an entry to the directory, and retries until it
-// succeeds or ctx ends. A size of zero cores means that it is unknown.
+// RegisterEntry writes the address and size of an entry to the directory, and retries until it
+// succeeds or ctx ends. A size of zero cores means that the size is unknown.
 func RegisterEntry(ctx context.Context, log topic.Log, name, address string, cores float64) {
 	records := []topic.Record{{Key: addressPrefix + name, Value: []byte(address)}}
 	if cores > 0 {
@@ -66,20 +67,20 @@
 	return err
 }
 
-// AnnounceLeader writes to the directory who is the leader, and retries until it succeeds, a later
-// term has been announced, or ctx ends.
+// AnnounceLeader writes the leader to the directory, and retries until it succeeds, a later term
+// has been announced, or ctx ends.
 func AnnounceLeader(ctx context.Context, log topic.Log, leader Leader) {
 	record, err := LeaderRecord(leader)
 	if err != nil {
-		// A struct of numbers and strings can always be encoded.
+		// Unreachable: encoding a struct of numbers and strings does not fail.
 		return
 	}
 	appendUntilDone(ctx, log, []topic.Record{record}, topic.Condition{Producer: TermProducer(leader.Term, 0)})
 }
 
-// appendUntilDone appends records and retries until they are stored or fenced off. Failed attempts
-// are not logged here: topic.WithMetrics counts them, and the directory's tail logs when the log
-// doesn't answer.
+// appendUntilDone appends records, and retries until they are stored, the append is fenced, or ctx
+// ends. It does not log failed attempts: topic.WithMetrics counts them, and the directory's tail
+// logs when the log doesn't answer.
 func appendUntilDone(ctx context.Context, log topic.Log, records []topic.Record, c topic.Condition) {
 	for ctx.Err() == nil {
 		attempt, cancel := context.WithTimeout(ctx, appendTimeout)
--- a/jobs/directory/standby.go
+++ b/jobs/directory/standby.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// largerFactor is by how much the size of an entry must exceed that of another one to make the
-	// other ineligible. Entries of similar size may all lead.
+	// largerFactor is the ratio of sizes at which the larger entry makes the smaller one
+	// ineligible. Entries of similar size may all lead.
 	largerFactor = 2.0
-	// maxStandbys is the number of entries that watch the leader closely and claim the lead as soon
-	// as it is gone. The others read less often and wait longer, so that neither reads nor claims
-	// grow with the number of entries. It has to be large enough for one of them to be up when a
-	// third of the entries are down.
+	// maxStandbys is the largest number of entries that watch the leader closely and claim
+	// leadership as soon as it fails. The others read less often and wait longer, so that neither
+	// reads nor claims grow with the number of entries. The limit must be large enough that at
+	// least one standby is up when a third of the entries are down.
 	maxStandbys = 5
 )
 
-// LargerThan returns the addresses of the entries that are larger than the given number of cores by
-// largerFactor, sorted by name; none if the number is zero.
+// LargerThan returns the addresses, sorted by name, of the entries that have at least largerFactor
+// times the given number of cores. It returns none if cores is zero.
 func (d *Directory) LargerThan(cores float64) []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -35,8 +35,8 @@
 	return d.addressesOf(d.eligible())
 }
 
-// eligible returns the names of the entries than which no other is larger by largerFactor, sorted.
-// Where no size is known all entries are eligible. The lock must be held.
+// eligible returns the sorted names of the entries that may lead: those for which no other entry is
+// largerFactor times as large. If no size is known, all entries are eligible. d.mu must be held.
 func (d *Directory) eligible() []string {
 	largest := 0.0
 	for name := range d.addresses {
@@ -45,8 +45,9 @@
 	return d.names(func(name string) bool { return d.cores[name]*largerFactor > largest || largest == 0 })
 }
 
-// chooseStandbys chooses among the eligible entries by a hash of their names: every process chooses
-// the same ones, and the choice doesn't depend on their availability zones. The lock must be held.
+// chooseStandbys selects standbys among the eligible entries by a hash of their names, so that
+// every process selects the same ones and the selection doesn't depend on availability zones. d.mu
+// must be held.
 func (d *Directory) chooseStandbys() {
 	names := d.eligible()
 	slices.SortFunc(names, func(a, b string) int {
@@ -58,7 +59,8 @@
 	}
 }
 
-// IsStandby reports whether an entry is a standby. None is before the directory has been read.
+// IsStandby reports whether the named entry is a standby. It returns false until the directory has
+// been read.
 func (d *Directory) IsStandby(name string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/jobs/directory/standby_test.go
+++ b/jobs/directory/standby_test.go
@@ -13,8 +13,9 @@
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
-// TestLine: there are at most five standbys, whatever the number of entries, all of them large ones
-// where some are, and not all of one availability zone.
+// TestLine checks that there are at most five standbys, however many entries there are, that only
+// large entries are standbys if sizes differ, and that the standbys are not all in one availability
+// zone.
 func TestLine(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -35,7 +36,7 @@
 				d := directory.NewDirectory(log.Client("e"), zerolog.Nop())
 				name := func(i int) string { return fmt.Sprintf("front-zone-%d-%d", i%4, i) }
 				if d.IsStandby(name(0)) {
-					t.Error("an entry is a standby before anything was read")
+					t.Error("an entry is a standby before the directory has been read")
 				}
 				for i := range test.entries {
 					directory.RegisterEntry(ctx, log.Client("e"), name(i), fmt.Sprintf("10.0.0.%d:7000", i), test.cores(i))
@@ -44,18 +45,18 @@
 				time.Sleep(time.Second)
 				eligible, standbys := d.EligibleAddresses(), d.Standbys()
 				if len(eligible) != test.eligible || len(standbys) != test.standbys {
-					t.Fatalf("%d are eligible and %v standbys, want %d and %d",
+					t.Fatalf("%d entries are eligible and the standbys are %v, want %d eligible and %d standbys",
 						len(eligible), standbys, test.eligible, test.standbys)
 				}
 				zones := map[byte]bool{}
 				for i, address := range d.StandbyAddresses() {
 					zones[standbys[i][len("front-zone-")]] = true
 					if !d.IsStandby(standbys[i]) || !slices.Contains(eligible, address) {
-						t.Errorf("%s at %s is a standby and not eligible", standbys[i], address)
+						t.Errorf("standby %s at %s is not eligible or not reported by IsStandby", standbys[i], address)
 					}
 				}
 				if test.standbys == 5 && len(zones) == 1 {
-					t.Errorf("all standbys are in one zone: %v", standbys)
+					t.Errorf("all standbys are in one availability zone: %v", standbys)
 				}
 			})
 		})
--- a/jobs/leader/campaign.go
+++ b/jobs/leader/campaign.go
@@ -13,14 +13,15 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// claimTimeout bounds the write that claims a term.
+// claimTimeout is the timeout of the append that claims a term.
 const claimTimeout = 900 * time.Millisecond
 
-// campaign waits until this entry leads in a term above lostTerm; false if it has resigned or ctx
-// has ended.
+// campaign waits until this entry leads in a term later than lostTerm, and returns the leader
+// record. It returns false if the candidate resigns or ctx ends first. It claims no term before
+// earliestClaim.
 func (c *Candidate) campaign(ctx context.Context, lostTerm int64, earliestClaim time.Time) (directory.Leader, bool) {
 	e := newElection(c.settings.Timing, c.settings.Incarnation, lostTerm, earliestClaim, time.Now())
-	gone := make(chan directory.Leader, 1)
+	dead := make(chan directory.Leader, 1)
 	for !c.resigned() {
 		changed := c.deps.Replica.Changed()
 		ev := c.evidence()
@@ -30,21 +31,21 @@
 			return ev.leader, true
 		}
 		if a.ask {
-			go c.askLeader(ctx, ev.leader, gone)
+			go c.askLeader(ctx, ev.leader, dead)
 		}
 		if a.read {
 			c.deps.Replica.ReadNow()
 		}
 		if a.claim {
 			if err := c.claim(ctx, ev.leader.Term+1, ev.end); errors.Is(err, topic.ErrConflict) {
-				// Something was written meanwhile, perhaps by the leader.
-				e = e.WithoutClaim()
+				// Another record was appended in the meantime, possibly by the leader.
+				e = e.withoutClaim()
 			}
 		}
 		select {
 		case <-changed:
-		case leader := <-gone:
-			e = e.WithGone(leader)
+		case leader := <-dead:
+			e = e.withDeadLeader(leader)
 		case <-time.After(electionTick):
 		case <-c.resign:
 			return directory.Leader{}, false
@@ -69,21 +70,21 @@
 	}
 }
 
-// askLeader sends the leader to gone if it does not run any more.
-func (c *Candidate) askLeader(ctx context.Context, leader directory.Leader, gone chan<- directory.Leader) {
-	if !c.leaderIsGone(ctx, leader) {
+// askLeader sends the leader to the channel dead if it is no longer running.
+func (c *Candidate) askLeader(ctx context.Context, leader directory.Leader, dead chan<- directory.Leader) {
+	if !c.leaderIsDead(ctx, leader) {
 		return
 	}
 	select {
-	case gone <- leader:
+	case dead <- leader:
 	default:
-		// An earlier answer has not been received yet.
+		// An earlier result has not been received yet.
 	}
 }
 
-// leaderIsGone reports whether another incarnation answers at the leader's address, or nothing
-// listens there. A leader that gives no answer may only be slow.
-func (c *Candidate) leaderIsGone(ctx context.Context, leader directory.Leader) bool {
+// leaderIsDead reports whether another incarnation answers at the leader's address, or the
+// connection is refused. A leader that does not answer is not reported, as it may only be slow.
+func (c *Candidate) leaderIsDead(ctx context.Context, leader directory.Leader) bool {
 	if leader.Address == c.settings.Address {
 		return true
 	}
@@ -98,9 +99,9 @@
 	return r.EntryIncarnation != leader.Incarnation
 }
 
-// claim appends the claim of a term, provided that the topic still ends at end. Only reading the
-// topic tells who holds the term: the log takes claims of several entries for retries of one
-// append, and reports success for all.
+// claim appends a claim of a term, provided that the topic still ends at end. Success does not mean
+// that this entry holds the term: the log treats claims of several entries as retries of one append
+// and reports success for all of them. Only the record read back from the topic decides.
 func (c *Candidate) claim(ctx context.Context, term, end int64) error {
 	self := directory.Leader{Term: term, Incarnation: c.settings.Incarnation, Address: c.settings.Address}
 	record, err := directory.LeaderRecord(self)
--- a/jobs/leader/candidate.go
+++ b/jobs/leader/candidate.go
@@ -7,27 +7,29 @@
 	"time"
 )
 
-// Reasons for which leadership ends or is not taken over.
+// Reasons why a leader loses leadership or an entry declines it.
 var (
 	errSuperseded = errors.New("a later term has begun")
-	errIsolated   = errors.New("no agent reaches this entry")
-	errResigned   = errors.New("given up for a planned stop")
-	errHandedOver = errors.New("handed over to an entry that reaches the log")
-	errLarger     = errors.New("larger entries may lead")
+	errIsolated   = errors.New("no agent has polled within the isolation timeout")
+	errResigned   = errors.New("resigned for a planned shutdown")
+	errHandedOver = errors.New("handed over to an entry that can reach the log")
+	errLarger     = errors.New("larger entries are available to lead")
 )
 
-// Candidate is an entry that leads, or waits until it does.
+// Candidate takes part in the leader election for an entry, and leads while the entry is the
+// leader.
 type Candidate struct {
 	settings Settings
 	deps     Dependencies
 	metrics  metrics
 	fleet    *fleet
 	resign   chan struct{}
-	// offeredTerm is the newest term whose leader has offered leadership to this entry.
+	// offeredTerm is the latest term whose leader has offered leadership to this entry and whose
+	// offer it has accepted.
 	offeredTerm atomic.Int64
 }
 
-// New returns a candidate. Run starts it.
+// New returns a candidate. It does nothing until Run is called.
 func New(s Settings, d Dependencies) *Candidate {
 	m := newMetrics(d.Metrics)
 	return &Candidate{
@@ -39,7 +41,8 @@
 	}
 }
 
-// Resign gives up leadership for good. It must be called at most once.
+// Resign steps down from leadership and stops the candidate permanently. It must be called at most
+// once.
 func (c *Candidate) Resign() { close(c.resign) }
 
 func (c *Candidate) resigned() bool {
@@ -51,7 +54,8 @@
 	}
 }
 
-// Run waits until this entry leads, leads, and waits again, until it resigns or ctx ends.
+// Run campaigns for leadership, leads until leadership is lost, and campaigns again, until the
+// candidate resigns or ctx ends.
 func (c *Candidate) Run(ctx context.Context) {
 	lostTerm := int64(-1)
 	earliestClaim := time.Time{}
@@ -71,7 +75,7 @@
 	}
 }
 
-// termEnd is the event that is counted for the end of a term.
+// termEnd returns the label value counted for the end of a term.
 func termEnd(err error) string {
 	if errors.Is(err, errHandedOver) {
 		return termHandedOver
--- a/jobs/leader/election.go
+++ b/jobs/leader/election.go
@@ -7,55 +7,56 @@
 	"yarrowgrade.example/yarrowgrade/jobs/directory"
 )
 
-// Times of an election.
+// Election timing.
 const (
-	// electionTick is how often the evidence is looked at.
+	// electionTick is the interval at which the evidence is evaluated.
 	electionTick = 100 * time.Millisecond
-	// askTimeout bounds a question to the leader, and the time between two.
+	// askTimeout is the timeout of a liveness request to the leader, and the minimum interval
+	// between two requests.
 	askTimeout = 300 * time.Millisecond
-	// jitterDivisor bounds the random part of an election timeout to a fifth: entries that lose
-	// the leader at the same moment must not all claim at once.
+	// jitterDivisor limits the random part of an election timeout to a fifth of the timeout. The
+	// jitter keeps entries that lose the leader at the same moment from all claiming at once.
 	jitterDivisor = 5
 )
 
-// evidence is what an entry knows about the leader at one moment.
+// evidence is what an entry knows about the leader at a point in time.
 type evidence struct {
-	// leader has no incarnation once it has given up leadership.
+	// leader is the current leader. Its incarnation is empty once it has stepped down.
 	leader directory.Leader
-	// lastWrite is when a write of the leader was last read.
+	// lastWrite is when this entry last read a write of the leader.
 	lastWrite time.Time
 	// end is the offset after the last record read.
 	end int64
-	// synced says that the whole topic has been read once.
+	// synced is set once the whole topic has been read.
 	synced bool
-	// syncedFor is how long reads have followed one another without a gap.
+	// syncedFor is how long this entry has been reading without a gap.
 	syncedFor time.Duration
-	// standby says that this entry is one of the few that take over first.
+	// standby is set if this entry is one of the few that take over first.
 	standby bool
-	// hedgeDelay is the usual upper bound of the log's answer times.
+	// hedgeDelay is the usual upper bound of the log's response times.
 	hedgeDelay time.Duration
-	// offeredTerm is the newest term whose leader has offered leadership to this entry.
+	// offeredTerm is the latest term whose leader has offered leadership to this entry.
 	offeredTerm int64
 }
 
-// election is the immutable state of an entry that waits to lead.
+// election is the immutable state of an entry that campaigns for leadership.
 type election struct {
 	timing Timing
-	// self is this entry's incarnation.
+	// self is the incarnation of this entry.
 	self string
-	// lostTerm is the term that it has led last.
+	// lostTerm is the last term in which this entry led.
 	lostTerm      int64
 	earliestClaim time.Time
-	// timeout includes this entry's jitter.
+	// timeout is the election timeout including jitter.
 	timeout time.Duration
 	began   time.Time
 
 	askedAt   time.Time
 	claimedAt time.Time
-	// vacantSince is zero while somebody leads.
+	// vacantSince is when leadership became vacant, or zero while an entry leads.
 	vacantSince time.Time
-	// gone is the leader that was last found not to run any more.
-	gone directory.Leader
+	// deadLeader is the last leader found to be no longer running.
+	deadLeader directory.Leader
 }
 
 func newElection(timing Timing, self string, lostTerm int64, earliestClaim, now time.Time) election {
@@ -69,31 +70,31 @@
 	}
 }
 
-// WithGone notes that a leader does not run any more.
-func (e election) WithGone(leader directory.Leader) election {
-	e.gone = leader
+// withDeadLeader records that a leader is no longer running.
+func (e election) withDeadLeader(leader directory.Leader) election {
+	e.deadLeader = leader
 	return e
 }
 
-// WithoutClaim forgets the last claim, so that the next one need not wait.
-func (e election) WithoutClaim() election {
+// withoutClaim clears the time of the last claim, so that the next claim is not delayed.
+func (e election) withoutClaim() election {
 	e.claimedAt = time.Time{}
 	return e
 }
 
-// actions are what an entry does next. All may be false: it waits.
+// actions are the steps that an entry takes next. If all are false, it waits.
 type actions struct {
-	// lead says that this entry is the leader.
+	// lead is set if this entry is the leader.
 	lead bool
-	// ask the leader whether it still runs.
+	// ask requests a check of whether the leader is still running.
 	ask bool
-	// read the topic now: it may hold writes of the leader that are not read yet.
+	// read requests an immediate read of the topic, which may hold unread writes of the leader.
 	read bool
-	// claim the next term.
+	// claim requests a claim of the next term.
 	claim bool
 }
 
-// step returns what follows from the evidence at a time.
+// step evaluates the evidence at the given time. It returns the new state and the actions to take.
 func (e election) step(now time.Time, ev evidence) (election, actions) {
 	if ev.leader.Incarnation == e.self && ev.leader.Term > e.lostTerm {
 		return e, actions{lead: true}
@@ -103,14 +104,15 @@
 	timeout := e.silenceLimit(ev)
 	offered := ev.leader.Term == ev.offeredTerm
 	timedOut := silence > timeout
-	vacant := ev.leader.Incarnation == "" || offered || ev.leader == e.gone || timedOut
+	vacant := ev.leader.Incarnation == "" || offered || ev.leader == e.deadLeader || timedOut
 	switch {
 	case !vacant:
 		e.vacantSince = time.Time{}
 	case e.vacantSince.IsZero():
 		e.vacantSince = now
 	}
-	// A timeout includes the delay, and an offer is meant for this entry.
+	// No further delay applies after a timeout, which includes the delay, or after an offer, which
+	// is addressed to this entry.
 	delayed := !offered && !timedOut && now.Sub(e.vacantSince) < delay
 	mayClaim := vacant && ev.synced && !delayed && now.After(e.earliestClaim)
 	a := actions{
@@ -127,13 +129,14 @@
 	return e, a
 }
 
-// silence is how long the leader has written nothing while this entry could have read it.
+// silence returns how long the leader has written nothing, counting only the time during which this
+// entry would have read it.
 func (e election) silence(now time.Time, ev evidence) time.Duration {
 	watched := min(ev.syncedFor, now.Sub(e.began))
 	return min(now.Sub(ev.lastWrite), watched)
 }
 
-// delay is how much longer this entry waits than the standbys, which read more often and go
+// delay returns how much longer this entry waits than the standbys, which read more often and claim
 // first.
 func (e election) delay(ev evidence) time.Duration {
 	if ev.standby {
@@ -142,14 +145,14 @@
 	return e.timing.NonStandbyDelay
 }
 
-// silenceLimit is the silence after which the leader counts as gone. A slow log delays its writes
-// too.
+// silenceLimit returns the silence after which the leader is considered dead. It grows with the
+// response time of the log, since a slow log also delays the leader's writes.
 func (e election) silenceLimit(ev evidence) time.Duration {
 	return max(e.timeout, 2*ev.hedgeDelay) + e.delay(ev)
 }
 
-// shouldAsk reports whether it is time to ask the leader. A standby also asks at its own start: a
-// loss of power may have taken the leader down as well.
+// shouldAsk reports whether to ask the leader now. A standby also asks when it starts, because a
+// power failure may have stopped the leader as well.
 func (e election) shouldAsk(now time.Time, silence, delay time.Duration) bool {
 	if now.Sub(e.askedAt) < askTimeout {
 		return false
--- a/jobs/leader/election_test.go
+++ b/jobs/leader/election_test.go
@@ -7,9 +7,9 @@
 	"yarrowgrade.example/yarrowgrade/jobs/directory"
 )
 
-// TestElectionStep lists what an entry does on which evidence. Times are before or after the
-// moment of the step; timing is DefaultTiming without jitter: a timeout of 1 s, suspicion after
-// 0.6 s, 1 s more for those that are no standby.
+// TestElectionStep checks which actions an entry takes on which evidence. Times are relative to the
+// step. The timing is DefaultTiming without jitter: an election timeout of 1 s, suspicion after
+// 0.6 s, and 1 s more for entries that are not standbys.
 func TestElectionStep(t *testing.T) {
 	const self, other = "entry-1/4", "entry-2/5"
 	const ms = time.Millisecond
@@ -18,16 +18,15 @@
 	ours := directory.Leader{Term: 7, Incarnation: self, Address: "10.1.0.18:7000"}
 	earlier := directory.Leader{Term: 6, Incarnation: other}
 	vacant := directory.Leader{Term: 7, Address: "10.1.0.19:7000"}
-	// seen is the evidence of a standby that has watched for a minute and read a write of the
-	// leader so long ago.
+	// seen is the evidence of a standby that has been reading for a minute and last read a write of
+	// the leader the given time ago.
 	seen := func(silence time.Duration) evidence {
 		return evidence{
 			leader: leader, lastWrite: now.Add(-silence), end: 40, synced: true, syncedFor: time.Minute, standby: true,
 			hedgeDelay: 100 * ms,
 		}
 	}
-	// Those that began a moment ago have neither asked nor claimed; waiting has done both long
-	// ago.
+	// An election returned by began has neither asked nor claimed. waiting did both 30 s ago.
 	began := func(ago time.Duration) election {
 		return election{
 			timing:   DefaultTiming(6 * time.Second),
@@ -59,27 +58,27 @@
 		{"not synced", waiting, seen(5 * time.Second).unsynced(), read},
 
 		{"a standby at its start", began(0), seen(100 * ms), actions{ask: true}},
-		{"another entry at its start", began(0), seen(100 * ms).noStandby(), wait},
-		{"silence from before the start", began(400 * ms), seen(5 * time.Second).noStandby(), wait},
+		{"another entry at its start", began(0), seen(100 * ms).nonStandby(), wait},
+		{"silence from before the start", began(400 * ms), seen(5 * time.Second).nonStandby(), wait},
 
-		{"no standby, silence beyond suspicion", waiting, seen(700 * ms).noStandby(), wait},
-		{"no standby, silence beyond suspicion and delay", waiting, seen(1601 * ms).noStandby(), ask},
-		{"no standby, silence beyond timeout and delay", waiting, seen(2001 * ms).noStandby(), claim},
+		{"no standby, silence beyond suspicion", waiting, seen(700 * ms).nonStandby(), wait},
+		{"no standby, silence beyond suspicion and delay", waiting, seen(1601 * ms).nonStandby(), ask},
+		{"no standby, silence beyond timeout and delay", waiting, seen(2001 * ms).nonStandby(), claim},
 
 		{"given up", waiting, seen(100 * ms).from(vacant), claim},
-		{"given up, no standby", waiting, seen(100 * ms).noStandby().from(vacant), read},
-		{"within the delay", waiting.vacantAt(now.Add(-999 * ms)), seen(100 * ms).noStandby().from(vacant), read},
-		{"after the delay", waiting.vacantAt(now.Add(-time.Second)), seen(100 * ms).noStandby().from(vacant), claim},
+		{"given up, no standby", waiting, seen(100 * ms).nonStandby().from(vacant), read},
+		{"within the delay", waiting.vacantAt(now.Add(-999 * ms)), seen(100 * ms).nonStandby().from(vacant), read},
+		{"after the delay", waiting.vacantAt(now.Add(-time.Second)), seen(100 * ms).nonStandby().from(vacant), claim},
 		{"nobody has ever led", waiting, seen(time.Hour).from(directory.Leader{}), claim},
-		{"found gone", waiting.WithGone(leader), seen(100 * ms), claim},
-		{"an earlier leader found gone", waiting.WithGone(earlier), seen(100 * ms), wait},
+		{"found gone", waiting.withDeadLeader(leader), seen(100 * ms), claim},
+		{"an earlier leader found gone", waiting.withDeadLeader(earlier), seen(100 * ms), wait},
 		{"offered to this entry", waiting, seen(100 * ms).offered(7), claim},
-		{"offered to this entry, no standby", waiting, seen(100 * ms).noStandby().offered(7), claim},
+		{"offered to this entry, no standby", waiting, seen(100 * ms).nonStandby().offered(7), claim},
 		{"an earlier offer", waiting, seen(100 * ms).offered(6), wait},
 
 		{"claimed a moment ago", waiting.claimed(now.Add(-500 * ms)), seen(1100 * ms), read},
 		{"claimed longer ago", waiting.claimed(now.Add(-501 * ms)), seen(1100 * ms), claim},
-		{"claimed in vain", waiting.claimed(now).WithoutClaim(), seen(1100 * ms), claim},
+		{"claimed in vain", waiting.claimed(now).withoutClaim(), seen(1100 * ms), claim},
 		{"before the earliest claim", waiting.notBefore(now), seen(1100 * ms), read},
 
 		{"this entry leads", waiting, seen(0).from(ours), actions{lead: true}},
@@ -93,13 +92,13 @@
 				t.Errorf("got %+v, want %+v", got, test.want)
 			}
 			if got.ask != next.askedAt.Equal(now) || got.claim && !next.claimedAt.Equal(now) {
-				t.Errorf("after %+v it has asked at %v and claimed at %v", got, next.askedAt, next.claimedAt)
+				t.Errorf("after actions %+v, askedAt is %v and claimedAt is %v", got, next.askedAt, next.claimedAt)
 			}
 		})
 	}
 }
 
-func (ev evidence) noStandby() evidence                   { ev.standby = false; return ev }
+func (ev evidence) nonStandby() evidence                  { ev.standby = false; return ev }
 func (ev evidence) unsynced() evidence                    { ev.synced = false; return ev }
 func (ev evidence) from(leader directory.Leader) evidence { ev.leader = leader; return ev }
 func (ev evidence) offered(term int64) evidence           { ev.offeredTerm = term; return ev }
@@ -116,32 +115,32 @@
 func (e election) notBefore(at time.Time) election { e.earliestClaim = at; return e }
 func (e election) lost(term int64) election        { e.lostTerm = term; return e }
 
-// TestElectionVacancy: the delay of an entry that is no standby is counted from when the leader
-// first counts as gone, and begins again if the leader shows itself meanwhile.
+// TestElectionVacancy checks that the delay of an entry that is not a standby starts when
+// leadership becomes vacant, and restarts if a leader is seen again in the meantime.
 func TestElectionVacancy(t *testing.T) {
 	now := time.Date(2026, 3, 4, 5, 6, 7, 0, time.UTC)
 	e := newElection(DefaultTiming(6*time.Second), "entry-1/4", -1, time.Time{}, now)
 	leader := directory.Leader{Term: 7, Incarnation: "entry-2/5"}
 	ev := evidence{leader: leader, lastWrite: now, synced: true, syncedFor: time.Minute}
-	gone := ev
-	gone.leader.Incarnation = ""
+	vacated := ev
+	vacated.leader.Incarnation = ""
 	steps := []struct {
 		at       time.Duration
 		evidence evidence
 		claim    bool
 	}{
-		{0, gone, false},
-		{900 * time.Millisecond, gone, false},
+		{0, vacated, false},
+		{900 * time.Millisecond, vacated, false},
 		{950 * time.Millisecond, ev, false},
-		{1100 * time.Millisecond, gone, false},
-		{2000 * time.Millisecond, gone, false},
-		{2100 * time.Millisecond, gone, true},
+		{1100 * time.Millisecond, vacated, false},
+		{2000 * time.Millisecond, vacated, false},
+		{2100 * time.Millisecond, vacated, true},
 	}
 	for _, step := range steps {
 		step.evidence.lastWrite = now.Add(step.at)
 		var a actions
 		if e, a = e.step(now.Add(step.at), step.evidence); a.claim != step.claim {
-			t.Errorf("after %v it claims: %v, want %v", step.at, a.claim, step.claim)
+			t.Errorf("after %v: claim is %v, want %v", step.at, a.claim, step.claim)
 		}
 	}
 }
--- a/jobs/leader/fleet.go
+++ b/jobs/leader/fleet.go
@@ -13,38 +13,39 @@
 	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
 )
 
-// fleet holds, for each worker, what its agent said last, what the agent is to do, and its lease.
-// It stands between the polls' handlers and the leading goroutine.
+// fleet holds the latest poll, the desired state and the lease of each worker. It connects the
+// handlers of polls with the leading goroutine.
 //
-// A poll's way through it: receive keeps it as the worker's newest; take hands it to the leading
-// goroutine; once what follows from it is stored, publish acknowledges it and has held polls
-// answered by what is desired then.
+// A poll passes through it as follows: receive stores it as the worker's latest poll, and take
+// passes it to the leading goroutine. Once the resulting decision is stored in the topic, publish
+// acknowledges the poll, and held polls are answered with the new desired state.
 type fleet struct {
 	timing Timing
 	clock  suspend.Clock
-	// cordons returns the cordoned zones, and when it was known that there are no others.
+	// cordons returns the cordoned zones, and the time at which the list was known to be complete.
 	cordons func() (catalog.Cordons, time.Time)
 	logger  zerolog.Logger
-	// answers counts answers, also those not sent because the poll was held on.
+	// answers counts the answers computed, including those not sent because the poll was held
+	// further.
 	answers tally.Counter
-	// decisionDue has a value when a poll needs a decision.
+	// decisionDue holds a value while a poll requires a decision.
 	decisionDue chan struct{}
 
 	mu sync.Mutex
-	// term is the one in which this entry leads; zero if it does not lead.
+	// term is the term in which this entry leads, or zero if it does not lead.
 	term int64
-	// fences counts those given out in the term.
+	// fences counts the fences issued in the term.
 	fences int64
-	// sent are the starts that answers have carried since takeSent was last called.
+	// sent holds the starts included in answers since the last call of takeSent.
 	sent map[assignment.RunID]bool
-	// proof is when the newest acknowledged append of the term was sent.
+	// proof is when the latest acknowledged append of the term was sent.
 	proof suspend.Instant
-	// published says that a decision of the term has been published.
+	// published is set once a decision of the term has been published.
 	published bool
 	lastPoll  time.Time
 	workers   map[string]*worker
-	// deciding are the workers with a poll or expired lease that was taken and is not published
-	// yet.
+	// deciding holds the workers with a poll or expired lease that was taken, but whose decision is
+	// not published yet.
 	deciding map[*worker]bool
 }
 
@@ -62,7 +63,7 @@
 	}
 }
 
-// open begins a term.
+// open resets the fleet for a new term.
 func (f *fleet) open(term int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -72,7 +73,7 @@
 	f.sent = map[assignment.RunID]bool{}
 }
 
-// close ends the term: polls are redirected from now on.
+// close ends the term. Subsequent polls are redirected.
 func (f *fleet) close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -80,14 +81,14 @@
 	f.term, f.workers, f.deciding = 0, nil, nil
 }
 
-// wakeAll has all held polls answered again. f.mu must be held.
+// wakeAll causes all held polls to be evaluated again. f.mu must be held.
 func (f *fleet) wakeAll() {
 	for _, w := range f.workers {
 		w.wake()
 	}
 }
 
-// workerOf returns the worker of a name, a new one if it has not been seen. f.mu must be held.
+// workerOf returns the worker with the given name, and adds it if it is unknown. f.mu must be held.
 func (f *fleet) workerOf(name string) *worker {
 	w := f.workers[name]
 	if w == nil {
@@ -97,19 +98,20 @@
 	return w
 }
 
-// silence is how long no agent has polled.
+// silence returns the time since any agent last polled.
 func (f *fleet) silence(now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return now.Sub(f.lastPoll)
 }
 
+// timedPoll is a poll with the time of its arrival.
 type timedPoll struct {
 	poll assignment.Poll
 	at   time.Time
 }
 
-// take returns the polls that have arrived since the last call, the newest of each worker.
+// take returns the latest poll of each worker from which one has arrived since the last call.
 func (f *fleet) take() map[string]timedPoll {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,8 +127,9 @@
 	return polls
 }
 
-// takeSent returns the starts that answers have carried since the last call. Called after take or
-// expire it has all that may have been sent before what these return.
+// takeSent returns the starts included in answers since the last call. If it is called after take
+// or expire, the result includes every start that may have been sent before the polls were taken or
+// the leases expired.
 func (f *fleet) takeSent() map[assignment.RunID]bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -135,9 +138,9 @@
 	return sent
 }
 
-// publish acknowledges the polls that were taken and puts in force what is desired now; all of
-// it must be stored. It wakes only the held polls that this concerns: waking all at each decision
-// would be work that grows with the square of the workers.
+// publish acknowledges the polls that were taken and applies the changed desired states. The
+// decision must already be stored. It wakes only the held polls of affected workers: waking all of
+// them on each decision would cost time quadratic in the number of workers.
 func (f *fleet) publish(changed map[string]dispatch.DesiredState) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/jobs/leader/golden_test.go
+++ b/jobs/leader/golden_test.go
@@ -28,16 +28,16 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// Values of the golden messages.
+// Values used in the golden messages.
 var (
-	goldenLife  = incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722812345}
-	goldenRun   = assignment.RunID{Task: job.TaskName{Job: "0000000000000001", Round: 2, Step: 3, Index: 4}, Run: 5}
-	goldenOther = assignment.RunID{Task: job.TaskName{Job: "0000000000000006", Round: 7, Step: 8, Index: 9}, Run: 10}
+	goldenIncarnation = incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722812345}
+	goldenRun         = assignment.RunID{Task: job.TaskName{Job: "0000000000000001", Round: 2, Step: 3, Index: 4}, Run: 5}
+	goldenOther       = assignment.RunID{Task: job.TaskName{Job: "0000000000000006", Round: 7, Step: 8, Index: 9}, Run: 10}
 )
 
-func goldenPresent() *assignment.WorkerState {
+func goldenState() *assignment.WorkerState {
 	return &assignment.WorkerState{
-		ID:       goldenLife,
+		ID:       goldenIncarnation,
 		Machine:  "m-17",
 		Service:  "roster",
 		Zone:     "zone-1",
@@ -56,7 +56,7 @@
 		Term:         3,
 		Fence:        3145729,
 		RefusedFence: 3145728,
-		State:        goldenPresent(),
+		State:        goldenState(),
 		Complete:     true,
 		Runs:         []assignment.Run{{RunID: goldenRun, Percent: 40, AgeMillis: 1500, ListedMillis: 1400}},
 		Ends: []assignment.End{{
@@ -87,31 +87,33 @@
 	}
 }
 
-// TestGoldenPoll holds what agents send.
+// TestGoldenPoll checks the encoding of polls.
 func TestGoldenPoll(t *testing.T) { goldentest.JSON(t, "poll", goldenPoll()) }
 
-// TestGoldenAnswer holds what agents are told.
+// TestGoldenAnswer checks the encoding of answers to polls.
 func TestGoldenAnswer(t *testing.T) {
 	goldentest.JSON(t, "answer", assignment.Answer{
-		Term:            3,
-		Fence:           3145729,
-		FenceOffered:    true,
-		HeldMillis:      120,
-		LeaseMillis:     6000,
-		Start:           []assignment.Start{{RunID: goldenRun, Spec: "{}", Checkpoint: "checkpoint-4", Permit: "ticket-8", Suspect: true}},
+		Term:         3,
+		Fence:        3145729,
+		FenceOffered: true,
+		HeldMillis:   120,
+		LeaseMillis:  6000,
+		Start: []assignment.Start{{
+			RunID: goldenRun, Spec: "{}", Checkpoint: "checkpoint-4", Permit: "ticket-8", Suspect: true,
+		}},
 		Stop:            []assignment.RunID{goldenRun},
 		StopUnlisted:    []assignment.RunID{goldenOther},
 		ZoneOpen:        true,
 		ZoneProofMillis: 410,
 		Roles:           []assignment.Role{{RunID: goldenRun, LatencyTargetMillis: 80, BestEffort: true}},
-		Incarnation:     goldenLife,
+		Incarnation:     goldenIncarnation,
 		AckedEnd:        6,
 		AckedPoll:       12,
 		BasePoll:        11,
 	})
 }
 
-// TestGoldenRedirect holds the word of an entry on who leads.
+// TestGoldenRedirect checks the encoding of redirects to the leader.
 func TestGoldenRedirect(t *testing.T) {
 	goldentest.JSON(t, "redirect", assignment.Redirect{
 		Term:             3,
@@ -121,30 +123,30 @@
 	})
 }
 
-// TestGoldenHandover holds a leader's offer.
+// TestGoldenHandover checks the encoding of offers of leadership.
 func TestGoldenHandover(t *testing.T) {
 	goldentest.JSON(t, "handover", assignment.Handover{Term: 3, Name: "entry-1/4", FailingMillis: 450})
 }
 
-// TestGoldenWorkerStatus holds what operators read of a worker.
+// TestGoldenWorkerStatus checks the encoding of the worker status shown to operators.
 func TestGoldenWorkerStatus(t *testing.T) {
 	goldentest.JSON(t, "worker-status", WorkerStatus{
-		Worker:   "worker-1",
-		Life:     goldenLife,
-		Zone:     "zone-1",
-		Rack:     "rack-3",
-		Service:  "roster",
-		Draining: true,
-		Silent:   true,
-		Capacity: job.Resources{CPU: 4000, Memory: 8192, Accelerators: 2},
-		Runs:     3,
-		Cordon:   &catalog.Cordon{Zone: "zone-1", Revision: 7, Since: time.Date(2026, 3, 4, 5, 6, 7, 0, time.UTC)},
-		Former:   []incarnation.ID{{Instance: "i-7f3a91c2", StartMillis: 1764722800000}},
+		Worker:       "worker-1",
+		Incarnation:  goldenIncarnation,
+		Zone:         "zone-1",
+		Rack:         "rack-3",
+		Service:      "roster",
+		Draining:     true,
+		Unresponsive: true,
+		Capacity:     job.Resources{CPU: 4000, Memory: 8192, Accelerators: 2},
+		Runs:         3,
+		Cordon:       &catalog.Cordon{Zone: "zone-1", Revision: 7, Since: time.Date(2026, 3, 4, 5, 6, 7, 0, time.UTC)},
+		Former:       []incarnation.ID{{Instance: "i-7f3a91c2", StartMillis: 1764722800000}},
 	})
 }
 
-// withCandidate runs a test with a candidate that leads in term 3, though no goroutine of it
-// runs.
+// withCandidate runs a test with a candidate whose fleet leads in term 3. None of the candidate's
+// goroutines are running.
 func withCandidate(t *testing.T, f func(t *testing.T, c *Candidate, env *environment, log *bytes.Buffer)) {
 	withLeases(t, func(t *testing.T, fl *fleet, env *environment) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -173,7 +175,7 @@
 	})
 }
 
-// recordLeader has another entry lead in a term.
+// recordLeader records another entry as the leader of a term.
 func recordLeader(t *testing.T, c *Candidate, term int64) {
 	t.Helper()
 	leader := directory.Leader{Term: term, Incarnation: "entry-2/5", Address: "10.1.0.19:7000"}
@@ -188,19 +190,20 @@
 	time.Sleep(time.Second)
 }
 
-// served is what a handler answers: its status, and its body in the next line.
+// served returns the response of a handler: its status on the first line, and its body on the next.
 func served(handler http.HandlerFunc, method, path, body string) []byte {
 	w := httptest.NewRecorder()
 	handler(w, httptest.NewRequest(method, path, strings.NewReader(body)))
 	return append([]byte(http.StatusText(w.Code)+"\n"), append(bytes.TrimSpace(w.Body.Bytes()), '\n')...)
 }
 
-// TestGoldenServePoll holds a poll as it stands in the file, and what the leader answers.
+// TestGoldenServePoll checks the body of a poll and the leader's responses to it.
 func TestGoldenServePoll(t *testing.T) {
 	withCandidate(t, func(t *testing.T, c *Candidate, env *environment, _ *bytes.Buffer) {
 		described := goldenPoll()
 		described.Delta, described.Unresponsive, described.Wait = nil, false, false
-		// As the version before sends it; with a fence it would be answered with the session's first.
+		// The previous version sends no fence. A poll with a fence would first be answered with an
+		// offer of the session's fence.
 		described.Fence = 0
 		body, err := json.Marshal(described)
 		if err != nil {
@@ -211,7 +214,7 @@
 		first := served(c.ServePoll, http.MethodPost, assignment.Path, string(goldentest.Read(t, "poll-described.json")))
 		goldentest.Bytes(t, "served-first.txt", first)
 		if got := c.fleet.take()["worker-1"].poll; !sameJSON(t, got, described) {
-			t.Errorf("the decision gets %+v, want %+v", got, described)
+			t.Errorf("the poll taken for the decision is %+v, want %+v", got, described)
 		}
 		settled := assignment.RunID{Task: job.TaskName{Job: "000000000000000b", Round: 1, Step: 1, Index: 1}, Run: 1}
 		started := assignment.RunID{Task: job.TaskName{Job: "000000000000000c", Round: 1, Step: 1, Index: 1}, Run: 2}
@@ -223,7 +226,7 @@
 			},
 		}
 		c.fleet.publish(map[string]dispatch.DesiredState{
-			"worker-1": {Incarnation: goldenLife, AckedEnd: 6, Runs: runs},
+			"worker-1": {Incarnation: goldenIncarnation, AckedEnd: 6, Runs: runs},
 		})
 		goldentest.Bytes(t, "served-orders.txt", served(c.ServePoll, http.MethodPost, assignment.Path, string(body)))
 		brief := `{"worker":"worker-1","agent":"agent-1/7","seq":13,"term":3,` +
@@ -246,8 +249,7 @@
 	return bytes.Equal(a, b)
 }
 
-// TestGoldenServeHandover holds an offer as it stands in the file, the answers to it, and the log
-// line.
+// TestGoldenServeHandover checks the responses to an offer of leadership, and the log line.
 func TestGoldenServeHandover(t *testing.T) {
 	withCandidate(t, func(t *testing.T, c *Candidate, _ *environment, log *bytes.Buffer) {
 		recordLeader(t, c, 3)
@@ -261,7 +263,7 @@
 	})
 }
 
-// TestGoldenServeWorkers holds the list that operators read.
+// TestGoldenServeWorkers checks the worker list served to operators.
 func TestGoldenServeWorkers(t *testing.T) {
 	withCandidate(t, func(t *testing.T, c *Candidate, env *environment, _ *bytes.Buffer) {
 		goldentest.Bytes(t, "served-workers-none.txt", served(c.ServeWorkers, http.MethodGet, WorkersPath, ""))
@@ -280,13 +282,13 @@
 	})
 }
 
-// fields are the fields of log lines. What a line and an error say in words is left out.
+// fields returns the fields of log lines, with the texts of messages and errors removed.
 func fields(log *bytes.Buffer) []byte {
 	return regexp.MustCompile(`"(message|error)":"(?:[^"\\]|\\.)*"`).ReplaceAll(log.Bytes(), []byte(`"$1":""`))
 }
 
-// TestGoldenLeadership holds the log lines of an entry that claims leadership, leads and gives it
-// up.
+// TestGoldenLeadership checks the log lines of an entry that claims leadership, leads, and steps
+// down.
 func TestGoldenLeadership(t *testing.T) {
 	withCandidate(t, func(t *testing.T, c *Candidate, _ *environment, log *bytes.Buffer) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -301,7 +303,7 @@
 	})
 }
 
-// TestGoldenClaim holds the record that claims a term, as it stands in the log, and the log line.
+// TestGoldenClaim checks the record that claims a term as stored in the log, and the log line.
 func TestGoldenClaim(t *testing.T) {
 	withCandidate(t, func(t *testing.T, c *Candidate, _ *environment, log *bytes.Buffer) {
 		if err := c.claim(t.Context(), 4, 0); err != nil {
@@ -312,7 +314,7 @@
 	})
 }
 
-// TestGoldenTerm holds the records of a term that is given up.
+// TestGoldenTerm checks the records of a term whose leader steps down.
 func TestGoldenTerm(t *testing.T) {
 	withCandidate(t, func(t *testing.T, c *Candidate, _ *environment, _ *bytes.Buffer) {
 		if err := c.claim(t.Context(), 4, 0); err != nil {
@@ -323,14 +325,14 @@
 		if err := l.writer.heartbeat(t.Context()); err != nil {
 			t.Fatal(err)
 		}
-		if err := l.giveUp(t.Context()); !errors.Is(err, errResigned) {
+		if err := l.stepDown(t.Context()); !errors.Is(err, errResigned) {
 			t.Fatal(err)
 		}
 		goldentest.Bytes(t, "records-term.json", stored(t, c))
 	})
 }
 
-// stored are the records of the job topic, one a line.
+// stored returns the records of the job topic, one per line.
 func stored(t *testing.T, c *Candidate) []byte {
 	t.Helper()
 	batch, err := c.deps.Log.Read(t.Context(), topic.Query{})
@@ -344,7 +346,7 @@
 	return out.Bytes()
 }
 
-// TestGoldenPaths holds the paths on which entries and agents meet.
+// TestGoldenPaths checks the HTTP paths that entries serve to agents, other entries and operators.
 func TestGoldenPaths(t *testing.T) {
 	paths := []string{assignment.Path, assignment.LeaderPath, assignment.HandoverPath, WorkersPath}
 	goldentest.Bytes(t, "paths.txt", []byte(strings.Join(paths, "\n")+"\n"))
--- a/jobs/leader/handler.go
+++ b/jobs/leader/handler.go
@@ -7,8 +7,8 @@
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 )
 
-// ServePoll answers an agent's poll: 200 with an assignment.Answer, or 409 with an
-// assignment.Redirect if this entry does not lead or hears a newer process of the agent.
+// ServePoll handles an agent's poll. It responds with 200 and an assignment.Answer, or with 409 and
+// an assignment.Redirect if this entry does not lead or a newer process of the agent is active.
 func (c *Candidate) ServePoll(w http.ResponseWriter, r *http.Request) {
 	var poll assignment.Poll
 	if err := jsonhttp.Read(w, r, &poll); err != nil {
@@ -25,8 +25,7 @@
 	jsonhttp.Write(w, http.StatusOK, answer)
 }
 
-// ServeLeader answers 200 with an assignment.Redirect to the leader, as far as this entry knows
-// it.
+// ServeLeader responds with 200 and an assignment.Redirect to the leader known to this entry.
 func (c *Candidate) ServeLeader(w http.ResponseWriter, _ *http.Request) {
 	jsonhttp.Write(w, http.StatusOK, c.redirect())
 }
--- a/jobs/leader/handover.go
+++ b/jobs/leader/handover.go
@@ -13,19 +13,19 @@
 	"yarrowgrade.example/yarrowgrade/jobs/directory"
 )
 
-// Times and numbers of offers.
+// Timing and number of offers.
 const (
-	// offerAfter is the least time that a write goes without success before leadership is
-	// offered.
+	// offerAfter is the minimum time for which a write must fail before leadership is offered.
 	offerAfter = 400 * time.Millisecond
-	// offerInterval is the time between two rounds of offers, offerTimeout bounds one offer.
+	// offerInterval is the time between two rounds of offers. offerTimeout is the timeout of one
+	// offer.
 	offerInterval = 300 * time.Millisecond
 	offerTimeout  = 500 * time.Millisecond
-	// offersPerRound is enough for one that reaches the log, and few enough that not too many
-	// claim.
+	// offersPerRound is large enough to include an entry that can reach the log, and small enough
+	// to limit the number of entries that claim the next term.
 	offersPerRound = 5
-	// largerInterval is the time between offers to larger entries. Nothing starts during a
-	// handover, so they must not follow one another.
+	// largerInterval is the time between offers to larger entries. No runs start during a handover,
+	// so handovers must not follow one another immediately.
 	largerInterval = 2 * time.Second
 	largerPerRound = 3
 )
@@ -36,12 +36,12 @@
 	deps   Dependencies
 }
 
-// whileFailing offers leadership once a write goes without success for a while, until an entry
-// accepts, which it reports by accepted, or ctx ends.
-func (h handover) whileFailing(ctx context.Context, accepted func()) {
+// offerWhileFailing offers leadership once a write has been failing for some time, until an entry
+// accepts or ctx ends. It calls accepted when an entry accepts.
+func (h handover) offerWhileFailing(ctx context.Context, accepted func()) {
 	began := time.Now()
 	wait := max(offerAfter, 2*h.deps.Latency.HedgeDelay(0))
-	// The first round goes to those that are large enough to lead, later ones to all.
+	// The first round of offers goes to the eligible entries, later rounds go to all entries.
 	for addresses := h.deps.Directory.EligibleAddresses; pause.For(ctx, wait); addresses = h.deps.Directory.Addresses {
 		if h.offerAny(ctx, addresses(), time.Since(began)) {
 			accepted()
@@ -51,7 +51,8 @@
 	}
 }
 
-// offerAny reports whether one of a few of the entries accepts.
+// offerAny offers leadership to a random sample of the entries at once, and reports whether one of
+// them accepts.
 func (h handover) offerAny(ctx context.Context, addresses []string, failing time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, offerTimeout)
 	defer cancel()
@@ -79,9 +80,9 @@
 	return false
 }
 
-// toLarger offers leadership to entries with many more cores until ctx ends, as it does when one
-// of them has claimed the next term.
-func (h handover) toLarger(ctx context.Context, cores float64) {
+// offerToLarger offers leadership to considerably larger entries until ctx ends, which happens when
+// one of them has claimed the next term.
+func (h handover) offerToLarger(ctx context.Context, cores float64) {
 	for pause.For(ctx, largerInterval) {
 		for _, address := range sample.Draw(h.deps.Directory.LargerThan(cores), largerPerRound) {
 			if h.offer(ctx, address, 0) {
@@ -91,8 +92,8 @@
 	}
 }
 
-// offer reports whether an entry accepts. Failing is how long the leader's write has gone without
-// success; zero in an offer to a larger entry.
+// offer offers leadership to an entry, and reports whether it accepts. failing is how long the
+// leader's write has been failing, or zero in an offer to a larger entry.
 func (h handover) offer(ctx context.Context, address string, failing time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, offerTimeout)
 	defer cancel()
--- a/jobs/leader/handover_test.go
+++ b/jobs/leader/handover_test.go
@@ -21,12 +21,12 @@
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
-// countingTransport notes who was called. Hosts in gone refuse connections; the others answer
-// with an empty object, or with a conflict if refusing is set.
+// countingTransport records the hosts that were called. Hosts in down refuse connections. The
+// others respond with an empty object, or with 409 if refusing is set.
 type countingTransport struct {
 	mu       sync.Mutex
 	hosts    []string
-	gone     map[string]bool
+	down     map[string]bool
 	refusing bool
 }
 
@@ -34,7 +34,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.hosts = append(c.hosts, r.URL.Host)
-	if c.gone[r.URL.Host] {
+	if c.down[r.URL.Host] {
 		return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 	}
 	status := http.StatusOK
@@ -49,14 +49,13 @@
 	}, nil
 }
 
-// testTerm is a term in which an entry leads.
+// testTerm is a term led by an entry.
 type testTerm struct {
 	leader directory.Leader
 	deps   Dependencies
 }
 
-// withTerm runs a test with a term of the first of n entries, half of which have little processor
-// time.
+// withTerm runs a test with a term led by one of n entries, half of which have a small CPU share.
 func withTerm(t *testing.T, n int, f func(t *testing.T, ctx context.Context, tm *testTerm, calls *countingTransport)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -68,7 +67,7 @@
 		entries := directory.NewDirectory(log.Client("e"), zerolog.Nop())
 		go entries.Run(ctx)
 		time.Sleep(time.Second)
-		calls := &countingTransport{gone: map[string]bool{}}
+		calls := &countingTransport{down: map[string]bool{}}
 		leader := directory.Leader{Term: 1, Incarnation: "e", Address: addressOf(1)}
 		f(t, ctx, &testTerm{leader: leader, deps: Dependencies{
 			Client:       &http.Client{Transport: calls},
@@ -82,28 +81,30 @@
 
 func addressOf(i int) string { return fmt.Sprintf("10.0.0.%d:7000", i) }
 
-// TestFewEntriesAreOffered: a leader that could not write offered leadership to all other entries
-// at once, and each that accepted claimed the next term. It asks a few, first those that are
-// large enough to lead.
+// TestFewEntriesAreOffered checks that a leader that cannot write offers leadership to a few
+// entries at a time, first to those that are large enough to lead.
+//
+// It guards against offers to all other entries at once, after which each entry that accepts claims
+// the next term.
 func TestFewEntriesAreOffered(t *testing.T) {
 	const watched = 2500 * time.Millisecond
-	const atOnce = 5
+	const perRound = 5
 	for _, n := range []int{20, 40} {
 		withTerm(t, n, func(t *testing.T, ctx context.Context, tm *testTerm, calls *countingTransport) {
 			calls.refusing = true
 			eligible := tm.deps.Directory.EligibleAddresses()
 			ctx, cancel := context.WithTimeout(ctx, watched)
 			defer cancel()
-			handover{leader: tm.leader, deps: tm.deps}.whileFailing(ctx, func() { t.Error("it was handed over") })
-			if len(calls.hosts) < 2*atOnce {
+			handover{leader: tm.leader, deps: tm.deps}.offerWhileFailing(ctx, func() { t.Error("leadership was handed over") })
+			if len(calls.hosts) < 2*perRound {
 				t.Fatalf("only %d offers were made", len(calls.hosts))
 			}
-			if most := int(watched/offerInterval+1) * atOnce; len(calls.hosts) > most {
-				t.Errorf("%d offers to %d entries, want at most %d", len(calls.hosts), n, most)
+			if most := int(watched/offerInterval+1) * perRound; len(calls.hosts) > most {
+				t.Errorf("%d offers were made with %d entries, want at most %d", len(calls.hosts), n, most)
 			}
-			for _, host := range calls.hosts[:atOnce] {
+			for _, host := range calls.hosts[:perRound] {
 				if !slices.Contains(eligible, host) || host == addressOf(1) {
-					t.Errorf("the first round asked %s, want one that should lead", host)
+					t.Errorf("the first round of offers included %s, want only eligible entries", host)
 				}
 			}
 		})
--- a/jobs/leader/leader.go
+++ b/jobs/leader/leader.go
@@ -1,28 +1,29 @@
-// Package leader runs the part of an entry that leads. One entry at a time is the leader: it
-// takes the agents' polls, lets package dispatch decide what runs where, stores the decision and
-// tells the agents, with a lease on what they run. Each entry runs a Candidate, which waits until
-// it leads.
+// Package leader implements leader election and the work of the leader. One entry at a time is the
+// leader: it receives the agents' polls, uses package dispatch to decide what runs where, stores
+// the decision, and sends it to the agents together with a lease on the runs. Each entry runs a
+// Candidate, which waits until the entry leads.
 //
-// The package owns who leads (election.go, campaign.go, handover.go), the writes of a term
-// (writer.go), and the leases and orders of agents (fleet.go, lease.go, poll.go). It relies on
-// the job topic, which accepts no write of a leader once a higher term has begun, on package
-// jobstore for what the topic holds, and on package dispatch for the decisions.
+// The package owns the election (election.go, campaign.go, handover.go), the writes of a term
+// (writer.go), and the agents' leases and orders (fleet.go, lease.go, poll.go). It relies on the
+// job topic, which rejects a leader's writes once a later term has begun, on package jobstore for
+// the contents of the topic, and on package dispatch for the decisions.
 //
 // # Leadership
 //
-// The leader is a record of the job topic with a term. An entry that has read the whole topic and
+// The leader is recorded in the job topic with its term. An entry that has read the whole topic and
 // sees no write of the leader for Timing.ElectionTimeout claims the next term, provided that
-// nothing else was written meanwhile. A leader grants leases only while its newest acknowledged
-// write is younger than Timing.MaxProofAge. A successor therefore knows how long the runs of a
-// silent worker may go on: until a lease that was granted MaxProofAge after it began to lead has
-// ended.
+// nothing else was written in the meantime. A leader grants leases only while its latest
+// acknowledged write is younger than Timing.MaxProofAge. A successor can therefore bound how long
+// the runs of a silent worker may continue: until the end of a lease granted MaxProofAge after the
+// successor began to lead.
 //
 // # Order of effects
 //
-// One goroutine decides. It takes new polls, jobs and cancels, decides, stores what follows by
-// one append, and only then publishes it to the agents. So agents act on nothing, and are
-// acknowledged nothing, that is not stored. An append without an answer is repeated with the same
-// sequence number; nothing else is decided meanwhile.
+// A single goroutine makes the decisions. It takes new polls, jobs and cancellations, decides,
+// stores the decision with one append, and only then publishes it to the agents. Agents therefore
+// never act on a decision that is not stored, and their polls are acknowledged only once the result
+// is stored. An append without a response is repeated with the same sequence number, and no other
+// decision is made until it succeeds.
 //
 // # Usage
 //
@@ -46,36 +47,36 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// Settings of a candidate.
+// Settings configure a candidate.
 type Settings struct {
 	// Entry is the entry's name in the directory.
 	Entry string
-	// Incarnation names this start of the entry.
+	// Incarnation identifies this start of the entry.
 	Incarnation string
 	Address     string
-	// Cores is how many cores the entry has, in fractions too; zero if unknown.
+	// Cores is the number of cores of the entry, possibly fractional; zero if unknown.
 	Cores    float64
 	Timing   Timing
 	Dispatch dispatch.Settings
 }
 
-// Dependencies are what a candidate works with.
+// Dependencies are the services and state that a candidate uses.
 type Dependencies struct {
-	// Log is the job topic, and Replica what this process has read of it.
+	// Log is the job topic. Replica is this process's copy of its state.
 	Log     topic.Log
 	Replica *jobstore.Replica
 	Catalog *catalog.Follower
-	// DirectoryLog is the topic in which agents look for the leader, and Directory what this
-	// process has read of it.
+	// DirectoryLog is the topic in which agents look up the leader. Directory is this process's
+	// copy of its state.
 	DirectoryLog topic.Log
 	Directory    *directory.Directory
-	// Permits may be nil where no queue needs permits.
+	// Permits may be nil if no queue requires permits.
 	Permits dispatch.PermitIssuer
-	// Latency of the job topic, shared by all who call it in this process.
+	// Latency tracks the response times of the job topic. All its callers in this process share it.
 	Latency *hedge.Latency
-	// Client calls other entries.
+	// Client is used for requests to other entries.
 	Client *http.Client
-	// Suspension counts how long this machine was suspended.
+	// Suspension measures how long this machine has been suspended.
 	Suspension suspend.Clock
 	Logger     zerolog.Logger
 	Metrics    tally.Scope
--- a/jobs/leader/leadership.go
+++ b/jobs/leader/leadership.go
@@ -10,16 +10,17 @@
 	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
 )
 
-// leadership is one term in which this entry leads. The goroutine of lead owns it.
+// leadership is the state of one term in which this entry leads. It is used only by the goroutine
+// that runs lead.
 type leadership struct {
 	*Candidate
 	writer     *termWriter
 	controller *dispatch.Controller
-	// formerLeases is until when a former leader may have granted leases.
-	formerLeases time.Time
+	// lastFormerGrant is the latest time at which a former leader may have granted a lease.
+	lastFormerGrant time.Time
 }
 
-// lead leads until leadership is lost, and returns why.
+// lead runs the term until leadership is lost, and returns the reason.
 func (c *Candidate) lead(ctx context.Context, leader directory.Leader) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -28,15 +29,15 @@
 	defer c.deps.Replica.SetLeading(false)
 	c.fleet.open(leader.Term)
 	defer c.fleet.close()
-	l.formerLeases = time.Now().Add(c.settings.Timing.MaxProofAge)
+	l.lastFormerGrant = time.Now().Add(c.settings.Timing.MaxProofAge)
 	c.deps.Logger.Info().Str("step", "leader.lead").Int64("term", leader.Term).Int("jobs", l.controller.Jobs()).
-		Msg("leadership taken")
-	// No lease is granted before this first acknowledged write.
+		Msg("leadership acquired")
+	// No lease is granted before this first write is acknowledged.
 	if err := l.writer.heartbeat(ctx); err != nil {
 		return err
 	}
 	go directory.AnnounceLeader(ctx, c.deps.DirectoryLog, leader)
-	go handover{leader: leader, deps: c.deps}.toLarger(ctx, c.settings.Cores)
+	go handover{leader: leader, deps: c.deps}.offerToLarger(ctx, c.settings.Cores)
 	go newPruner(c.deps, leader.Address).run(ctx)
 	for {
 		if err := l.round(ctx); err != nil {
@@ -62,17 +63,17 @@
 	return l
 }
 
-// round decides, rests, writes a heartbeat if one is due, and waits. An error ends the
-// leadership.
+// round makes a decision, pauses, writes a heartbeat if one is due, and waits until the next
+// decision is needed. An error ends the leadership.
 func (l *leadership) round(ctx context.Context) error {
-	// Taken before the decision: what changes during it wakes the wait.
+	// These channels are read before the decision, so that a change during it ends the wait.
 	jobs, operators := l.deps.Replica.JobsChanged(), l.deps.Catalog.Changed()
-	worked, err := l.decide(ctx)
+	computeTime, err := l.decide(ctx)
 	if err != nil {
 		return err
 	}
-	pause.For(ctx, restAfter(worked))
-	if time.Since(l.writer.written) >= l.settings.Timing.HeartbeatInterval {
+	pause.For(ctx, pauseAfter(computeTime))
+	if time.Since(l.writer.lastAppend) >= l.settings.Timing.HeartbeatInterval {
 		if err := l.writer.heartbeat(ctx); err != nil {
 			return err
 		}
@@ -83,11 +84,12 @@
 	return l.checkLeading(ctx)
 }
 
-// decide takes what is new, decides, stores the decision, and publishes it. It returns the time
-// that this took without the append.
-func (l *leadership) decide(ctx context.Context) (worked time.Duration, err error) {
+// decide applies all new input, makes a decision, stores it, and publishes it. It returns the time
+// taken excluding the append.
+func (l *leadership) decide(ctx context.Context) (computeTime time.Duration, err error) {
 	now := time.Now()
-	// What polls and expired leases end may have been sent until they were taken.
+	// Runs ended by a poll or an expired lease may have been sent to the agent until the poll was
+	// taken or the lease expired.
 	polls := l.fleet.take()
 	l.controller.NoteSent(l.fleet.takeSent())
 	for _, p := range polls {
@@ -96,7 +98,7 @@
 	for _, job := range l.deps.Replica.TakeChanged() {
 		l.controller.ApplyJob(job)
 	}
-	expired := l.fleet.expire(l.controller.WorkersInUse(), now, l.formerLeases)
+	expired := l.fleet.expire(l.controller.WorkersInUse(), now, l.lastFormerGrant)
 	l.controller.NoteSent(l.fleet.takeSent())
 	l.controller.ExpireLeases(expired)
 	l.controller.Plan(ctx, now)
@@ -104,7 +106,7 @@
 	if err != nil {
 		return 0, err
 	}
-	worked = time.Since(now)
+	computeTime = time.Since(now)
 	if len(records) > 0 {
 		if err := l.writer.write(ctx, records); err != nil {
 			return 0, err
@@ -113,13 +115,13 @@
 	stored := time.Now()
 	l.fleet.publish(l.controller.TakeDesired(now))
 	l.controller.UpdateMetrics(now)
-	worked += time.Since(stored)
+	computeTime += time.Since(stored)
 	l.metrics.passTime.RecordDuration(time.Since(now))
-	l.metrics.workTime.RecordDuration(worked)
-	return worked, nil
+	l.metrics.workTime.RecordDuration(computeTime)
+	return computeTime, nil
 }
 
-// wait returns when there is something to decide on, or a heartbeat or decision is due.
+// wait returns when there is new input for a decision, or when a heartbeat or a decision is due.
 func (l *leadership) wait(ctx context.Context, jobs, operators <-chan struct{}) error {
 	timer := time.NewTimer(l.untilDue())
 	defer timer.Stop()
@@ -131,34 +133,37 @@
 		l.controller.ApplyPermits(permits)
 	case <-timer.C:
 	case <-l.resign:
-		return l.giveUp(ctx)
+		return l.stepDown(ctx)
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	return nil
 }
 
-// minWait keeps rounds apart when something is overdue.
+// minWait is the minimum wait between rounds. It prevents a busy loop when an action is overdue.
 const minWait = time.Millisecond
 
+// untilDue returns the time until the next heartbeat or decision is due.
 func (l *leadership) untilDue() time.Duration {
-	heartbeat := l.writer.written.Add(l.settings.Timing.HeartbeatInterval)
+	heartbeat := l.writer.lastAppend.Add(l.settings.Timing.HeartbeatInterval)
 	return max(min(time.Until(heartbeat), time.Until(l.controller.Next())), minWait)
 }
 
-// checkLeading returns an error if another entry leads, or after giving up for lack of polls.
+// checkLeading returns an error if another entry leads. It steps down and returns an error if there
+// are unfinished jobs but no agent has polled for the isolation timeout.
 func (l *leadership) checkLeading(ctx context.Context) error {
 	if current, _, _ := l.deps.Replica.Leader(); current.Term > l.writer.leader.Term {
 		return errSuperseded
 	}
 	if l.fleet.silence(time.Now()) > l.settings.Timing.IsolationTimeout && l.controller.Busy() {
-		return errors.Join(errIsolated, l.giveUp(ctx))
+		return errors.Join(errIsolated, l.stepDown(ctx))
 	}
 	return nil
 }
 
-// giveUp records that nobody leads, and returns errResigned.
-func (l *leadership) giveUp(ctx context.Context) error {
+// stepDown writes a leader record without an incarnation, which tells other entries that leadership
+// is vacant, and returns errResigned.
+func (l *leadership) stepDown(ctx context.Context) error {
 	l.writer.leader.Incarnation = ""
 	if err := l.writer.heartbeat(ctx); err != nil {
 		return err
@@ -166,21 +171,22 @@
 	return errResigned
 }
 
-// Rest after a decision. Decisions look at all workers and jobs, and the more there are the more
-// often one is due: without rest they would take all of the processor, and polls would wait.
+// The leading goroutine pauses after each decision. A decision examines all workers and jobs, and
+// decisions are due more often the more workers and jobs there are. Without a pause, decisions
+// would use all CPU time and delay the handling of polls.
 const (
-	// restFactor is the rest in multiples of the time that the decision took.
-	restFactor = 2
-	// Rests are at most maxRest long; those under minRest are left out.
-	maxRest = 100 * time.Millisecond
-	minRest = 2 * time.Millisecond
+	// pauseFactor is the length of the pause as a multiple of the time that the decision took.
+	pauseFactor = 2
+	// Pauses are limited to maxPause. Those shorter than minPause are skipped.
+	maxPause = 100 * time.Millisecond
+	minPause = 2 * time.Millisecond
 )
 
-// restAfter is the rest after a decision that took so long without its append.
-func restAfter(worked time.Duration) time.Duration {
-	rest := min(restFactor*worked, maxRest)
-	if rest < minRest {
+// pauseAfter returns the pause after a decision that took computeTime, excluding its append.
+func pauseAfter(computeTime time.Duration) time.Duration {
+	d := min(pauseFactor*computeTime, maxPause)
+	if d < minPause {
 		return 0
 	}
-	return rest
+	return d
 }
--- a/jobs/leader/leadership_test.go
+++ b/jobs/leader/leadership_test.go
@@ -16,8 +16,11 @@
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
-// TestRoundsOfAQuietLeader: a leader decided three times for each of its appends: its own record
-// woke it when it was written, and again when it was read.
+// TestRoundsOfAQuietLeader checks that an idle leader makes no more decisions than its decision and
+// heartbeat intervals require.
+//
+// It guards against three decisions for each append, which happened when the leader's own record
+// triggered a decision once when it was written, and again when it was read back.
 func TestRoundsOfAQuietLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -52,15 +55,15 @@
 		before := roundsIn(scope)
 		const watched = 10 * time.Second
 		time.Sleep(watched)
-		// One when a decision is due by itself, and one when a heartbeat is.
+		// One round for each decision interval, and one for each heartbeat.
 		most := int(watched/settings.Dispatch.MaxInterval) + int(watched/settings.Timing.HeartbeatInterval) + 1
 		if got := roundsIn(scope) - before; got == 0 || got > most {
-			t.Errorf("%d rounds in %v without any news, want at most %d", got, watched, most)
+			t.Errorf("%d rounds in %v without new input, want at least 1 and at most %d", got, watched, most)
 		}
 	})
 }
 
-// roundsIn is how many rounds of the leading goroutine a scope has counted.
+// roundsIn returns the number of rounds of the leading goroutine counted by a scope.
 func roundsIn(scope tally.TestScope) int {
 	rounds := 0
 	for _, h := range scope.Snapshot().Histograms() {
@@ -73,19 +76,19 @@
 	return rounds
 }
 
-// TestRest: decisions take at most a third of the leading goroutine's time, up to the longest
-// rest.
+// TestRest checks that decisions take at most a third of the leading goroutine's time, as long as
+// the pause does not reach its maximum.
 func TestRest(t *testing.T) {
 	tests := []struct{ worked, rest time.Duration }{
 		{0, 0},
 		{500 * time.Microsecond, 0},
 		{time.Millisecond, 2 * time.Millisecond},
 		{6 * time.Millisecond, 12 * time.Millisecond},
-		{time.Second, maxRest},
+		{time.Second, maxPause},
 	}
 	for _, test := range tests {
-		if got := restAfter(test.worked); got != test.rest {
-			t.Errorf("after %v it rests for %v, want %v", test.worked, got, test.rest)
+		if got := pauseAfter(test.worked); got != test.rest {
+			t.Errorf("pause after a decision of %v is %v, want %v", test.worked, got, test.rest)
 		}
 	}
 }
--- a/jobs/leader/lease.go
+++ b/jobs/leader/lease.go
@@ -7,20 +7,22 @@
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 )
 
-// prove notes when an acknowledged append was sent: this entry led then.
-func (f *fleet) prove(sent suspend.Instant) {
+// recordProof records when an acknowledged append was sent. It proves that this entry was the
+// leader at that time.
+func (f *fleet) recordProof(sent suspend.Instant) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	lapsed := f.lease() == 0
 	f.proof = f.clock.Later(sent, f.proof)
 	if lapsed {
-		// Polls with starts were held for lack of a lease.
+		// Polls may be held because starts could not be sent without a lease.
 		f.wakeAll()
 	}
 }
 
-// lease is the length of a lease granted now: zero if the proof of leadership is too old,
-// suspensions included, since a successor counts on that. f.mu must be held.
+// lease returns the length of a lease granted now. It is zero if the proof of leadership is older
+// than MaxProofAge, including the time for which the machine was suspended, because a successor
+// relies on this limit. f.mu must be held.
 func (f *fleet) lease() time.Duration {
 	if f.clock.Since(f.proof) > f.timing.MaxProofAge {
 		return 0
@@ -28,8 +30,9 @@
 	return f.timing.Lease
 }
 
-// leaseFor is the lease for a poll. An agent that does not reach its worker gets none: what an
-// earlier agent left there must end. f.mu must be held.
+// leaseFor returns the length of the lease to grant in answer to a poll. An agent that cannot reach
+// its worker gets no lease, because the runs that an earlier agent started there must end. f.mu
+// must be held.
 func (f *fleet) leaseFor(w *worker, poll assignment.Poll) time.Duration {
 	if poll.State == nil || poll.Unresponsive || w.expired {
 		return 0
@@ -37,11 +40,11 @@
 	return f.lease()
 }
 
-// expire returns the workers whose last lease has ended for sure. They get neither lease nor
-// orders until the decision on that is published. Leases are granted under the same lock, so an
-// agent that comes back meanwhile was granted one before, or gets none. A former leader granted
-// its last one at formerLeases at the latest.
-func (f *fleet) expire(workers map[string]bool, now, formerLeases time.Time) map[string]bool {
+// expire returns those of the given workers whose last lease has certainly ended. They get neither
+// a lease nor orders until the resulting decision is published. Leases are granted under the same
+// lock, so an agent that returns in the meantime either got a lease before this call, or gets none.
+// lastFormerGrant is the latest time at which a former leader may have granted a lease.
+func (f *fleet) expire(workers map[string]bool, now, lastFormerGrant time.Time) map[string]bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	expired := map[string]bool{}
@@ -50,7 +53,7 @@
 	}
 	for name := range workers {
 		w := f.workerOf(name)
-		granted := formerLeases
+		granted := lastFormerGrant
 		if w.granted.After(granted) {
 			granted = w.granted
 		}
@@ -63,9 +66,9 @@
 	return expired
 }
 
-// zoneOpen reports whether a zone is not cordoned, and the age of the proof, rounded up. It looks
-// when the answer is made: a leader that is held up in a decision must not make the proof look
-// younger. f.mu must be held.
+// zoneOpen reports whether a zone is known not to be cordoned, and the age of that knowledge in
+// milliseconds, rounded up. The age is computed when the answer is made, so that a leader delayed
+// in a decision does not make the proof appear younger than it is. f.mu must be held.
 func (f *fleet) zoneOpen(zone string, now time.Time) (open bool, ageMillis int64) {
 	cordons, proof := f.cordons()
 	if proof.IsZero() || cordons.Has(zone) {
--- a/jobs/leader/lease_test.go
+++ b/jobs/leader/lease_test.go
@@ -9,77 +9,78 @@
 	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
 )
 
-// TestLeasesProof: with an old proof of leadership nothing is leased and nothing started.
+// TestLeasesProof checks that the leader grants no lease and starts no run if its proof of
+// leadership is too old.
 func TestLeasesProof(t *testing.T) {
 	withLeases(t, func(t *testing.T, fl *fleet, _ *environment) {
 		ask(t, fl, poll(1))
 		publishOne(fl)
 		time.Sleep(fl.timing.MaxProofAge + time.Millisecond)
 		if a := ask(t, fl, poll(2)); a.LeaseMillis != 0 || len(a.Start) != 0 {
-			t.Errorf("with an old proof: %+v", a)
+			t.Errorf("with an expired proof: got %+v, want no lease and no start", a)
 		}
-		fl.prove(fl.clock.Now())
+		fl.recordProof(fl.clock.Now())
 		if a := ask(t, fl, poll(3)); a.LeaseMillis == 0 || len(a.Start) != 1 {
 			t.Errorf("with a new proof: %+v", a)
 		}
 	})
 }
 
-// TestLeasesSuspended: after a suspension of its machine a leader must grant nothing on a proof
-// from before it, however young that seems by the monotonic clock: a successor may lead by now,
-// and count on no lease being left.
+// TestLeasesSuspended checks that a leader whose machine was suspended grants no lease based on a
+// proof from before the suspension, however recent the proof seems by the monotonic clock. A
+// successor may already lead, and relies on no lease being left.
 func TestLeasesSuspended(t *testing.T) {
 	withLeases(t, func(t *testing.T, fl *fleet, env *environment) {
 		ask(t, fl, poll(1))
 		publishOne(fl)
 		env.suspended += fl.timing.MaxProofAge
 		if a := ask(t, fl, poll(2)); a.LeaseMillis == 0 {
-			t.Errorf("with a proof that is just good enough: %+v", a)
+			t.Errorf("with a proof of the maximum age: got %+v, want a lease", a)
 		}
 		written := fl.clock.Now()
 		env.suspended += time.Second
 		if a := ask(t, fl, poll(3)); a.LeaseMillis != 0 || len(a.Start) != 0 {
-			t.Errorf("after a suspension: %+v", a)
+			t.Errorf("after a suspension: got %+v, want no lease and no start", a)
 		}
 		env.suspended += fl.timing.MaxProofAge
-		fl.prove(written)
+		fl.recordProof(written)
 		if a := ask(t, fl, poll(4)); a.LeaseMillis != 0 {
-			t.Errorf("with a write that was under way while the machine was suspended: %+v", a)
+			t.Errorf("with a write in flight while the machine was suspended: got %+v, want no lease", a)
 		}
-		fl.prove(fl.clock.Now())
+		fl.recordProof(fl.clock.Now())
 		if a := ask(t, fl, poll(5)); a.LeaseMillis == 0 || len(a.Start) != 1 {
 			t.Errorf("with a new proof: %+v", a)
 		}
 	})
 }
 
-// TestLeasesExpire: an agent that comes back between the decision that its worker's lease has
-// ended and the publication of what follows must get neither a lease nor an order.
+// TestLeasesExpire checks that an agent gets neither a lease nor an order if it returns after its
+// worker's lease was found to have ended, but before the resulting decision is published.
 func TestLeasesExpire(t *testing.T) {
 	withLeases(t, func(t *testing.T, fl *fleet, _ *environment) {
 		ask(t, fl, poll(1))
 		publishOne(fl)
 		time.Sleep(fl.timing.leaseEnd() + time.Millisecond)
-		fl.prove(fl.clock.Now())
+		fl.recordProof(fl.clock.Now())
 		workers := map[string]bool{"w": true}
-		if over := fl.expire(workers, time.Now(), time.Time{}); !over["w"] {
-			t.Fatal("the lease is not over")
+		if expired := fl.expire(workers, time.Now(), time.Time{}); !expired["w"] {
+			t.Fatal("the lease has not expired")
 		}
 		if a := ask(t, fl, poll(2)); a.LeaseMillis != 0 || len(a.Start) != 0 {
-			t.Errorf("an expired worker gets %+v", a)
+			t.Errorf("after expiry: got %+v, want no lease and no start", a)
 		}
-		fl.publish(map[string]dispatch.DesiredState{"w": {Incarnation: present.ID}})
+		fl.publish(map[string]dispatch.DesiredState{"w": {Incarnation: workerState.ID}})
 		if a := ask(t, fl, poll(3)); a.LeaseMillis == 0 || len(a.Start) != 0 {
-			t.Errorf("after the publication it gets %+v", a)
+			t.Errorf("after publication: got %+v, want a lease and no start", a)
 		}
-		if over := fl.expire(workers, time.Now(), time.Time{}); over["w"] {
-			t.Error("it is expired although it was just given a lease")
+		if expired := fl.expire(workers, time.Now(), time.Time{}); expired["w"] {
+			t.Error("the worker has expired although it was just granted a lease")
 		}
 	})
 }
 
-// TestLeasesUnreached: an agent that does not reach its worker gets no lease, so that the
-// worker's lease ends.
+// TestLeasesUnreached checks that an agent that cannot reach its worker gets no lease, so that the
+// worker's last lease ends.
 func TestLeasesUnreached(t *testing.T) {
 	withLeases(t, func(t *testing.T, fl *fleet, _ *environment) {
 		publishOne(fl)
@@ -87,17 +88,18 @@
 		silent.Unresponsive, none.State = true, nil
 		for _, p := range []assignment.Poll{silent, none} {
 			if a := ask(t, fl, p); a.LeaseMillis != 0 {
-				t.Errorf("%+v gets a lease", p)
+				t.Errorf("poll %+v was granted a lease", p)
 			}
 		}
 	})
 }
 
-// TestLeasesOpen: an answer says that the worker's zone is open only while no cordon of it is
-// known, with the age of the proof at the moment of the answer, whatever was decided before.
+// TestLeasesOpen checks that an answer reports the worker's zone as open only while no cordon of
+// the zone is known, and that it contains the age of the proof at the time of the answer, not at
+// that of the decision.
 func TestLeasesOpen(t *testing.T) {
 	const zone = "zone-1"
-	inZone := present
+	inZone := workerState
 	inZone.Zone = zone
 	tests := []struct {
 		name    string
@@ -121,22 +123,23 @@
 				p.Sequence = 2
 				a := ask(t, fl, p)
 				if a.ZoneOpen != test.open || test.open && time.Duration(a.ZoneProofMillis)*time.Millisecond < test.age {
-					t.Errorf("open is %v with a proof of %d ms, want %v with at least %v",
+					t.Errorf("ZoneOpen is %v with a proof age of %d ms, want %v with at least %v",
 						a.ZoneOpen, a.ZoneProofMillis, test.open, test.age)
 				}
 				env.syncedAt = time.Time{}
 				p.Sequence = 3
 				if a := ask(t, fl, p); a.ZoneOpen {
-					t.Error("the zone is said to be open without a proof")
+					t.Error("the zone is reported as open without a proof")
 				}
 			})
 		})
 	}
 }
 
-// TestLapsedLeaseWakes: a start that was held back because the proof of leadership was too old
-// waited until the poll had been held for its full time. It is sent as soon as there is a newer
-// proof.
+// TestLapsedLeaseWakes checks that a start held back because the proof of leadership was too old is
+// sent as soon as there is a newer proof.
+//
+// It guards against such a start waiting until the poll has been held for PollWait.
 func TestLapsedLeaseWakes(t *testing.T) {
 	withFleet(t, 1, func(t *testing.T, fl *fleet, _ *counter) {
 		time.Sleep(fl.timing.MaxProofAge + time.Millisecond)
@@ -145,10 +148,10 @@
 		began := time.Now()
 		go func() {
 			time.Sleep(50 * time.Millisecond)
-			fl.prove(fl.clock.Now())
+			fl.recordProof(fl.clock.Now())
 		}()
 		if a := ask(t, fl, p); len(a.Start) != 1 || time.Since(began) != 50*time.Millisecond {
-			t.Errorf("after %v it is told to start %v", time.Since(began), a.Start)
+			t.Errorf("after %v the answer starts %v, want one start after 50 ms", time.Since(began), a.Start)
 		}
 	})
 }
--- a/jobs/leader/metrics.go
+++ b/jobs/leader/metrics.go
@@ -7,18 +7,18 @@
 	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
 )
 
-// metrics are a candidate's.
+// metrics are the metrics of a candidate.
 type metrics struct {
 	terms telemetry.Counters[string]
-	// passTime is the time of a decision, workTime the part of it outside its append.
+	// passTime is the duration of a decision. workTime is the part of it that excludes the append.
 	passTime, workTime tally.Histogram
-	// pollAnswers counts the answers that were made to polls, also those that were not sent
-	// because the poll was held on.
+	// pollAnswers counts the answers computed for polls, including those not sent because the poll
+	// was held further.
 	pollAnswers tally.Counter
 	dispatch    *dispatch.Metrics
 }
 
-// Values of the label "event" of the counter "terms".
+// Values of the "event" label of the "terms" counter.
 const (
 	termBegun      = "taken"
 	termLost       = "lost"
--- a/jobs/leader/poll.go
+++ b/jobs/leader/poll.go
@@ -9,28 +9,29 @@
 	"yarrowgrade.example/yarrowgrade/jobs/dispatch"
 )
 
-// Reasons for which a poll is not taken as it came.
+// Reasons why a poll is not accepted as sent.
 var (
 	errNotLeading  = errors.New("this entry does not lead in the agent's term")
-	errFormerAgent = errors.New("a newer process of the agent polls")
-	errOldFence    = errors.New("the agent has not heard the fence of its session")
-	errUnknownBase = errors.New("the poll is a delta to one that is unknown here")
+	errFormerAgent = errors.New("a newer process of the agent is active")
+	errOldFence    = errors.New("the agent has not received the fence of its session")
+	errUnknownBase = errors.New("the poll is a delta to an unknown poll")
 )
 
-// fenceBits is how many bits of a fence count the agents' incarnations within a term.
+// fenceBits is the number of low bits of a fence that number the agents' incarnations within a
+// term. The bits above them hold the term.
 const fenceBits = 20
 
-// reply is an answer that may be held back.
+// reply is an answer that may be held until there is something to do.
 type reply struct {
 	answer assignment.Answer
-	// urgent says that the agent has something to do.
+	// urgent is set if the answer contains something for the agent to do.
 	urgent bool
-	// changed is closed when the answer may be another one.
+	// changed is closed when the answer may have changed.
 	changed <-chan struct{}
 }
 
-// serve answers a poll, after holding it while there is nothing to do; false if this entry does
-// not lead in a term that the agent accepts.
+// serve answers a poll, and holds it while there is nothing to do. It returns false if this entry
+// does not lead in a term that the agent accepts, or if a newer process of the agent is active.
 func (f *fleet) serve(ctx context.Context, poll assignment.Poll) (assignment.Answer, bool) {
 	arrived := time.Now()
 	poll, err := f.receive(poll)
@@ -59,9 +60,9 @@
 	}
 }
 
-// receive keeps a poll as the worker's newest, unless a newer one has overtaken it, and returns
-// it in full. Polls that need no decision wait for the next one: a decision for each would be
-// work that grows with the square of the workers.
+// receive stores a poll as the worker's latest, unless a newer one arrived before it, and returns
+// the full poll. Polls that need no decision at once wait for the next decision: a decision for
+// each poll would cost time quadratic in the number of workers.
 func (f *fleet) receive(poll assignment.Poll) (assignment.Poll, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -93,49 +94,49 @@
 	return poll, nil
 }
 
-// checkSession returns an error unless a poll is of the process that is heard from now on. f.mu must
-// be held.
+// checkSession returns an error unless a poll comes from the active process of its agent, or makes
+// its process the active one. f.mu must be held.
 func (f *fleet) checkSession(w *worker, poll assignment.Poll) error {
 	session := &w.agent
-	switch session.judge(poll, f.lastPoll, f.timing.AgentTimeout) {
-	case supersede:
+	switch session.classify(poll, f.lastPoll, f.timing.AgentTimeout) {
+	case actionSupersede:
 		return errFormerAgent
-	case makeOffer:
+	case actionOffer:
 		return errOldFence
-	case begin:
+	case actionBegin:
 		f.beginSession(w, poll, f.nextFence())
-	case beginOffered:
+	case actionBeginOffered:
 		f.beginSession(w, poll, poll.Fence)
-	case hear:
+	case actionAccept:
 	}
-	session.heardAt = f.lastPoll
+	session.polledAt = f.lastPoll
 	if poll.RefusedFence != 0 && poll.RefusedFence == session.fence {
 		f.raiseFence(w, poll)
 	}
 	return nil
 }
 
-// beginSession turns to another process of a worker's agent. f.mu must be held.
+// beginSession makes another process of a worker's agent the active one. f.mu must be held.
 func (f *fleet) beginSession(w *worker, poll assignment.Poll, fence int64) {
 	f.logger.Info().Str("step", "leader.session").Str("worker", poll.Worker).Str("agent", poll.Agent).
-		Str("before", w.agent.incarnation).Int64("fence", fence).Msg("agent is heard")
+		Str("before", w.agent.incarnation).Int64("fence", fence).Msg("agent session started")
 	w.agent.replace(poll.Agent, fence)
 	w.reports = reports{}
 	w.wake()
 }
 
-// raiseFence gives the process that is heard a fence above all others, since its worker has seen a
-// higher one than that of its session and refuses its orders. f.mu must be held.
+// raiseFence gives the active process a fence above all others, because its worker has seen a fence
+// higher than that of the session and refuses its orders. f.mu must be held.
 func (f *fleet) raiseFence(w *worker, poll assignment.Poll) {
 	w.agent.fence = f.nextFence()
 	f.logger.Warn().Str("step", "leader.session").Str("worker", poll.Worker).Str("agent", poll.Agent).
 		Int64("refused", poll.RefusedFence).Int64("fence", w.agent.fence).
-		Msg("worker refuses the fence of the agent that is heard; it gets a higher one")
+		Msg("worker refused the fence of the active agent; fence raised")
 	w.wake()
 }
 
-// supersedes reports whether this entry leads in a term and hears a newer process of the agent that
-// has polled.
+// supersedes reports whether this entry leads in the given term and a newer process than the one
+// that sent the poll is active.
 func (f *fleet) supersedes(poll assignment.Poll, term int64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -143,17 +144,18 @@
 	if f.term == 0 || f.term != term || poll.Term > f.term || w == nil {
 		return false
 	}
-	return w.agent.judge(poll, time.Now(), f.timing.AgentTimeout) == supersede
+	return w.agent.classify(poll, time.Now(), f.timing.AgentTimeout) == actionSupersede
 }
 
-// nextFence returns a fence above all others of this and earlier terms. f.mu must be held.
+// nextFence returns a fence higher than all others of this term and earlier ones. f.mu must be
+// held.
 func (f *fleet) nextFence() int64 {
 	f.fences++
 	return f.term<<fenceBits + f.fences
 }
 
-// offerFence answers a poll that was made before its agent had heard the fence of its session,
-// without lease and orders.
+// offerFence answers a poll of an agent that has not yet received the fence of its session. The
+// answer contains no lease and no orders.
 func (f *fleet) offerFence(poll assignment.Poll) (assignment.Answer, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -175,7 +177,8 @@
 	}
 }
 
-// requestFull answers a delta to an unknown poll with the one on which the agent may build.
+// requestFull answers a delta to an unknown poll. The answer names the poll on which the agent may
+// base a delta.
 func (f *fleet) requestFull(poll assignment.Poll) (assignment.Answer, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -186,8 +189,8 @@
 	return f.acknowledge(w), true
 }
 
-// session returns the worker of a poll, unless the term has ended or the poll is a former
-// agent's. f.mu must be held.
+// session returns the worker of a poll. It returns false if the term has ended or the poll is not
+// from the active process of the agent. f.mu must be held.
 func (f *fleet) session(poll assignment.Poll) (*worker, bool) {
 	w := f.workers[poll.Worker]
 	if f.term == 0 || w == nil || w.agent.incarnation != poll.Agent {
@@ -196,7 +199,7 @@
 	return w, true
 }
 
-// acknowledge returns an answer without lease and orders. f.mu must be held.
+// acknowledge returns an answer without a lease or orders. f.mu must be held.
 func (f *fleet) acknowledge(w *worker) assignment.Answer {
 	return assignment.Answer{
 		Term:      f.term,
@@ -206,7 +209,7 @@
 	}
 }
 
-// answer makes the answer to a poll as things stand.
+// answer returns the answer to a poll according to the current state.
 func (f *fleet) answer(poll assignment.Poll, arrived time.Time) (reply, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -229,7 +232,7 @@
 	switch {
 	case poll.State == nil:
 	case !poll.Complete:
-		// The agent needs the fence before its worker can list what it runs.
+		// The agent needs the fence before its worker can list its runs.
 		r.urgent = true
 	case f.published && !w.expired && poll.State.ID == w.desired.Incarnation:
 		r.addOrders(poll, w.desired)
@@ -240,7 +243,7 @@
 	return r, true
 }
 
-// addOrders adds what to start and to stop so that the worker runs what is desired.
+// addOrders adds the starts and stops needed for the worker to reach the desired state.
 func (r *reply) addOrders(poll assignment.Poll, desired dispatch.DesiredState) {
 	a := &r.answer
 	a.Incarnation, a.AckedEnd = desired.Incarnation, desired.AckedEnd
@@ -266,7 +269,7 @@
 	r.urgent = len(a.Start) > 0 || len(a.Stop) > 0 || len(a.StopUnlisted) > 0 || a.AckedEnd > poll.AckedEnd
 }
 
-// knownRuns are the runs that a poll names.
+// knownRuns returns the runs that a poll mentions.
 func knownRuns(poll assignment.Poll) map[assignment.RunID]bool {
 	known := make(map[assignment.RunID]bool, len(poll.Runs)+len(poll.Ends)+len(poll.Refused))
 	for _, r := range poll.Runs {
--- a/jobs/leader/prune.go
+++ b/jobs/leader/prune.go
@@ -19,24 +19,24 @@
 	"yarrowgrade.example/yarrowgrade/jobs/directory"
 )
 
-// Pace of the checks.
+// Timing and number of checks.
 const (
 	pruneInterval = 2 * time.Second
-	// pruneSample is how many entries are checked in a round besides the standbys.
+	// pruneSample is the number of entries checked per round in addition to the standbys.
 	pruneSample = 3
-	// pruneMisses is how many checks in a row an entry fails before it is deregistered. One that
-	// was only cut off registers again.
+	// pruneMisses is the number of consecutive failed checks after which an entry is deregistered.
+	// An entry that was only temporarily disconnected registers again.
 	pruneMisses  = 3
 	pruneTimeout = 500 * time.Millisecond
 )
 
-// pruner deregisters entries that are gone. Otherwise all standbys would in time be boxes that no
-// longer exist.
+// pruner deregisters entries that no longer exist. Otherwise, in time, all standbys would be boxes
+// that no longer exist.
 type pruner struct {
 	deps Dependencies
-	// self is this entry's address.
+	// self is the address of this entry.
 	self string
-	// misses counts the failed checks in a row, by entry.
+	// misses counts the consecutive failed checks by entry name.
 	misses map[string]int
 }
 
@@ -46,23 +46,23 @@
 
 func (p *pruner) run(ctx context.Context) {
 	for pause.For(ctx, pruneInterval) {
-		gone := p.check(ctx, p.choose())
-		if len(gone) == 0 {
+		unreachable := p.check(ctx, p.choose())
+		if len(unreachable) == 0 {
 			continue
 		}
-		if err := directory.DeregisterEntries(ctx, p.deps.DirectoryLog, gone); err != nil {
-			p.deps.Logger.Warn().Str("step", "leader.prune").Strs("entries", gone).Err(err).
-				Msg("lost entries could not be deregistered")
+		if err := directory.DeregisterEntries(ctx, p.deps.DirectoryLog, unreachable); err != nil {
+			p.deps.Logger.Warn().Str("step", "leader.prune").Strs("entries", unreachable).Err(err).
+				Msg("failed to deregister unreachable entries")
 			continue
 		}
-		p.deps.Logger.Info().Str("step", "leader.prune").Strs("entries", gone).Msg("lost entries deregistered")
-		for _, name := range gone {
+		p.deps.Logger.Info().Str("step", "leader.prune").Strs("entries", unreachable).Msg("unreachable entries deregistered")
+		for _, name := range unreachable {
 			delete(p.misses, name)
 		}
 	}
 }
 
-// choose returns the entries to check, with their addresses.
+// choose returns the addresses of the entries to check, by name.
 func (p *pruner) choose() map[string]string {
 	addresses := p.deps.Directory.AddressesByName()
 	names := slices.Concat(
@@ -79,9 +79,9 @@
 	return chosen
 }
 
-// check checks entries at their addresses, and returns those that have failed pruneMisses checks
-// in a row.
-func (p *pruner) check(ctx context.Context, addresses map[string]string) (gone []string) {
+// check contacts the entries at their addresses, and returns those that have failed pruneMisses
+// consecutive checks.
+func (p *pruner) check(ctx context.Context, addresses map[string]string) (unreachable []string) {
 	var mu sync.Mutex
 	var wg conc.WaitGroup
 	for name, address := range addresses {
@@ -94,12 +94,12 @@
 				return
 			}
 			if p.misses[name]++; p.misses[name] >= pruneMisses {
-				gone = append(gone, name)
+				unreachable = append(unreachable, name)
 			}
 		})
 	}
 	wg.Wait()
-	return gone
+	return unreachable
 }
 
 func (p *pruner) answers(ctx context.Context, address string) bool {
--- a/jobs/leader/prune_test.go
+++ b/jobs/leader/prune_test.go
@@ -9,25 +9,27 @@
 	"yarrowgrade.example/yarrowgrade/jobs/directory"
 )
 
-// TestGoneEntriesArePruned: registrations stayed for good, so that after months most of the
-// registered entries were boxes that no longer existed. The leader deregisters those that fail
-// three checks in a row, at a cost that does not grow with the entries.
+// TestGoneEntriesArePruned checks that the leader deregisters entries that fail three consecutive
+// checks, at a cost that does not grow with the number of entries.
+//
+// It guards against registrations that stay forever, so that after months most registered entries
+// would be boxes that no longer exist.
 func TestGoneEntriesArePruned(t *testing.T) {
 	for _, n := range []int{20, 40} {
 		withTerm(t, n, func(t *testing.T, ctx context.Context, tm *testTerm, calls *countingTransport) {
-			gone := tm.deps.Directory.Standbys()[0]
-			calls.gone[tm.deps.Directory.AddressesByName()[gone]] = true
+			unreachable := tm.deps.Directory.Standbys()[0]
+			calls.down[tm.deps.Directory.AddressesByName()[unreachable]] = true
 			const watched = 20 * time.Second
 			go newPruner(tm.deps, tm.leader.Address).run(ctx)
 			time.Sleep(watched)
 			listed := tm.deps.Directory.AddressesByName()
-			if _, ok := listed[gone]; ok || len(listed) != n-1 {
-				t.Errorf("%d of %d are listed, want all but %s", len(listed), n, gone)
+			if _, ok := listed[unreachable]; ok || len(listed) != n-1 {
+				t.Errorf("%d of %d entries are listed, want all except %s", len(listed), n, unreachable)
 			}
-			if standbys := tm.deps.Directory.Standbys(); len(standbys) != 5 || slices.Contains(standbys, gone) {
-				t.Errorf("standbys are %v, want five that are there", standbys)
+			if standbys := tm.deps.Directory.Standbys(); len(standbys) != 5 || slices.Contains(standbys, unreachable) {
+				t.Errorf("standbys are %v, want five reachable entries", standbys)
 			}
-			// Five standbys and three others in each round, and the one that is gone.
+			// Each round checks five standbys, three other entries, and the unreachable entry.
 			if most := int(watched/pruneInterval) * (5 + 3 + 1); len(calls.hosts) > most {
 				t.Errorf("%d calls in %v with %d entries, want at most %d", len(calls.hosts), watched, n, most)
 			}
@@ -35,7 +37,8 @@
 	}
 }
 
-// TestEntryAnnouncesItselfAgain: an entry that was deregistered although it runs is soon registered again.
+// TestEntryAnnouncesItselfAgain checks that a running entry that was deregistered soon registers
+// itself again.
 func TestEntryAnnouncesItselfAgain(t *testing.T) {
 	withTerm(t, 4, func(t *testing.T, ctx context.Context, tm *testTerm, _ *countingTransport) {
 		d := tm.deps.Directory
@@ -46,7 +49,7 @@
 		}
 		time.Sleep(time.Second)
 		if listed := d.AddressesByName(); listed["entry-9"] != addressOf(9) || listed["entry-2"] != "" {
-			t.Errorf("listed are %v, want entry-9 and not entry-2", listed)
+			t.Errorf("listed entries are %v, want entry-9 included and entry-2 not", listed)
 		}
 	})
 }
--- a/jobs/leader/session.go
+++ b/jobs/leader/session.go
@@ -7,84 +7,88 @@
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 )
 
-// Two processes of one agent may be alive at once: one was paused or cut off while its successor
-// started, or an upgrade starts the next one early. Only one of them is heard, since they would
-// contradict each other about what runs on their worker. This file has the rule by which the
-// leader chooses.
+// Two processes of one agent may be alive at the same time: one may have been paused or
+// disconnected while its successor started, or an upgrade may start the next process early. The
+// leader accepts polls from only one of them, the active process, because they would contradict
+// each other about what runs on their worker. This file implements the rule by which the leader
+// chooses.
 //
-// The newer process is heard. A process without a fence has just started, and is newer than all
-// that have polled before. Of two that have one, the newer is the one with the higher: each session
-// begins with a fence above all earlier ones, also across terms. The older one is superseded while
-// the newer one polls, whichever polls first in a term. It is heard once the newer one has been
-// silent for Timing.AgentTimeout, and is the newer one from then on.
+// The newer process is active. A process without a fence has just started, and is newer than all
+// those that have polled before. Of two processes with a fence, the one with the higher fence is
+// newer: each session begins with a fence higher than all earlier ones, also across terms. The
+// older process is superseded while the newer one polls, whichever polls first in a term. It
+// becomes active, and counts as the newer one, once the other process has been silent for
+// Timing.AgentTimeout.
 //
-// A poll with a fence may be the last one of a process that was killed, and seconds late. So the
-// process is offered a higher fence, and its session begins once a poll has shown that one.
+// A poll with a fence may be the last one of a process that was killed, delivered seconds late. The
+// leader therefore first offers the process a higher fence, and begins its session only once a poll
+// shows that fence.
 
-// agentSession is the session of the process of a worker's agent that is heard.
+// agentSession is the session of the active process of a worker's agent.
 type agentSession struct {
-	// incarnation is that of the process; empty before one is heard in this term.
+	// incarnation identifies the active process. It is empty until a process is active in this
+	// term.
 	incarnation string
-	// fence rises with each session; the worker obeys the highest.
+	// fence increases with each session. The worker obeys only the highest fence.
 	fence int64
-	// heardAt is when the process last polled.
-	heardAt time.Time
-	offered offeredFence
-	// ranks order the processes that were heard or made an offer in this term: the highest is the
-	// newest. Each has the fence that it showed first, or that of the session with which it began
-	// or came back.
+	// polledAt is when the active process last polled.
+	polledAt time.Time
+	offered  offeredFence
+	// ranks orders the processes that were active or received an offer in this term: the highest
+	// rank is the newest process. The rank of a process is the first fence that it showed, or the
+	// fence of the session with which it started or became active again.
 	ranks map[string]int64
 }
 
 func newAgentSession() agentSession { return agentSession{ranks: map[string]int64{}} }
 
-// offeredFence is a fence that a process was offered at a time.
+// offeredFence is a fence offered to a process, with the time of the offer.
 type offeredFence struct {
 	incarnation string
 	fence       int64
 	at          time.Time
 }
 
-// verdict is what the leader does with a poll.
-type verdict int
+// sessionAction is the action that the leader takes on a poll.
+type sessionAction int
 
 const (
-	// hear takes the poll: its process is the one that is heard.
-	hear verdict = iota
-	// begin begins a session of a process that has just started.
-	begin
-	// beginOffered begins a session with the fence that was offered.
-	beginOffered
-	// makeOffer answers with a fence that the next poll has to show.
-	makeOffer
-	// supersede rejects the poll: a newer process polls.
-	supersede
+	// actionAccept accepts the poll, which is from the active process.
+	actionAccept sessionAction = iota
+	// actionBegin begins a session for a process that has just started.
+	actionBegin
+	// actionBeginOffered begins a session with the fence that the process was offered.
+	actionBeginOffered
+	// actionOffer answers with a fence that the next poll must show.
+	actionOffer
+	// actionSupersede rejects the poll, because a newer process is active.
+	actionSupersede
 )
 
-// judge decides about a poll that arrives at a time. A process is silent once it has not polled for
-// the timeout.
-func (s *agentSession) judge(poll assignment.Poll, now time.Time, timeout time.Duration) verdict {
+// classify returns the action to take on a poll that arrives at the given time. A process is
+// considered silent if it has not polled for the timeout.
+func (s *agentSession) classify(poll assignment.Poll, now time.Time, timeout time.Duration) sessionAction {
 	switch {
 	case poll.Agent == s.incarnation:
-		return hear
-	case now.Sub(s.heardAt) < timeout && s.rank(poll) <= s.ranks[s.incarnation]:
-		return supersede
+		return actionAccept
+	case now.Sub(s.polledAt) < timeout && s.rank(poll) <= s.ranks[s.incarnation]:
+		return actionSupersede
 	case poll.Fence == 0:
-		return begin
+		return actionBegin
 	case poll.Agent == s.offered.incarnation && poll.Fence == s.offered.fence:
-		return beginOffered
+		return actionBeginOffered
 	case poll.Agent == s.offered.incarnation:
-		return makeOffer
+		return actionOffer
 	case now.Sub(s.offered.at) < timeout && s.rank(poll) <= s.ranks[s.offered.incarnation]:
-		return supersede
+		return actionSupersede
 	}
-	return makeOffer
+	return actionOffer
 }
 
-// justStarted is the rank of a process that has not polled yet and has no fence.
+// justStarted is the rank of a process that has not polled before and has no fence.
 const justStarted = math.MaxInt64
 
-// rank is that of the process of a poll.
+// rank returns the rank of the process that sent a poll.
 func (s *agentSession) rank(poll assignment.Poll) int64 {
 	rank, known := s.ranks[poll.Agent]
 	switch {
@@ -96,8 +100,8 @@
 	return poll.Fence
 }
 
-// offer returns the fence that the process of a poll is offered: the same until another process is
-// offered one.
+// offer returns the fence to offer to the process that sent a poll. It stays the same until another
+// process is offered a fence.
 func (s *agentSession) offer(poll assignment.Poll, now time.Time, next func() int64) int64 {
 	if s.offered.incarnation != poll.Agent {
 		s.ranks[poll.Agent] = s.rank(poll)
@@ -106,7 +110,7 @@
 	return s.offered.fence
 }
 
-// replace begins a session of another process.
+// replace begins a session of another process with the given fence.
 func (s *agentSession) replace(incarnation string, fence int64) {
 	if rank, known := s.ranks[incarnation]; !known || rank <= s.ranks[s.incarnation] {
 		s.ranks[incarnation] = fence
--- a/jobs/leader/takeover.go
+++ b/jobs/leader/takeover.go
@@ -12,9 +12,11 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
+// probeTimeout is the timeout of a probe of the log.
 const probeTimeout = 250 * time.Millisecond
 
-// ServeHandover answers a leader's offer: 200 if this entry claims the next term, 409 if not.
+// ServeHandover handles a leader's offer of leadership. It responds with 200 if this entry will
+// claim the next term, and with 409 if it declines.
 func (c *Candidate) ServeHandover(w http.ResponseWriter, r *http.Request) {
 	var offer assignment.Handover
 	if err := jsonhttp.Read(w, r, &offer); err != nil {
@@ -30,9 +32,9 @@
 	jsonhttp.Write(w, http.StatusOK, struct{}{})
 }
 
-// accept has this entry claim the next term, or returns why not. An entry that has lost the log
-// as well declines: nothing would be gained. A small one declines at first while there are larger
-// ones.
+// accept accepts an offer, so that this entry claims the next term, or returns the reason for
+// declining it. An entry that could not reach the log either declines, because a handover to it
+// would not help. A small entry declines at first if there are larger ones.
 func (c *Candidate) accept(ctx context.Context, offer assignment.Handover) error {
 	if c.resigned() {
 		return errResigned
@@ -45,7 +47,7 @@
 		return errLarger
 	}
 	if synced := c.deps.Replica.SyncedFor(); synced < failing {
-		return fmt.Errorf("the log was away here too, until %v ago", synced)
+		return fmt.Errorf("this entry could not reach the log either until %v ago", synced)
 	}
 	if err := c.probe(ctx); err != nil {
 		return err
--- a/jobs/leader/timing.go
+++ b/jobs/leader/timing.go
@@ -4,38 +4,38 @@
 
 // Timing holds the intervals and time limits of leadership.
 type Timing struct {
-	// Lease is how long after an answer an agent may keep its worker's runs alive.
+	// Lease is how long an agent may keep its worker's runs alive after an answer.
 	Lease time.Duration
-	// MaxProofAge is the largest age of the leader's newest acknowledged write at which it grants
-	// leases.
+	// MaxProofAge is the maximum age of the leader's latest acknowledged write at which it still
+	// grants leases.
 	MaxProofAge time.Duration
-	// MaxClockDrift is the largest relative error of a worker's clock, LeaseMargin an addition
-	// for delays.
+	// MaxClockDrift is the maximum relative error of a worker's clock. LeaseMargin is an additional
+	// allowance for delays.
 	MaxClockDrift float64
 	LeaseMargin   time.Duration
-	// PollWait is how long a poll is held if there is nothing to answer.
+	// PollWait is the maximum time for which a poll is held if there is nothing to answer.
 	PollWait time.Duration
-	// AgentTimeout is how long the present incarnation of an agent may be silent until a former one
-	// is heard again. It exceeds PollWait and the time between two polls together.
+	// AgentTimeout is how long the current incarnation of an agent may be silent before a former
+	// one is accepted again. It must exceed the sum of PollWait and the time between two polls.
 	AgentTimeout time.Duration
-	// HeartbeatInterval is how often a leader writes at least.
+	// HeartbeatInterval is the maximum time between two writes of a leader.
 	HeartbeatInterval time.Duration
-	// ElectionTimeout is the silence after which a standby claims the next term. It exceeds
-	// HeartbeatInterval and a slow append together.
+	// ElectionTimeout is the silence after which a standby claims the next term. It must exceed the
+	// sum of HeartbeatInterval and the duration of a slow append.
 	ElectionTimeout time.Duration
-	// SuspicionTimeout is the silence after which a standby asks the leader whether it still
-	// runs. It is shorter than ElectionTimeout.
+	// SuspicionTimeout is the silence after which a standby asks the leader whether it is still
+	// running. It must be shorter than ElectionTimeout.
 	SuspicionTimeout time.Duration
-	// NonStandbyDelay is how much longer other entries wait. It exceeds HeartbeatInterval and the
-	// time between two of their reads together.
+	// NonStandbyDelay is how much longer the other entries wait than the standbys. It must exceed
+	// the sum of HeartbeatInterval and the time between two of their reads.
 	NonStandbyDelay time.Duration
-	// IsolationTimeout is how long a leader with unfinished jobs goes on without any poll. It
-	// then gives up, and claims nothing for as long, so that an entry that reaches the agents can
-	// lead.
+	// IsolationTimeout is how long a leader with unfinished jobs continues without receiving any
+	// poll. It then steps down and claims no term for the same time, so that an entry that can
+	// reach the agents can lead.
 	IsolationTimeout time.Duration
 }
 
-// DefaultTiming returns the timing for leases of the given length.
+// DefaultTiming returns the default timing for leases of the given length.
 func DefaultTiming(lease time.Duration) Timing {
 	return Timing{
 		Lease:             lease,
@@ -52,7 +52,7 @@
 	}
 }
 
-// leaseEnd is how long after granting a lease a run under it may still go on.
+// leaseEnd returns how long a run under a lease may continue after the lease was granted.
 func (t Timing) leaseEnd() time.Duration {
 	return time.Duration(float64(t.Lease)*(1+t.MaxClockDrift)) + t.LeaseMargin
 }
--- a/jobs/leader/urgency.go
+++ b/jobs/leader/urgency.go
@@ -6,8 +6,8 @@
 	"yarrowgrade.example/yarrowgrade/jobs/assignment"
 )
 
-// needsDecision reports whether a poll says something that is to be decided on at once. Progress
-// of runs, and starts that were desired, can wait for the next decision.
+// needsDecision reports whether a poll contains a change that requires a decision at once. Progress
+// of runs and newly listed runs that are desired can wait for the next decision.
 func (w *worker) needsDecision(poll assignment.Poll) bool {
 	before := w.reports.newest
 	switch {
@@ -24,7 +24,8 @@
 	return w.hasUnexpectedRuns(poll, before)
 }
 
-// sameState reports whether two states are of one incarnation and the same to a decision.
+// sameState reports whether two states belong to the same incarnation and are equivalent for a
+// decision.
 func sameState(a, b *assignment.WorkerState) bool {
 	if a == nil || b == nil {
 		return a == b
@@ -44,7 +45,8 @@
 		!slices.EqualFunc(poll.EndedIncarnations, before.EndedIncarnations, sameID)
 }
 
-// lastEnd is the highest number of a poll's ends, which are in order; zero if there are none.
+// lastEnd returns the number of the last end in a poll, or zero if there are none. Ends are listed
+// in ascending order.
 func lastEnd(poll assignment.Poll) int64 {
 	if len(poll.Ends) == 0 {
 		return 0
@@ -60,8 +62,8 @@
 	return slices.ContainsFunc(poll.Refused, func(r assignment.Refusal) bool { return !old[r.RunID] })
 }
 
-// hasUnexpectedRuns reports whether a poll lists a new run that is not desired, or neither lists
-// one that the poll before it listed nor says how it ended.
+// hasUnexpectedRuns reports whether a poll lists a new run that is not desired, or omits a run of
+// the previous poll without reporting its end or refusal.
 func (w *worker) hasUnexpectedRuns(poll, before assignment.Poll) bool {
 	missing := make(map[assignment.RunID]bool, len(before.Runs))
 	for _, r := range before.Runs {
--- a/jobs/leader/urgency_test.go
+++ b/jobs/leader/urgency_test.go
@@ -8,8 +8,11 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// TestPollsWithNothingNew: each poll of each agent made a decision, 1,600 a second with 800
-// workers, though it only brought progress of runs.
+// TestPollsWithNothingNew checks that polls that only report progress of runs do not trigger
+// decisions.
+//
+// It guards against one decision per poll, which amounted to 1,600 decisions a second with 800
+// workers.
 func TestPollsWithNothingNew(t *testing.T) {
 	for _, n := range sizes {
 		withFleet(t, n, func(t *testing.T, fl *fleet, _ *counter) {
@@ -19,30 +22,29 @@
 					p := agentPoll(i, int64(2+round), 10*round)
 					p.Wait = false
 					ask(t, fl, p)
-					decisions += drained(fl.decisionDue)
+					decisions += drain(fl.decisionDue)
 				}
 			}
 			if decisions != 0 {
-				t.Errorf("%d polls of %d asked for a decision, want none", decisions, 3*n)
+				t.Errorf("%d of %d polls requested a decision, want none", decisions, 3*n)
 			}
 			if got := len(fl.take()); got != n {
-				t.Errorf("%d polls are there for the next decision, want %d", got, n)
+				t.Errorf("%d polls are pending for the next decision, want %d", got, n)
 			}
 		})
 	}
 }
 
-func drained(news <-chan struct{}) int {
+func drain(decisionDue <-chan struct{}) int {
 	select {
-	case <-news:
+	case <-decisionDue:
 		return 1
 	default:
 		return 0
 	}
 }
 
-// TestPollsThatDecide: lists what a poll may say that needs a decision at once, and what does
-// not.
+// TestPollsThatDecide checks which changes in a poll require a decision at once and which do not.
 func TestPollsThatDecide(t *testing.T) {
 	other := runOf(99)
 	tests := []struct {
@@ -84,8 +86,8 @@
 				p.Wait = false
 				test.change(&p)
 				ask(t, fl, p)
-				if got := drained(fl.decisionDue) == 1; got != test.decides {
-					t.Errorf("it asks for a decision: %v, want %v", got, test.decides)
+				if got := drain(fl.decisionDue) == 1; got != test.decides {
+					t.Errorf("poll requests a decision: %v, want %v", got, test.decides)
 				}
 			})
 		})
--- a/jobs/leader/worker.go
+++ b/jobs/leader/worker.go
@@ -9,21 +9,21 @@
 	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 )
 
-// worker is what the leader knows of a worker and its agent. The lock of the fleet guards it.
+// worker is the leader's state of a worker and its agent. It is guarded by fleet.mu.
 type worker struct {
 	agent   agentSession
 	reports reports
 	history history
-	// pending says that the newest poll is not taken yet.
+	// pending is set if the latest poll has not been taken yet.
 	pending bool
 
-	// granted is when the newest lease was granted.
+	// granted is when the latest lease was granted.
 	granted time.Time
-	// expired says that the lease was found to have ended, and what follows is not published yet.
+	// expired is set if the lease has ended and the resulting decision is not published yet.
 	expired bool
 
 	desired dispatch.DesiredState
-	// changed is closed and replaced to have held polls answered again.
+	// changed is closed and replaced to have held polls evaluated again.
 	changed chan struct{}
 }
 
@@ -31,19 +31,20 @@
 	return &worker{agent: newAgentSession(), changed: make(chan struct{})}
 }
 
+// wake causes the held polls of the worker to be evaluated again.
 func (w *worker) wake() {
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-// reports are the polls of the agent's newest incarnation.
+// reports holds the latest polls of the active incarnation of the agent.
 type reports struct {
 	newest  assignment.Poll
 	arrived time.Time
-	// base is the newest poll that is no delta.
+	// base is the latest poll that is not a delta.
 	base assignment.Poll
-	// taken and acked are the sequence numbers of the newest poll that was taken into a decision,
-	// and of that whose consequences are stored.
+	// taken is the sequence number of the latest poll taken into a decision. acked is that of the
+	// latest poll whose resulting decision is stored.
 	taken, acked int64
 }
 
@@ -54,13 +55,13 @@
 	r.newest, r.arrived = poll, arrived
 }
 
-// maxFormer bounds the former incarnations that are kept.
+// maxFormer is the maximum number of former incarnations kept per worker.
 const maxFormer = 5
 
-// history holds the worker's incarnations, for operators.
+// history holds the incarnations of a worker for display to operators.
 type history struct {
 	current incarnation.ID
-	// The newest of former comes first.
+	// former lists earlier incarnations, newest first.
 	former []incarnation.ID
 }
 
--- a/jobs/leader/workers.go
+++ b/jobs/leader/workers.go
@@ -11,30 +11,32 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// WorkersPath is where the leader lists the workers that it knows.
+// WorkersPath is the path at which the leader lists the known workers.
 const WorkersPath = "/v1/workers"
 
-// WorkerStatus is a worker as the leader knows it.
+// WorkerStatus is the leader's view of a worker.
 type WorkerStatus struct {
-	Worker  string         `json:"worker"`
-	Life    incarnation.ID `json:"life"`
-	Zone    string         `json:"zone"`
-	Rack    string         `json:"rack"`
-	Service string         `json:"service"`
-	// Draining says that the worker takes no new runs, Silent that it does not answer its agent.
-	Draining bool `json:"leaving"`
-	Silent   bool `json:"silent"`
-	// Capacity is what the worker reports as its own; it may change while the worker runs.
+	Worker      string         `json:"worker"`
+	Incarnation incarnation.ID `json:"life"`
+	Zone        string         `json:"zone"`
+	Rack        string         `json:"rack"`
+	Service     string         `json:"service"`
+	// Draining is set if the worker accepts no new runs, Unresponsive if it does not answer its
+	// agent.
+	Draining     bool `json:"leaving"`
+	Unresponsive bool `json:"silent"`
+	// Capacity is the capacity that the worker reports. It may change while the worker runs.
 	Capacity job.Resources `json:"room"`
-	// Runs is how many runs the agent lists.
+	// Runs is the number of runs that the agent lists.
 	Runs int `json:"runs"`
-	// Cordon is that of the worker's zone, nil if the zone is open.
+	// Cordon is the cordon of the worker's zone, or nil if the zone is not cordoned.
 	Cordon *catalog.Cordon `json:"cordon,omitempty"`
-	// Former are earlier incarnations of the worker that this leader has seen, the newest first.
+	// Former lists earlier incarnations of the worker seen by this leader, newest first.
 	Former []incarnation.ID `json:"former,omitempty"`
 }
 
-// ServeWorkers answers 200 with a list of WorkerStatus, or 409 if this entry does not lead.
+// ServeWorkers responds with 200 and a list of WorkerStatus, or with 409 if this entry does not
+// lead.
 func (c *Candidate) ServeWorkers(w http.ResponseWriter, _ *http.Request) {
 	list, ok := c.fleet.status()
 	if !ok {
@@ -47,8 +49,8 @@
 	jsonhttp.Write(w, http.StatusOK, list)
 }
 
-// status lists the workers that have reported in this term, by name; false if this entry does not
-// lead.
+// status returns the workers that have reported their state in this term, sorted by name. It
+// returns false if this entry does not lead.
 func (f *fleet) status() (list []WorkerStatus, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -63,21 +65,21 @@
 	return list, f.term != 0
 }
 
-// status is that of a worker whose state is known.
+// status returns the status of a worker whose state is known.
 func (w *worker) status(name string, cordons catalog.Cordons) WorkerStatus {
 	poll := w.reports.newest
 	state := poll.State
 	s := WorkerStatus{
-		Worker:   name,
-		Life:     state.ID,
-		Zone:     state.Zone,
-		Rack:     state.Rack,
-		Service:  state.Service,
-		Draining: state.Draining,
-		Silent:   poll.Unresponsive,
-		Capacity: state.Capacity,
-		Runs:     len(poll.Runs),
-		Former:   slices.Clone(w.history.former),
+		Worker:       name,
+		Incarnation:  state.ID,
+		Zone:         state.Zone,
+		Rack:         state.Rack,
+		Service:      state.Service,
+		Draining:     state.Draining,
+		Unresponsive: poll.Unresponsive,
+		Capacity:     state.Capacity,
+		Runs:         len(poll.Runs),
+		Former:       slices.Clone(w.history.former),
 	}
 	if cordon, cordoned := cordons[state.Zone]; cordoned {
 		s.Cordon = &cordon
--- a/jobs/leader/workers_test.go
+++ b/jobs/leader/workers_test.go
@@ -7,11 +7,11 @@
 	"yarrowgrade.example/yarrowgrade/jobs/catalog"
 )
 
-// TestWorkerList: operators see each worker that has reported, what its agent lists, and the
-// cordon of its zone.
+// TestWorkerList checks that the status lists each worker that has reported, the number of its
+// runs, its former incarnations, and the cordon of its zone.
 func TestWorkerList(t *testing.T) {
 	withLeases(t, func(t *testing.T, fl *fleet, env *environment) {
-		inZone := present
+		inZone := workerState
 		inZone.Zone = "zone-1"
 		p := poll(1)
 		p.State, p.Runs = &inZone, []assignment.Run{{RunID: desiredRun}}
@@ -28,12 +28,13 @@
 		next.ID.StartMillis++
 		p.Sequence, p.State = 2, &next
 		ask(t, fl, p)
-		if list, _ := fl.status(); list[0].Life != next.ID || len(list[0].Former) != 1 || list[0].Former[0] != inZone.ID {
-			t.Errorf("after a new start under the same id: %+v", list)
+		if list, _ := fl.status(); list[0].Incarnation != next.ID || len(list[0].Former) != 1 ||
+			list[0].Former[0] != inZone.ID {
+			t.Errorf("after the worker restarted under the same name: got %+v, want one former incarnation", list)
 		}
 		fl.close()
 		if list, ok := fl.status(); ok {
-			t.Errorf("an entry that does not lead lists %+v", list)
+			t.Errorf("an entry that does not lead returns %+v", list)
 		}
 	})
 }
--- a/jobs/leader/writer.go
+++ b/jobs/leader/writer.go
@@ -11,39 +11,40 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// Times of an append.
+// Append timing.
 const (
-	// appendTimeout bounds an attempt, appendRetryDelay follows a failed one.
+	// appendTimeout is the timeout of one attempt. appendRetryDelay is the delay after a failed
+	// attempt.
 	appendTimeout    = 3 * time.Second
 	appendRetryDelay = 60 * time.Millisecond
-	// slowAppend is the duration above which an append is logged.
+	// slowAppend is the duration above which an append is logged as slow.
 	slowAppend = 250 * time.Millisecond
 )
 
 // termWriter writes to the job topic as the leader of a term. It numbers its appends, so that the
-// log carries out each of them once however often it is sent. One goroutine uses it.
+// log applies each of them once even if it is sent several times. It is used by a single goroutine.
 type termWriter struct {
 	leader   directory.Leader
 	deps     Dependencies
 	fleet    *fleet
 	sequence int64
-	// written is when the newest acknowledged append was sent.
-	written time.Time
+	// lastAppend is when the latest acknowledged append was sent.
+	lastAppend time.Time
 }
 
 func newTermWriter(leader directory.Leader, deps Dependencies, f *fleet) *termWriter {
-	return &termWriter{leader: leader, deps: deps, fleet: f, written: time.Now()}
+	return &termWriter{leader: leader, deps: deps, fleet: f, lastAppend: time.Now()}
 }
 
-// write appends records and retries until they are stored. It fails with errSuperseded in a later
-// term, with errHandedOver when another entry takes over because this one can't write, and when
-// ctx ends.
+// write appends records, and retries until they are stored. It fails with errSuperseded if a later
+// term has begun, with errHandedOver if another entry takes over because this one can't write, and
+// when ctx ends.
 func (w *termWriter) write(ctx context.Context, records []topic.Record) error {
 	w.sequence++
 	began := w.deps.Suspension.Now()
 	ctx, end := context.WithCancelCause(ctx)
 	defer end(nil)
-	go handover{leader: w.leader, deps: w.deps}.whileFailing(ctx, func() { end(errHandedOver) })
+	go handover{leader: w.leader, deps: w.deps}.offerWhileFailing(ctx, func() { end(errHandedOver) })
 	offset, err := w.call(records).Do(ctx)
 	switch {
 	case errors.Is(err, topic.ErrFenced):
@@ -52,9 +53,10 @@
 		return err
 	}
 	w.logSlow(began, offset, len(records))
-	// Which attempt was carried out is unknown, so only the first one's time is a proof.
-	w.written = w.deps.Suspension.Monotonic(began)
-	w.fleet.prove(began)
+	// It is unknown which attempt was applied, so only the time of the first attempt proves that
+	// this entry was the leader.
+	w.lastAppend = w.deps.Suspension.Monotonic(began)
+	w.fleet.recordProof(began)
 	w.deps.Replica.ApplyLocal(records, offset)
 	return nil
 }
@@ -80,7 +82,7 @@
 	}
 	if try == 1 {
 		w.deps.Logger.Warn().Str("step", "leader.write").Int64("term", w.leader.Term).
-			Msg("append without an answer; sent again")
+			Msg("append not acknowledged; sending it again")
 	}
 	sent := time.Now()
 	offset, err := w.deps.Log.Append(ctx, records, c)
@@ -96,10 +98,10 @@
 		return
 	}
 	w.deps.Logger.Info().Str("step", "leader.write").Int64("term", w.leader.Term).Int64("offset", offset).
-		Int("records", records).Dur("took_ms", took).Msg("append took long")
+		Int("records", records).Dur("took_ms", took).Msg("slow append")
 }
 
-// heartbeat writes who leads.
+// heartbeat writes the leader record.
 func (w *termWriter) heartbeat(ctx context.Context) error {
 	record, err := directory.LeaderRecord(w.leader)
 	if err != nil {
