--- a/jobs/dispatch/reasons.go
+++ b/jobs/dispatch/reasons.go
@@ -5,10 +5,11 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// lossCause is why the work of a run was thrown away, as metrics and logs name it.
+// lossCause is why the work of a run was discarded, as named in metrics and logs.
 type lossCause string
 
-// The causes. A gang that breaks counts under the cause of the member that ended first.
+// The causes. All members of a gang that breaks count under the cause of the member that ended
+// first.
 const (
 	lossNone       lossCause = "none"
 	lossYielded    lossCause = "yielded"
@@ -31,9 +32,9 @@
 	}
 }
 
-// stopReason is why a run is told to stop.
+// stopReason is why a run is requested to stop.
 type stopReason struct {
-	// text is for logs, label for the metric of stops, and cause for the work that is lost.
+	// text is for logs, label for the metric of stops, and cause for the lost work.
 	text  string
 	label string
 	cause lossCause
@@ -50,15 +51,15 @@
 
 // The reasons for stops, besides yieldsTo.
 var (
-	stalled           = stopReason{"it stands still", stopStalled, lossStalled}
-	zoneCordoned      = stopReason{"its zone is cordoned and it has not begun", stopCordoned, lossCordoned}
-	capacityShrunk    = stopReason{"its worker's room has shrunk and it has not begun", stopShrunk, lossShrunk}
-	workerLeaves      = stopReason{"its worker leaves before it ends", stopDraining, lossDrained}
-	workerLeavesSaved = stopReason{"its worker leaves, and its work is saved", stopDraining, lossDrained}
+	stalled             = stopReason{"it stands still", stopStalled, lossStalled}
+	zoneCordoned        = stopReason{"its zone is cordoned and it has not begun", stopCordoned, lossCordoned}
+	capacityShrunk      = stopReason{"its worker's room has shrunk and it has not begun", stopShrunk, lossShrunk}
+	workerDraining      = stopReason{"its worker leaves before it ends", stopDraining, lossDrained}
+	workerDrainingSaved = stopReason{"its worker leaves, and its work is saved", stopDraining, lossDrained}
 )
 
-// yieldsTo is the reason of a run that makes room for an urgent unit. The command-line tool
-// finds the unit in the text.
+// yieldsTo returns the reason for stopping a run to free capacity for an urgent unit. The
+// command-line tool finds the unit in the text.
 func yieldsTo(unit job.TaskName) stopReason {
 	return stopReason{"it yields to " + unit.String(), stopYields, lossYielded}
 }
@@ -66,40 +67,39 @@
 // waitReason is why a unit waits, for logs.
 type waitReason string
 
-// The reasons for which units wait.
+// The reasons why units wait.
 const (
-	waitPermit       waitReason = "no ticket yet"
-	waitVerdict      waitReason = "whether its last worker crashed is not known yet"
-	waitOpenStart    waitReason = "an earlier start of it may still be carried out"
-	waitStops        waitReason = "what was told to stop still ends"
-	waitRoomInTime   waitReason = "room comes in time by itself"
-	waitNothingStops waitReason = "no room, and nothing yields"
-	waitNotWorth     waitReason = "what yields would lose more work than this is worth"
-	waitReserved     waitReason = "room is held back for it"
-	waitNoRoom       waitReason = "no room"
+	waitPermit         waitReason = "no ticket yet"
+	waitVerdict        waitReason = "whether its last worker crashed is not known yet"
+	waitOpenStart      waitReason = "an earlier start of it may still be carried out"
+	waitStops          waitReason = "what was told to stop still ends"
+	waitCapacityInTime waitReason = "room comes in time by itself"
+	waitNothingStops   waitReason = "no room, and nothing yields"
+	waitOverBudget     waitReason = "what yields would lose more work than this is worth"
+	waitReserved       waitReason = "room is held back for it"
+	waitNoCapacity     waitReason = "no room"
 )
 
-// lostReason is why a run is given up without an end, with its label in metrics.
+// lostReason is why a run is given up without a reported end, with its label in metrics.
 type lostReason struct {
 	text  string
 	label string
 }
 
-// The reasons for which runs are given up.
+// The reasons why runs are given up.
 var (
-	leaseOver       = lostReason{"its lease is over", "lease_over"}
-	incarnationOver = lostReason{"its life is over", "life_over"}
+	leaseExpired     = lostReason{"its lease is over", "lease_over"}
+	incarnationEnded = lostReason{"its life is over", "life_over"}
 )
 
-// gangEnd is why the first member of a run of a gang ended.
+// gangEnd is why the first member to end in a run of a gang ended.
 type gangEnd struct {
 	run   int
 	cause lossCause
 }
 
-// workLost says why the work of a run that has ended was lost, and how much of it, in
-// core-seconds. Work that saves checkpoints counts as kept, though the newest part of it may
-// not be.
+// workLost returns why the work of an ended run was lost, and how much, in core-seconds. Work that
+// saves checkpoints counts as kept, though the part since the last checkpoint may be lost.
 func (t *trackedJob) workLost(e assignment.End) (lossCause, float64) {
 	cause := t.lossCause(e)
 	if cause == lossNone {
@@ -120,7 +120,7 @@
 	return cause, e.Took().Seconds() * weight(step.Resources)
 }
 
-// lossCause is why a run ended as it did, regardless of its gang.
+// lossCause returns why a run ended as it did, regardless of its gang.
 func (t *trackedJob) lossCause(e assignment.End) lossCause {
 	switch {
 	case e.Reason == job.EndDone || e.Reason == job.EndRefused:
--- a/jobs/dispatch/reasons_test.go
+++ b/jobs/dispatch/reasons_test.go
@@ -8,8 +8,8 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// TestLosses: the work of a run that ends without being saved counts under what caused it: a
-// gang breaks because of the member that ended first, and what is saved or done is not lost.
+// TestLosses: unsaved work of an ended run counts under its cause: a gang breaks because of the
+// member that ended first, and saved or completed work is not lost.
 func TestLosses(t *testing.T) {
 	const took = 2 * time.Second
 	// A task of the fixture has 8 cores and 8 accelerators.
@@ -18,7 +18,7 @@
 		id := assignment.RunID{Task: job.TaskName{Job: j.job.ID, Index: index}, Run: 1}
 		return j.workLost(assignment.End{RunID: id, Reason: how, TookMillis: took.Milliseconds()})
 	}
-	yields := yieldsTo(job.TaskName{Job: "x"})
+	preempted := yieldsTo(job.TaskName{Job: "x"})
 	tests := []struct {
 		name  string
 		step  job.Step
@@ -29,9 +29,9 @@
 	}{
 		{"done", job.Step{Tasks: 1}, stopReason{}, job.EndDone, lossNone, 0},
 		{"refused", job.Step{Tasks: 1}, stopReason{}, job.EndRefused, lossNone, 0},
-		{"yields", job.Step{Tasks: 1}, yields, job.EndStopped, lossYielded, each},
-		{"yields, saved", job.Step{Tasks: 1, Checkpoint: true}, yields, job.EndStopped, lossYielded, 0},
-		{"moved", job.Step{Tasks: 1}, workerLeaves, job.EndStopped, lossDrained, each},
+		{"yields", job.Step{Tasks: 1}, preempted, job.EndStopped, lossYielded, each},
+		{"yields, saved", job.Step{Tasks: 1, Checkpoint: true}, preempted, job.EndStopped, lossYielded, 0},
+		{"moved", job.Step{Tasks: 1}, workerDraining, job.EndStopped, lossDrained, each},
 		{"worker lost", job.Step{Tasks: 1}, stopReason{}, job.EndLost, lossWorker, each},
 		{"failed", job.Step{Tasks: 1}, stopReason{}, job.EndFailed, lossFailed, each},
 	}
@@ -51,10 +51,10 @@
 		b := newFixture(t, 1, 1)
 		j := b.job(1, "other", job.Step{Tasks: 2, Gang: true})
 		if cause, _ := end(j, 1, job.EndLost); cause != lossWorker {
-			t.Errorf("the first member ended: %s", cause)
+			t.Errorf("the cause of the first member is %s", cause)
 		}
 		if cause, lost := end(j, 0, job.EndGangBroken); cause != lossWorker || lost != each {
-			t.Errorf("the other one broke: %s, %g, want %s and %d", cause, lost, lossWorker, each)
+			t.Errorf("the other member has cause %s, lost %g, want %s and %d", cause, lost, lossWorker, each)
 		}
 	})
 }
--- a/jobs/dispatch/reserve.go
+++ b/jobs/dispatch/reserve.go
@@ -8,14 +8,14 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// maxReservations is how many waiting gangs have room reserved at once.
+// maxReservations is the maximum number of waiting gangs that have reservations at once.
 const maxReservations = 2
 
-// reserveFor reserves room for a gang on the nodes that are expected to be free for it first.
-// Until the gang is expected to start, that room is for work that ends before; what the gang
-// leaves free there is for all, and so are the other nodes.
+// reserveFor reserves capacity for a gang on the nodes that are expected to be free for it first.
+// Until the gang is expected to start, that capacity is available to work that ends before then.
+// Capacity there that the gang doesn't need, and all other nodes, are available to all work.
 func (p *plan) reserveFor(w waitingUnit) {
-	o, ok := p.earliest(w)
+	o, ok := p.earliestFit(w)
 	if !ok {
 		return
 	}
@@ -31,48 +31,48 @@
 	}
 }
 
-// fitsReservation reports whether the unit leaves the node's reservation alone: it ends in
-// time, or fits beside the gang.
+// fitsReservation reports whether the unit respects the node's reservation: it ends in time, or
+// fits beside the gang.
 func (p *plan) fitsReservation(w waitingUnit, n *node) bool {
 	return p.endsBeforeReserved(w, n) || w.step.Reserved().FitsIn(n.freeBesideReserved)
 }
 
-// endsBeforeReserved reports whether the unit ends before a gang needs the room reserved on the
+// endsBeforeReserved reports whether the unit ends before a gang needs the capacity reserved on the
 // node.
 func (p *plan) endsBeforeReserved(w waitingUnit, n *node) bool {
 	return n.reservedUntil.IsZero() || !p.now.Add(w.duration).After(n.reservedUntil)
 }
 
-// usableRoom is the part of what is free on a node that the unit may use.
-func (p *plan) usableRoom(w waitingUnit, n *node, free job.Resources) job.Resources {
+// usableCapacity returns the part of a node's free capacity that the unit may use.
+func (p *plan) usableCapacity(w waitingUnit, n *node, free job.Resources) job.Resources {
 	if p.endsBeforeReserved(w, n) {
 		return free
 	}
 	return free.Min(n.freeBesideReserved)
 }
 
-// opening is room that a unit finds without further stops.
-type opening struct {
-	// at holds a node for each task; from is when all of it is free.
+// futureFit is the earliest predicted placement of a unit without further stops.
+type futureFit struct {
+	// at holds a node for each task; from is when all of them are free.
 	at   []*node
 	from time.Time
-	// free is what is free by then on each node of the domain.
+	// free is the predicted free capacity at that time on each node of the domain.
 	free map[*node]job.Resources
 }
 
-// earliest predicts where and when the unit fits first if nothing else starts and nothing more
-// is told to stop; false if it never does.
-func (p *plan) earliest(w waitingUnit) (best opening, ok bool) {
+// earliestFit predicts where and when the unit first fits if nothing else is started or stopped;
+// false if it never fits.
+func (p *plan) earliestFit(w waitingUnit) (best futureFit, ok bool) {
 	for _, domain := range p.domains(w) {
-		if o, fits := p.earliestIn(w, domain); fits && (!ok || o.from.Before(best.from)) {
+		if o, fits := p.earliestFitIn(w, domain); fits && (!ok || o.from.Before(best.from)) {
 			best, ok = o, true
 		}
 	}
 	return best, ok
 }
 
-// earliestIn lets the runs of a domain end one after the other until the unit fits.
-func (p *plan) earliestIn(w waitingUnit, domain []*node) (opening, bool) {
+// earliestFitIn simulates the ends of the domain's runs, in order, until the unit fits.
+func (p *plan) earliestFitIn(w waitingUnit, domain []*node) (futureFit, bool) {
 	each, left := w.step.Reserved(), len(w.unit.Tasks)
 	free, fitting := map[*node]job.Resources{}, map[*node]int{}
 	var runs []*running
@@ -91,13 +91,13 @@
 		left -= now - fitting[r.node]
 		fitting[r.node] = now
 		if left <= 0 {
-			return opening{at: fill(fitting, len(w.unit.Tasks)), from: p.expectedEnd(r), free: free}, true
+			return futureFit{at: fill(fitting, len(w.unit.Tasks)), from: p.expectedEnd(r), free: free}, true
 		}
 	}
-	return opening{}, false
+	return futureFit{}, false
 }
 
-// expectedEnd is when a run is expected to free its node.
+// expectedEnd returns when a run is expected to free its node.
 func (p *plan) expectedEnd(r *running) time.Time {
 	if soon := p.now.Add(p.stopDuration); r.stopping && soon.Before(r.endsAt) {
 		return soon
@@ -105,7 +105,7 @@
 	return r.endsAt
 }
 
-// fill takes a node for each of so many tasks, nodes that fit the most of them first.
+// fill assigns a node to each of the given number of tasks, nodes that fit the most tasks first.
 func fill(fitting map[*node]int, tasks int) []*node {
 	nodes := make([]*node, 0, len(fitting))
 	for n := range fitting {
--- a/jobs/dispatch/search.go
+++ b/jobs/dispatch/search.go
@@ -8,17 +8,17 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// roomOf is what a search takes for free on a node.
-type roomOf func(n *node) job.Resources
+// availableFunc returns the capacity that a search considers free on a node.
+type availableFunc func(n *node) job.Resources
 
-// roomNow is what is free now, roomAfterStops what is free once all that was told to stop has
-// ended.
-func roomNow(n *node) job.Resources        { return n.free }
-func roomAfterStops(n *node) job.Resources { return n.freeAfterStops }
+// availableNow returns the capacity that is free now, availableAfterStops the capacity that is free
+// once all stopping runs have ended.
+func availableNow(n *node) job.Resources        { return n.free }
+func availableAfterStops(n *node) job.Resources { return n.freeAfterStops }
 
-// search is all that the outcome of a search for room depends on, for a given state of the
-// nodes: units with equal searches find the same. A new condition in mayPlace or preference has
-// to show here.
+// search holds everything that the outcome of a search for capacity depends on, for a given state
+// of the nodes: units with equal searches have the same outcome. Any new condition in mayPlace or
+// preference must be reflected here.
 type search struct {
 	service, label, dataRack string
 	resources                job.Resources
@@ -27,8 +27,8 @@
 	leavesHeadroom           bool
 	duration                 time.Duration
 	urgent, checkpoint       bool
-	// job is set where the outcome depends on more of the job, such as where else it runs or
-	// its permits.
+	// job is set if the outcome depends on further properties of the job, such as its placed runs
+	// or its permits.
 	job job.ID
 }
 
@@ -52,7 +52,7 @@
 	return s
 }
 
-// dependsOnJob reports whether a search for the unit has an outcome of its own.
+// dependsOnJob reports whether the outcome of a search for the unit is specific to its job.
 func dependsOnJob(w waitingUnit) bool {
 	t := w.tracked
 	return w.step.MaxPerWorker > 0 || w.step.DataRack != "" || w.step.BestEffort || w.step.LatencyTarget > 0 ||
@@ -60,14 +60,14 @@
 }
 
 // find returns a node for each task of the unit, or nil.
-func (p *plan) find(w waitingUnit, room roomOf) []*node {
+func (p *plan) find(w waitingUnit, available availableFunc) []*node {
 	var best []*node
 	for _, domain := range p.domains(w) {
-		at := p.findIn(w, domain, room)
+		at := p.findIn(w, domain, available)
 		if at == nil {
 			continue
 		}
-		if !p.seeksSpeed(w) {
+		if !p.prefersFastWorkers(w) {
 			return at
 		}
 		if best == nil || slowestClass(at) < slowestClass(best) {
@@ -77,34 +77,35 @@
 	return best
 }
 
-// findIn returns a node of the domain for each task of the unit, the preferred ones first, or nil.
-func (p *plan) findIn(w waitingUnit, domain []*node, room roomOf) []*node {
-	candidates, fitting := p.candidates(w, domain, room)
+// findIn returns a node of the domain for each task of the unit, preferred nodes first, or nil.
+func (p *plan) findIn(w waitingUnit, domain []*node, available availableFunc) []*node {
+	candidates, fitting := p.candidates(w, domain, available)
 	tasks := len(w.unit.Tasks)
 	if fitting < tasks {
 		return nil
 	}
-	better := p.preference(w, candidates, room)
+	better := p.preference(w, candidates, available)
 	if tasks == 1 {
 		return []*node{slices.MinFunc(candidates, better)}
 	}
 	slices.SortFunc(candidates, better)
 	at := make([]*node, 0, tasks)
 	for _, n := range candidates {
-		for range p.countOn(w, n, room(n), tasks-len(at)) {
+		for range p.countOn(w, n, available(n), tasks-len(at)) {
 			at = append(at, n)
 		}
 	}
 	return at
 }
 
-// candidates returns the nodes on which tasks of the unit may be placed, and how many fit in all.
-func (p *plan) candidates(w waitingUnit, domain []*node, room roomOf) (nodes []*node, fitting int) {
+// candidates returns the nodes on which tasks of the unit may be placed, and how many tasks fit in
+// total.
+func (p *plan) candidates(w waitingUnit, domain []*node, available availableFunc) (nodes []*node, fitting int) {
 	for _, n := range domain {
-		if !n.usable || !w.step.Reserved().FitsIn(room(n)) || !p.mayPlace(w, n) {
+		if !n.usable || !w.step.Reserved().FitsIn(available(n)) || !p.mayPlace(w, n) {
 			continue
 		}
-		if k := p.countOn(w, n, room(n), len(w.unit.Tasks)); k > 0 {
+		if k := p.countOn(w, n, available(n), len(w.unit.Tasks)); k > 0 {
 			nodes = append(nodes, n)
 			n.taskCount = k
 			fitting += k
@@ -113,10 +114,11 @@
 	return nodes, fitting
 }
 
-// dataPatience is how long a task waits for room near its data, in multiples of its estimate.
-const dataPatience = 1.5
+// dataWaitFactor is how long a task waits for capacity near its data, as a multiple of its
+// estimate.
+const dataWaitFactor = 1.5
 
-// domains are the sets of nodes within which a unit may be placed, the better ones first: near
+// domains returns the sets of nodes within which a unit may be placed, preferred sets first: near
 // its data, within a rack, or anywhere.
 func (p *plan) domains(w waitingUnit) [][]*node {
 	switch {
@@ -128,22 +130,22 @@
 	return [][]*node{p.nodes}
 }
 
-// domainsNearData is the rack with the unit's data alone for a while, and all nodes after that.
+// domainsNearData returns only the rack with the unit's data for a while, and all nodes after that.
 func (p *plan) domainsNearData(w waitingUnit) [][]*node {
 	var near []*node
 	if r := p.racks[w.step.DataRack]; r != nil {
 		near = inOpenZones(r.nodes)
 	}
 	waited := p.now.Sub(w.tracked.job.Accepted)
-	patient := p.has(DataPatience) && waited < time.Duration(dataPatience*float64(w.step.Estimate))
-	if patient && len(near) > 0 && (!w.step.Gang || p.canEverFit(w, near)) {
+	waitsForData := p.has(DataLocality) && waited < time.Duration(dataWaitFactor*float64(w.step.Estimate))
+	if waitsForData && len(near) > 0 && (!w.step.Gang || p.canEverFit(w, near)) {
 		return [][]*node{near}
 	}
 	return [][]*node{near, p.nodes}
 }
 
-// rackDomains are the racks that could hold a gang if they were empty, the fullest first. A
-// gang that no rack can hold is spread over all nodes.
+// rackDomains returns the racks that could hold a gang if they were empty, fullest first. A gang
+// that fits into no rack is spread over all nodes.
 func (p *plan) rackDomains(w waitingUnit) [][]*node {
 	var racks []*rack
 	for _, r := range p.racks {
@@ -168,7 +170,7 @@
 	return domains
 }
 
-// inOpenZones returns those of the nodes whose zone is not cordoned: no unit waits for the others.
+// inOpenZones returns the nodes whose zone is not cordoned. No unit waits for the others.
 func inOpenZones(nodes []*node) []*node {
 	if !slices.ContainsFunc(nodes, func(n *node) bool { return n.cordoned }) {
 		return nodes
--- a/jobs/dispatch/tracked.go
+++ b/jobs/dispatch/tracked.go
@@ -7,40 +7,40 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// trackedJob is a job with its progress and what only this leader knows of it.
+// trackedJob is a job with its progress and the state known only to this leader.
 type trackedJob struct {
 	job      *job.Job
 	progress *job.Progress
-	// dirty says that the progress has changes that are not stored yet.
+	// dirty reports whether the progress has changes that are not stored yet.
 	dirty bool
 
-	// unsent are the placed runs that no agent was told of, by their tasks.
+	// unsent holds the placed runs that were not sent to any agent, keyed by task.
 	unsent map[job.TaskName]int
-	// stops are the placed runs that were told to stop, by their tasks.
+	// stops holds the placed runs that were requested to stop, keyed by task.
 	stops map[job.TaskName]stopOrder
-	// gangEnds says why the newest run of a gang that ended did so, by the gang's first task.
+	// gangEnds holds why the latest ended run of a gang ended, keyed by the gang's first task.
 	gangEnds map[job.TaskName]gangEnd
 	// failedAt is when a run of the job last failed on a worker.
 	failedAt map[string]time.Time
 	// crashedAt is when a worker last crashed under a task.
 	crashedAt map[job.TaskName]time.Time
 
-	// durations is how long a task of a step took, as first observed.
+	// durations holds the first observed duration of a task of each step.
 	durations map[int]time.Duration
-	// paces is how fast the tasks of a step come on, by the first task of the step and round.
+	// paces holds the pace of the tasks of a step, keyed by the first task of the step and round.
 	paces map[job.TaskName]*estimate.Pace
 
-	// preemptedAt is when work was last told to stop for a unit, by the unit's first task.
+	// preemptedAt is when work was last stopped for a unit, keyed by the unit's first task.
 	preemptedAt map[job.TaskName]time.Time
-	// waitReasons is why a unit was last logged to wait, by the unit's first task.
+	// waitReasons holds the last logged reason why a unit waits, keyed by the unit's first task.
 	waitReasons map[job.TaskName]waitReason
 
-	// desiredOn are the workers whose desired state names runs of the job.
+	// desiredOn holds the workers whose desired state contains runs of the job.
 	desiredOn []string
 }
 
-// stopOrder is a run that was told to stop. A stop that was not decided by a plan has neither
-// cause nor time.
+// stopOrder is a request to stop a run. A stop that was not decided by a plan has neither cause nor
+// time.
 type stopOrder struct {
 	run   int
 	cause lossCause
@@ -63,29 +63,30 @@
 	}
 }
 
-// stopping reports whether a run of a task was told to stop.
+// stopping reports whether a run of a task was requested to stop.
 func (t *trackedJob) stopping(name job.TaskName, run int) bool { return t.stops[name].run == run }
 
-// stop tells a run of a task to stop; an earlier order keeps its cause.
+// stop requests that a run of a task stops; an earlier request keeps its cause.
 func (t *trackedJob) stop(name job.TaskName, run int) {
 	order := t.stops[name]
 	order.run = run
 	t.stops[name] = order
 }
 
-// step is the step of a task of the job.
+// step returns the step of a task of the job.
 func (t *trackedJob) step(name job.TaskName) *job.Step { return &t.job.Steps[name.Step] }
 
 // inGang reports whether a task is a member of a gang.
 func (t *trackedJob) inGang(name job.TaskName) bool { return t.step(name).Gang }
 
-// firstOf names the first task of a task's step and round; it stands for a gang as a whole.
+// firstOf returns the name of the first task of a task's step and round, which identifies a gang as
+// a whole.
 func firstOf(name job.TaskName) job.TaskName {
 	name.Index = 0
 	return name
 }
 
-// peakAccelerators is the most accelerators that a step of the job takes at once.
+// peakAccelerators returns the maximum number of accelerators that a step of the job uses at once.
 func peakAccelerators(j *job.Job) int {
 	most := 0
 	for _, s := range j.Steps {
@@ -94,10 +95,10 @@
 	return most
 }
 
-// coresPerAccelerator is how many cores an accelerator counts for where work is compared.
+// coresPerAccelerator is how many cores an accelerator counts as when work is compared.
 const coresPerAccelerator = 8
 
-// weight is the work that a task with these resources does in a second, in core-seconds.
+// weight returns the work that a task with these resources does per second, in core-seconds.
 func weight(r job.Resources) float64 {
 	return float64(r.CPU)/1000 + coresPerAccelerator*float64(r.Accelerators)
 }
--- a/jobs/dispatch/unsent.go
+++ b/jobs/dispatch/unsent.go
@@ -5,13 +5,13 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// A run that this leader has placed and told no agent of was never on its worker: what becomes of
-// the worker says nothing of its task, and no start of it can come late. Runs that an earlier leader
-// has placed may have been sent.
+// A run that this leader has placed but not sent to any agent was never on its worker: a crash of
+// the worker implies nothing about the task, and no start of the run can arrive late. Runs placed
+// by an earlier leader may have been sent.
 
-// NoteSent takes over which starts answers to agents have carried. It has to be called with all that
-// were carried before a poll or an expired lease is applied that ends the run.
-func (c *Controller) NoteSent(starts map[assignment.RunID]bool) {
+// MarkSent records which starts were contained in responses to agents. It must be called with all
+// sent starts before applying a poll or an expired lease that ends one of the runs.
+func (c *Controller) MarkSent(starts map[assignment.RunID]bool) {
 	for id := range starts {
 		if t := c.jobs[id.Task.Job]; t != nil && t.isUnsent(id) {
 			delete(t.unsent, id.Task)
@@ -19,11 +19,11 @@
 	}
 }
 
-// isUnsent reports whether no agent was told of a run.
+// isUnsent reports whether a run was not sent to any agent.
 func (t *trackedJob) isUnsent(id assignment.RunID) bool {
 	run, unsent := t.unsent[id.Task]
 	return unsent && run == id.Run
 }
 
-// unsentLoss is the loss of a run that no agent was told of.
+// unsentLoss is the loss of a run that was not sent to any agent.
 var unsentLoss = job.RunLoss{Verdict: job.NeverStarted}
--- a/jobs/dispatch/victims.go
+++ b/jobs/dispatch/victims.go
@@ -8,18 +8,18 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// stopPlan is the runs to stop so that a unit fits into a domain.
+// stopPlan is a set of runs to stop so that a unit fits into a domain.
 type stopPlan struct {
 	runs   []*running
 	domain []*node
 	// nodes are those on which the unit would run.
 	nodes []*node
-	// cost is what the stops cost, worth what they may; in core-seconds.
-	cost, worth float64
+	// cost is the cost of the stops, budget its upper limit, both in core-seconds.
+	cost, budget float64
 }
 
-// bestStops returns the stops for a unit that gain the most; false if nothing that may be
-// stopped makes enough room.
+// bestStops returns the stops for a unit with the largest net benefit; false if stopping every
+// eligible run does not free enough capacity.
 func (p *plan) bestStops(w waitingUnit) (best stopPlan, ok bool) {
 	for _, domain := range p.domains(w) {
 		for _, nodes := range p.candidateSets(w, domain) {
@@ -27,8 +27,8 @@
 			if !fits {
 				continue
 			}
-			s.worth = p.worth(w, s.nodes)
-			if !ok || s.worth-s.cost > best.worth-best.cost {
+			s.budget = p.preemptionBudget(w, s.nodes)
+			if !ok || s.budget-s.cost > best.budget-best.cost {
 				best, ok = s, true
 			}
 		}
@@ -36,10 +36,10 @@
 	return best, ok
 }
 
-// candidateSets are the parts of a domain in which stops are planned: all of it and, for units
-// that seek speed, the workers that are not slow.
+// candidateSets returns the parts of a domain in which stops are planned: the whole domain and, for
+// units that prefer fast workers, its workers that are not slow.
 func (p *plan) candidateSets(w waitingUnit, domain []*node) [][]*node {
-	if !p.has(StopsByChance) || !p.seeksSpeed(w) {
+	if !p.has(ProbabilisticPreemption) || !p.prefersFastWorkers(w) {
 		return [][]*node{domain}
 	}
 	if faster := withoutSlow(domain); len(faster) < len(domain) {
@@ -48,13 +48,13 @@
 	return [][]*node{domain}
 }
 
-// withoutSlow returns those of the nodes that are not known to be slow.
+// withoutSlow returns the nodes that are not known to be slow.
 func withoutSlow(nodes []*node) []*node {
 	return slices.DeleteFunc(slices.Clone(nodes), func(n *node) bool { return n.speed.Class() == estimate.Slow })
 }
 
-// victims are the runs to stop so that the unit fits into the domain; false if it can't. Node
-// by node it takes the one that frees room for tasks at the least cost for each.
+// victims selects the runs to stop so that the unit fits into the domain; false if it can't fit. It
+// greedily picks the node that frees capacity for tasks at the lowest cost per task.
 func (p *plan) victims(w waitingUnit, domain []*node) (s stopPlan, ok bool) {
 	s.domain = domain
 	left := len(w.unit.Tasks)
@@ -77,8 +77,8 @@
 	return s, true
 }
 
-// cheapestNode is the node, of those that are not used yet, that frees room for up to limit
-// tasks at the least cost for each. Without one its tasks are 0.
+// cheapestNode returns the unused node that frees capacity for up to limit tasks at the lowest cost
+// per task. If there is none, the number of tasks is 0.
 func (p *plan) cheapestNode(
 	w waitingUnit, domain []*node, limit int, used map[*node]bool, stopped map[*running]bool,
 ) (best nodeStops) {
@@ -93,7 +93,7 @@
 	return best
 }
 
-// nodeStops is what has to be stopped so that a number of tasks fit on a node.
+// nodeStops is the set of runs to stop so that a number of tasks fit on a node.
 type nodeStops struct {
 	node  *node
 	tasks int
@@ -105,7 +105,8 @@
 
 func (s nodeStops) costPerTask() float64 { return s.cost / float64(s.tasks+s.elsewhere) }
 
-// better reports whether s costs less for each task than o, or the same and frees more.
+// better reports whether s costs less per task than o, or the same and frees capacity for more
+// tasks.
 func (s nodeStops) better(o nodeStops) bool {
 	if o.tasks == 0 || s.costPerTask() != o.costPerTask() {
 		return o.tasks == 0 || s.costPerTask() < o.costPerTask()
@@ -113,8 +114,8 @@
 	return s.tasks+s.elsewhere > o.tasks+o.elsewhere
 }
 
-// stopsOn looks for the number of tasks, up to limit, that costs the least for each on a node.
-// What is stopped for other nodes already costs nothing again.
+// stopsOn finds the number of tasks, up to limit, with the lowest cost per task on a node. Runs
+// that are already stopped for other nodes cost nothing more.
 func (p *plan) stopsOn(w waitingUnit, n *node, limit int, stopped map[*running]bool) nodeStops {
 	groups := p.stopGroups(w, n, stopped)
 	free := n.freeAfterStops
@@ -141,7 +142,8 @@
 	return best
 }
 
-// prune leaves out what need not be stopped for so many tasks after all, the most expensive first.
+// prune omits the runs that need not be stopped to fit the given number of tasks, most expensive
+// first.
 func prune(w waitingUnit, n *node, tasks int, free job.Resources, groups []stopGroup) nodeStops {
 	s := nodeStops{node: n, tasks: tasks}
 	for _, g := range slices.Backward(groups) {
@@ -157,8 +159,8 @@
 	return s
 }
 
-// freedElsewhere counts the tasks, up to what the unit needs, that fit on other nodes once the
-// runs have stopped.
+// freedElsewhere counts the tasks, up to what the unit needs, that fit on other nodes once the runs
+// have stopped.
 func freedElsewhere(w waitingUnit, s nodeStops) int {
 	free := map[*node]job.Resources{}
 	for _, r := range s.runs {
@@ -178,14 +180,14 @@
 	return sum
 }
 
-// stopGroup is what stops together: one run, or all of a gang's, wherever they are.
+// stopGroup is a set of runs that stop together: a single run, or all runs of a gang on any node.
 type stopGroup struct {
 	runs []*running
 	rank int
 	cost float64
 }
 
-// usedOn is what the group uses on a node.
+// usedOn returns the resources that the group uses on a node.
 func (g stopGroup) usedOn(n *node) job.Resources {
 	var sum job.Resources
 	for _, r := range g.runs {
@@ -196,12 +198,12 @@
 	return sum
 }
 
-// stopGroups are what may be stopped for the unit on a node, the cheapest first.
+// stopGroups returns the groups that may be stopped for the unit on a node, cheapest first.
 func (p *plan) stopGroups(w waitingUnit, n *node, stopped map[*running]bool) []stopGroup {
 	gangs := map[job.TaskName]bool{}
 	var groups []stopGroup
 	for _, r := range n.runs {
-		rank, ok := p.mayStop(r, w)
+		rank, ok := p.mayPreempt(r, w)
 		if !ok || stopped[r] {
 			continue
 		}
@@ -220,7 +222,7 @@
 	return groups
 }
 
-// gangGroup is the group of all runs of a gang that are not told to stop yet.
+// gangGroup returns the group of all runs of a gang that are not stopping yet.
 func (p *plan) gangGroup(member *running, rank int) stopGroup {
 	g := stopGroup{rank: rank}
 	for _, r := range p.gangs[firstOf(member.name)] {
--- a/jobs/dispatch/worker.go
+++ b/jobs/dispatch/worker.go
@@ -9,33 +9,33 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// worker is a worker as its agent's polls describe it.
+// worker is a worker as described by its agent's polls.
 type worker struct {
 	name string
 	// state is nil while no incarnation of the worker is known.
 	state *assignment.WorkerState
-	// described says that the newest poll is of this incarnation and its lease was not over since:
-	// otherwise the agent can send it no starts.
+	// described reports whether the latest poll is of this incarnation and its lease has not
+	// expired since. Otherwise the agent can send it no starts.
 	described bool
-	// heardAt is when the newest poll arrived.
+	// heardAt is when the latest poll arrived.
 	heardAt time.Time
-	// leavesAt is the earliest time at which a draining worker goes.
+	// leavesAt is the earliest time at which a draining worker leaves.
 	leavesAt time.Time
-	// runs are those that the worker has listed, listed says that the newest poll has the list, and
-	// ackedEnd is the number of the newest end that was applied.
+	// runs are those listed by the worker, listed reports whether the latest poll contains the
+	// list, and ackedEnd is the number of the latest end that was applied.
 	runs     map[assignment.RunID]observedRun
 	listed   bool
 	ackedEnd int64
-	// agent names the process whose polls are heard; former is the one before.
-	agent  string
-	former formerAgent
-	// openStarts are the starts that a later incarnation may still carry out, with the time until
-	// which what they begin can go on unlisted. noStartsUntil is until when the agent sends no
-	// starts.
+	// agent names the agent process that polls for the worker; previous describes the one before.
+	agent    string
+	previous previousAgent
+	// openStarts are the starts that a later incarnation may still carry out, each with the time
+	// until which a run that it begins may remain unlisted. The agent sends no starts before
+	// noStartsUntil.
 	openStarts    map[assignment.RunID]time.Time
 	noStartsUntil time.Time
-	// unresponsive says that the worker doesn't answer its agent; failingSince is since when,
-	// and zero while it does.
+	// unresponsive reports whether the worker doesn't respond to its agent; failingSince is the
+	// time of the first failure, and zero while it responds.
 	unresponsive bool
 	failingSince time.Time
 	// crashedAt is when an incarnation of the worker last crashed, as far as this leader knows.
@@ -44,7 +44,7 @@
 	speed     estimate.Speed
 }
 
-// ensureWorker returns a worker, which is new if it was not known.
+// ensureWorker returns a worker, and adds it if it is not known.
 func (c *Controller) ensureWorker(name string) *worker {
 	w := c.workers[name]
 	if w == nil {
@@ -62,22 +62,23 @@
 	return w.runs[assignment.RunID{Task: name, Run: placed.Run}].started()
 }
 
-// observedRun is what is known of a run that a worker has listed.
+// observedRun is the observed state of a run that a worker has listed.
 type observedRun struct {
-	// percent is how much of the task is done; -1 until the worker has said so.
+	// percent is the reported progress of the task; -1 before the first report.
 	percent int
-	// startedAt is when the run began, as far as is known; advancedAt is when the percentage
-	// last rose.
+	// startedAt is when the run began, as far as is known; advancedAt is when the percentage last
+	// increased.
 	startedAt  time.Time
 	advancedAt time.Time
-	// basePercent was reported first, at baseAt: a run may continue from a checkpoint.
+	// basePercent is the first reported percentage, and baseAt when it was reported. It may exceed
+	// 0, since a run may resume from a checkpoint.
 	basePercent int
 	baseAt      time.Time
-	// sampled says that the run counts in its worker's speed already.
+	// sampled reports whether the run has already been sampled for its worker's speed.
 	sampled bool
 }
 
-// newObservedRun is a run that is reported for the first time.
+// newObservedRun returns the state of a run that is reported for the first time.
 func newObservedRun(now time.Time, r assignment.Run) observedRun {
 	o := observedRun{
 		percent:     -1,
@@ -92,10 +93,10 @@
 	return o
 }
 
-// started reports whether the worker has said that the run is there.
+// started reports whether the worker has reported the run as present.
 func (o observedRun) started() bool { return !o.startedAt.IsZero() && o.percent >= 0 }
 
-// remaining extrapolates how long the run still works from its progress so far; false if there
+// remaining extrapolates the remaining duration of the run from its progress so far; false if there
 // is none.
 func (o observedRun) remaining(now time.Time) (time.Duration, bool) {
 	done := o.percent - o.basePercent
--- a/jobs/dispatch/worth_test.go
+++ b/jobs/dispatch/worth_test.go
@@ -10,8 +10,8 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// TestChance: the chance to be in time falls with the delay and the slowness of the workers,
-// and rises with the duration of the work.
+// TestChance: the probability of being on time decreases with the delay and with the slowness of
+// the workers, and increases with the duration of the work.
 func TestChance(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -33,17 +33,19 @@
 			b := newFixture(t, 1, 1)
 			tracked := b.job(0, "sure", job.Step{Tasks: 1})
 			tracked.job.ObjectiveFactor, tracked.job.ObjectiveSlack, tracked.job.Accepted = 1.5, 250*time.Millisecond, b.now
-			p := &plan{c: b.control, now: b.now}
-			got := p.chanceInTime(waitingUnit{tracked: tracked, duration: test.length}, b.now.Add(test.delay), test.slowness)
+			p := &plan{c: b.controller, now: b.now}
+			got := p.probabilityOnTime(
+				waitingUnit{tracked: tracked, duration: test.length}, b.now.Add(test.delay), test.slowness,
+			)
 			if got < test.from || got > test.to {
-				t.Errorf("the chance is %.3f, want %.2f to %.2f", got, test.from, test.to)
+				t.Errorf("the probability is %.3f, want %.2f to %.2f", got, test.from, test.to)
 			}
 		})
 	}
 }
 
-// TestStopsOnFasterWorkers: work is stopped on workers that are not slow, even where a stop on
-// slow ones would cost less; where there are only slow ones, on these.
+// TestStopsOnFasterWorkers: work is stopped on workers that are not slow, even if a stop on slow
+// ones would cost less; if all are slow, on these.
 func TestStopsOnFasterWorkers(t *testing.T) {
 	for _, allSlow := range []bool{false, true} {
 		b := newFixture(t, 1, 2)
@@ -55,9 +57,9 @@
 		b.observe(first, began, 1)
 		// Stopping the second loses less.
 		b.observe(second, began.Add(500*time.Millisecond), 1)
-		b.control.workers[b.at(second)[0]].speed = speedAfter(3, 4*0.25/3)
+		b.controller.workers[b.workersOf(second)[0]].speed = speedAfter(3, 4*0.25/3)
 		if allSlow {
-			b.control.workers[b.at(first)[0]].speed = speedAfter(3, 4*0.25/3)
+			b.controller.workers[b.workersOf(first)[0]].speed = speedAfter(3, 4*0.25/3)
 		}
 		urgent := b.job(0, "other", job.Step{Tasks: 1, Estimate: 2 * time.Second})
 		urgent.job.ObjectiveFactor, urgent.job.ObjectiveSlack, urgent.job.Accepted = 1.5, 250*time.Millisecond, b.now
@@ -68,24 +70,24 @@
 		}
 		if len(stopped.stops) != 1 || len(first.stops)+len(second.stops) != 1 {
 			t.Errorf(
-				"all slow %v: on the faster worker %d runs are told to stop, on the slow one %d",
+				"all slow %v: %d runs are requested to stop on the faster worker, %d on the slow one",
 				allSlow, len(first.stops), len(second.stops),
 			)
 		}
 	}
 }
 
-// TestNominalLengths: the durations learnt of a queue don't depend on the speed of the workers
-// on which it happened to run; a gang took as long as its slowest member.
+// TestNominalLengths: the learnt durations of a queue don't depend on the speed of the workers on
+// which it happened to run; a gang takes as long as its slowest member.
 func TestNominalLengths(t *testing.T) {
 	for _, gang := range []bool{false, true} {
 		b := newFixture(t, 1, 2)
 		tracked := b.job(0, "sure", job.Step{Tasks: 2, Gang: gang, Estimate: 2 * time.Second})
 		b.plan(0)
-		at := b.at(tracked)
-		slow := b.control.workers[at[1]]
+		at := b.workersOf(tracked)
+		slow := b.controller.workers[at[1]]
 		slow.speed = speedAfter(1, 2*0.25)
-		other := b.control.workers[at[0]]
+		other := b.controller.workers[at[0]]
 		took := 2 * time.Second
 		want := took
 		if gang {
@@ -98,10 +100,10 @@
 				{RunID: assignment.RunID{Task: name, Run: 1}, Number: 1, Reason: job.EndDone, TookMillis: took.Milliseconds()},
 			},
 		}
-		b.control.ApplyPoll(b.now, poll)
+		b.controller.ApplyPoll(b.now, poll)
 		if got := tracked.durations[0]; (got - want).Abs() > 10*time.Millisecond {
 			t.Errorf(
-				"gang %v: %s took %v on %s, which counts as %v, want %v",
+				"gang %v: %s took %v on %s, recorded as %v, want %v",
 				gang, name, took, strings.Join(at, ", "), got, want,
 			)
 		}
--- a/jobs/leader/leadership.go
+++ b/jobs/leader/leadership.go
@@ -30,7 +30,7 @@
 	c.fleet.open(leader.Term)
 	defer c.fleet.close()
 	l.lastFormerGrant = time.Now().Add(c.settings.Timing.MaxProofAge)
-	c.deps.Logger.Info().Str("step", "leader.lead").Int64("term", leader.Term).Int("jobs", l.controller.Jobs()).
+	c.deps.Logger.Info().Str("step", "leader.lead").Int64("term", leader.Term).Int("jobs", l.controller.JobCount()).
 		Msg("leadership acquired")
 	// No lease is granted before this first write is acknowledged.
 	if err := l.writer.heartbeat(ctx); err != nil {
@@ -91,7 +91,7 @@
 	// Runs ended by a poll or an expired lease may have been sent to the agent until the poll was
 	// taken or the lease expired.
 	polls := l.fleet.take()
-	l.controller.NoteSent(l.fleet.takeSent())
+	l.controller.MarkSent(l.fleet.takeSent())
 	for _, p := range polls {
 		l.controller.ApplyPoll(p.at, p.poll)
 	}
@@ -99,7 +99,7 @@
 		l.controller.ApplyJob(job)
 	}
 	expired := l.fleet.expire(l.controller.WorkersInUse(), now, l.lastFormerGrant)
-	l.controller.NoteSent(l.fleet.takeSent())
+	l.controller.MarkSent(l.fleet.takeSent())
 	l.controller.ExpireLeases(expired)
 	l.controller.Plan(ctx, now)
 	records, err := l.controller.TakeRecords(now)
@@ -129,8 +129,8 @@
 	case <-jobs:
 	case <-operators:
 	case <-l.fleet.decisionDue:
-	case permits := <-l.controller.Permits():
-		l.controller.ApplyPermits(permits)
+	case permits := <-l.controller.PermitResults():
+		l.controller.ApplyPermitResult(permits)
 	case <-timer.C:
 	case <-l.resign:
 		return l.stepDown(ctx)
@@ -146,7 +146,7 @@
 // untilDue returns the time until the next heartbeat or decision is due.
 func (l *leadership) untilDue() time.Duration {
 	heartbeat := l.writer.lastAppend.Add(l.settings.Timing.HeartbeatInterval)
-	return max(min(time.Until(heartbeat), time.Until(l.controller.Next())), minWait)
+	return max(min(time.Until(heartbeat), time.Until(l.controller.NextPlanAt())), minWait)
 }
 
 // checkLeading returns an error if another entry leads. It steps down and returns an error if there
--- a/jobs/leader/poll.go
+++ b/jobs/leader/poll.go
@@ -249,7 +249,7 @@
 	a.Incarnation, a.AckedEnd = desired.Incarnation, desired.AckedEnd
 	for _, run := range poll.Runs {
 		d, ok := desired.Runs[run.Task]
-		if !desired.Held[run.Task.Job] && (!ok || d.Stopping || d.Start.Run != run.Run) {
+		if !desired.UnreadableJobs[run.Task.Job] && (!ok || d.Stopping || d.Start.Run != run.Run) {
 			a.Stop = append(a.Stop, run.RunID)
 		}
 	}
--- a/jobs/leader/poll_test.go
+++ b/jobs/leader/poll_test.go
@@ -26,8 +26,8 @@
 			t.Errorf("got %+v, want only a stop of the undesired run", a)
 		}
 		fl.publish(map[string]dispatch.DesiredState{"w": {
-			Incarnation: workerState.ID,
-			Held:        map[job.ID]bool{other.Task.Job: true},
+			Incarnation:    workerState.ID,
+			UnreadableJobs: map[job.ID]bool{other.Task.Job: true},
 		}})
 		p.Sequence = 4
 		if a := ask(t, fl, p); len(a.Stop) != 1 || a.Stop[0] != desiredRun {
