--- a/cmd/soak/callers.go
+++ b/cmd/soak/callers.go
@@ -87,7 +87,7 @@
 // judge checks an answer that has just come on a day of planned work. A call that found nobody
 // listening was not taken, and may be retried elsewhere. What this process only read late, or gave up
 // by its own timer, while it did not run is told apart: nobody was held or cut by the system.
-func (cs *callers) judge(what string, a standin.Answer, reached bool) {
+func (cs *callers) judge(what string, a standin.Response, reached bool) {
 	if !cs.planned {
 		return
 	}
@@ -109,7 +109,7 @@
 
 // stoodStill returns for how long this process did not run during a call that has just ended; zero for
 // one that was answered in time.
-func (cs *callers) stoodStill(a standin.Answer) time.Duration {
+func (cs *callers) stoodStill(a standin.Response) time.Duration {
 	if a.Took <= answerLimit {
 		return 0
 	}
@@ -175,7 +175,7 @@
 			cs.mu.Unlock()
 			return
 		}
-		doubt = doubt || !answer.Refused() && answer.Reached()
+		doubt = doubt || !answer.Rejected() && answer.Reached()
 		time.Sleep(retryPause)
 	}
 	cs.mu.Lock()
--- a/cmd/soak/cluster.go
+++ b/cmd/soak/cluster.go
@@ -56,7 +56,7 @@
 	// beside is the worker beside an agent; nil for an entry.
 	beside *jobtest.Worker
 	// boot is what the process was started with.
-	boot standin.Boot
+	boot standin.Settings
 }
 
 // links returns all links of the box.
@@ -85,7 +85,7 @@
 // newCluster starts the platform and all processes. close must be called even after an error.
 func newCluster(ctx context.Context, s settings, seed uint64, logs string) (*cluster, error) {
 	c := &cluster{settings: s, platform: standin.New(seed), logs: logs}
-	address, err := c.serve(c.platform.Store())
+	address, err := c.serve(c.platform.StoreHandler())
 	if err != nil {
 		return c, err
 	}
@@ -172,7 +172,7 @@
 	if b.store, err = c.link(c.store); err != nil {
 		return err
 	}
-	boot := standin.Boot{IP: ip, Port: internalPort, Callers: b.callers, Ready: at(ip, readyPort)}
+	boot := standin.Settings{IP: ip, Port: internalPort, Callers: b.callers, Ready: at(ip, readyPort)}
 	if err := c.launch(b, boot, "job-entry", "--advertise", b.inbound.Address()); err != nil {
 		return err
 	}
@@ -188,7 +188,7 @@
 	name := fmt.Sprintf("worker-%d", i)
 	w := c.platform.Workers.Add(name, service, zoneOf(i), fmt.Sprintf("rack-%d", i/rackSize), capacity, "a")
 	c.workers = append(c.workers, w)
-	served, err := c.serve(standin.Worker(w))
+	served, err := c.serve(standin.WorkerHandler(w))
 	if err != nil {
 		return err
 	}
@@ -199,7 +199,7 @@
 	if b.store, err = c.link(c.store); err != nil {
 		return err
 	}
-	boot := standin.Boot{
+	boot := standin.Settings{
 		IP:         ip,
 		Port:       internalPort,
 		Zone:       zoneOf(i),
@@ -209,13 +209,13 @@
 	if err := c.launch(b, boot, "job-agent"); err != nil {
 		return err
 	}
-	go standin.Beat(ctx, w, boot.Heartbeats)
+	go standin.SendHeartbeats(ctx, w, boot.Heartbeats)
 	c.agents = append(c.agents, b)
 	return nil
 }
 
 // launch writes the settings of a process and starts it.
-func (c *cluster) launch(b *box, boot standin.Boot, args ...string) error {
+func (c *cluster) launch(b *box, boot standin.Settings, args ...string) error {
 	boot.Node, boot.Zone, boot.Store = cmp.Or(boot.Node, b.name), cmp.Or(boot.Zone, zoneOf(0)), b.store.Address()
 	boot.Lease, boot.Revoke, boot.Grace = lease, revoke, grace
 	b.boot = boot
--- a/cmd/soak/explain_test.go
+++ b/cmd/soak/explain_test.go
@@ -60,7 +60,7 @@
 }
 
 // submit submits a job at the first entry.
-func (p *provoked) submit(j *job.Job) standin.Answer {
+func (p *provoked) submit(j *job.Job) standin.Response {
 	return p.callers.caller(0, keptKey).Submit(p.t.Context(), prefix(1), j)
 }
 
@@ -128,10 +128,10 @@
 	p := provoke(t)
 	p.cluster.platform.SetFault(jobtest.Fault{Refuse: true})
 	j := p.job("00000000000000a1", time.Second)
-	var answer standin.Answer
+	var answer standin.Response
 	p.eventually("the job is refused", func() bool {
 		answer = p.submit(j)
-		return answer.Refused()
+		return answer.Rejected()
 	})
 	if answer.Status != 503 {
 		t.Errorf("the caller got status %d", answer.Status)
@@ -173,7 +173,7 @@
 	p := provoke(t)
 	j := p.job("00000000000000a3", time.Second)
 	p.cluster.platform.SetFault(jobtest.Fault{Lost: 1})
-	answers := make(chan standin.Answer, 1)
+	answers := make(chan standin.Response, 1)
 	go func() { answers <- p.submit(j) }()
 	time.Sleep(300 * time.Millisecond)
 	p.cluster.entries[0].process.Kill()
--- a/cmd/soak/second_agents.go
+++ b/cmd/soak/second_agents.go
@@ -97,7 +97,7 @@
 		return nil, nil, err
 	}
 	beating, end := context.WithCancel(context.WithoutCancel(ctx))
-	go standin.Beat(beating, first.beside, boot.Heartbeats)
+	go standin.SendHeartbeats(beating, first.beside, boot.Heartbeats)
 	return b.process, func() {
 		end()
 		b.process.Kill()
--- a/cmd/soak/standstill_test.go
+++ b/cmd/soak/standstill_test.go
@@ -59,12 +59,12 @@
 // TestHeldCalls: a call that is answered late counts as held by the system, and one without an answer
 // as cut, unless this process itself stood still for so long; then it is told as that.
 func TestHeldCalls(t *testing.T) {
-	answered := standin.Answer{Status: http.StatusOK}
-	timedOut := standin.Answer{Err: context.DeadlineExceeded}
-	brokenOff := standin.Answer{Err: io.EOF}
+	answered := standin.Response{Status: http.StatusOK}
+	timedOut := standin.Response{Err: context.DeadlineExceeded}
+	brokenOff := standin.Response{Err: io.EOF}
 	tests := []struct {
 		name   string
-		answer standin.Answer
+		answer standin.Response
 		took   time.Duration
 		// late is by how much this process was woken late, before is how long before the answer came.
 		late, before time.Duration
--- a/cmd/yarrowgraded/jobagent.go
+++ b/cmd/yarrowgraded/jobagent.go
@@ -76,13 +76,13 @@
 	entries := directory.NewDirectory(log, t.Log)
 	r := runner.New(
 		runner.Settings{
-			Name:         s.Node,
-			Agent:        uuid.NewString(),
-			Service:      s.Service,
-			Zone:         s.Zone,
-			Lease:        s.MaxLease(),
-			Drift:        workerDrift,
-			CordonWithin: s.CordonWithin(),
+			Name:           s.Node,
+			Agent:          uuid.NewString(),
+			Service:        s.Service,
+			Zone:           s.Zone,
+			Lease:          s.MaxLease(),
+			Drift:          workerDrift,
+			MaxCordonDelay: s.MaxCordonDelay(),
 		},
 		runner.Dependencies{
 			Worker:     platform.NewWorker(s, client),
@@ -97,7 +97,7 @@
 		telemetry:  t,
 		directory:  entries,
 		runner:     r,
-		heartbeats: platform.NewHeartbeats(r, t.Log, t.Metrics),
+		heartbeats: platform.NewHeartbeatHandler(r, t.Log, t.Metrics),
 	}
 }
 
@@ -106,7 +106,7 @@
 	s, log := a.settings, a.telemetry.Log
 	internal := httprouter.New()
 	internal.Handler(http.MethodGet, "/metrics", a.telemetry.MetricsHandler)
-	handlers := map[string]http.Handler{s.HeartbeatAddress: a.heartbeats, s.InnerAddress(internalPort): internal}
+	handlers := map[string]http.Handler{s.HeartbeatAddress: a.heartbeats, s.InternalAddress(internalPort): internal}
 	if _, err := serveAll(log, handlers); err != nil {
 		return err
 	}
--- a/cmd/yarrowgraded/jobentry.go
+++ b/cmd/yarrowgraded/jobentry.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	address := s.InnerAddress(internalPort)
+	address := s.InternalAddress(internalPort)
 	if c.Advertise != "" {
 		if err := checkListen("advertise", c.Advertise); err != nil {
 			return err
@@ -242,9 +242,9 @@
 	internal.Handler(http.MethodGet, catalog.RelayPath, e.catalog.RelayServer())
 	internal.Handler(http.MethodGet, "/metrics", e.telemetry.MetricsHandler)
 	return serveAll(e.telemetry.Log, map[string]http.Handler{
-		e.settings.CallerAddress:              closeWhenDraining(platform.NewCallers(e.admission), e.draining),
-		e.settings.ReadyAddress:               platform.Ready(e.ready),
-		e.settings.InnerAddress(internalPort): internal,
+		e.settings.CallerAddress:                 closeWhenDraining(platform.NewCallerHandler(e.admission), e.draining),
+		e.settings.ReadyAddress:                  platform.ReadinessHandler(e.ready),
+		e.settings.InternalAddress(internalPort): internal,
 	})
 }
 
--- a/jobs/catalog/apply.go
+++ b/jobs/catalog/apply.go
@@ -31,7 +31,7 @@
 
 // cordonsInSnapshot returns the current cordons that still have a record in a snapshot. f.mu must
 // be held.
-func (f *Follower) cordonsInSnapshot(records []topic.Stored) Cordons {
+func (f *Follower) cordonsInSnapshot(records []topic.StoredRecord) Cordons {
 	kept := Cordons{}
 	for _, r := range records {
 		if zone, ok := f.format.zoneOf(r.Key); ok && f.cordons.Has(zone) {
@@ -42,7 +42,7 @@
 }
 
 // applyConfig applies a configuration if it is newer than the current one. f.mu must be held.
-func (f *Follower) applyConfig(r topic.Stored) {
+func (f *Follower) applyConfig(r topic.StoredRecord) {
 	c, err := f.format.DecodeConfig(r.Value)
 	if err != nil {
 		f.logger.Error().Str("step", "catalog.decode").Err(err).Int64("offset", r.Offset).
@@ -60,7 +60,7 @@
 
 // applyCordon returns the cordons with a record applied. A malformed record is ignored, except in a
 // snapshot: earlier records are missing there, so the zone is assumed to be cordoned.
-func (f *Follower) applyCordon(cordons Cordons, zone string, r topic.Stored, snapshot bool) Cordons {
+func (f *Follower) applyCordon(cordons Cordons, zone string, r topic.StoredRecord, snapshot bool) Cordons {
 	if r.Value == nil {
 		return cordons.Without(zone)
 	}
--- a/jobs/catalog/golden_test.go
+++ b/jobs/catalog/golden_test.go
@@ -19,7 +19,7 @@
 // TestGoldenNews checks the JSON of the message that relays records.
 func TestGoldenNews(t *testing.T) {
 	goldentest.JSON(t, "relayed", topic.RelayResponse{
-		Records: []topic.Stored{{Record: topic.Record{Key: "config", Value: []byte("41")}, Offset: 5}},
+		Records: []topic.StoredRecord{{Record: topic.Record{Key: "config", Value: []byte("41")}, Offset: 5}},
 		End:     6, AgeMillis: 120, HeldMillis: 30,
 	})
 }
--- a/jobs/jobstore/forward.go
+++ b/jobs/jobstore/forward.go
@@ -11,15 +11,15 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// RecordsPath is the path at which an entry stores a record for another one.
+// RecordsPath is the path at which an entry accepts records to store for other entries.
 const RecordsPath = "/internal/records"
 
-// appendResult is the answer to a forwarded record.
+// appendResult is the response body for a record that was stored.
 type appendResult struct {
 	Offset int64 `json:"offset"`
 }
 
-// forward asks another entry to store a record.
+// forward sends a record to another entry, which stores it.
 func (wr *Writer) forward(ctx context.Context, address string, record topic.Record) (int64, error) {
 	var result appendResult
 	err := jsonhttp.Call(ctx, wr.client, "jobstore.ask", http.MethodPost, "http://"+address, RecordsPath, record, &result)
@@ -36,8 +36,8 @@
 	return result.Offset, err
 }
 
-// ServeWrite stores a record for another entry. It answers 503 if the record is not stored and
-// never will be, and 504 if that is uncertain.
+// ServeWrite stores a record for another entry. It responds with 503 if the record is not stored
+// and never will be, and with 504 if that is uncertain.
 func (wr *Writer) ServeWrite(w http.ResponseWriter, r *http.Request) {
 	var record topic.Record
 	if err := jsonhttp.Read(w, r, &record); err != nil {
@@ -69,7 +69,7 @@
 	jsonhttp.Write(w, http.StatusOK, appendResult{Offset: offset})
 }
 
-// appendStatus returns the answer to a record whose append has failed.
+// appendStatus returns the HTTP error for a failed append.
 func appendStatus(err error) *jsonhttp.StatusError {
 	status := http.StatusGatewayTimeout
 	if topic.NotApplied(err) {
--- a/jobs/jobstore/golden_test.go
+++ b/jobs/jobstore/golden_test.go
@@ -31,7 +31,7 @@
 
 var goldenTime = time.Date(2026, 3, 4, 5, 6, 7, 8_000_000, time.UTC)
 
-// goldenJob has every field set.
+// goldenJob returns a job with every field set.
 func goldenJob() *job.Job {
 	step := job.Step{
 		Tasks:             4,
@@ -76,8 +76,8 @@
 	`"hu":"2026-03-04T05:06:19.008Z","ho":["worker-4"],"s":"checkpoint-5","a":"worker-1","c":3,"cd":1,"ca":2,"ce":1,` +
 	`"co":{"i-0000@5":{"w":"worker-2","r":4,"b":true,"s":true,"at":"2026-03-04T05:06:07.008Z"}}}`
 
-// goldenProgress are stored forms of a progress by name: the newest forms, and those that earlier
-// versions wrote.
+// goldenProgress returns encoded progress by golden file, in the current form and in those that
+// earlier versions wrote.
 func goldenProgress(t *testing.T) map[string][]byte {
 	t.Helper()
 	start := incarnation.ID{Instance: "i-7f3a91c2", StartMillis: 1764722812345}
@@ -90,16 +90,16 @@
 		large.Assign(goldenTime, taskName(i), 2, "worker-"+strconv.Itoa(i/8), start)
 	}
 	return map[string][]byte{
-		"progress-defaults": encoded(t, job.NewProgress()),
-		"progress-running":  encoded(t, running),
+		"progress-defaults": encodeProgress(t, job.NewProgress()),
+		"progress-running":  encodeProgress(t, running),
 		"progress-full":     []byte(`f{"e":"2026-03-04T05:06:07.008Z","t":{"1.2.3":` + goldenTask + `}}`),
-		"progress-large":    encoded(t, large),
+		"progress-large":    encodeProgress(t, large),
 	}
 }
 
 func taskName(index int) job.TaskName { return job.TaskName{Job: one, Index: index} }
 
-func encoded(t *testing.T, p *job.Progress) []byte {
+func encodeProgress(t *testing.T, p *job.Progress) []byte {
 	t.Helper()
 	data, err := p.Encode()
 	if err != nil {
@@ -108,7 +108,7 @@
 	return data
 }
 
-// TestGoldenProgress: each stored progress is read, and written to the same bytes.
+// TestGoldenProgress checks that each stored progress is decoded, and encoded to the same bytes.
 func TestGoldenProgress(t *testing.T) {
 	for name, data := range goldenProgress(t) {
 		goldentest.Bytes(t, name, data)
@@ -116,7 +116,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		goldentest.Bytes(t, name, encoded(t, p))
+		goldentest.Bytes(t, name, encodeProgress(t, p))
 	}
 	full, err := job.DecodeProgress(goldentest.Read(t, "progress-full"))
 	if err != nil {
@@ -124,13 +124,14 @@
 	}
 	task := full.Task(job.TaskName{Job: one, Round: 1, Step: 2, Index: 3})
 	if task == nil {
-		t.Fatal("the task is not known")
+		t.Fatal("the task is unknown")
 	}
 	goldentest.JSON(t, "task", *task)
 }
 
-// TestGoldenOldProgress: earlier versions stored large ones plain, and incarnations without the
-// time of their start. Both are read, and written in the newest form.
+// TestGoldenOldProgress checks that progress stored by earlier versions is decoded, and encoded in
+// the current form. Those versions did not compress large progress, and stored incarnations without
+// their start time.
 func TestGoldenOldProgress(t *testing.T) {
 	var tasks []string
 	for i := range 40 {
@@ -142,7 +143,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Bytes(t, "progress-large", encoded(t, plain))
+	goldentest.Bytes(t, "progress-large", encodeProgress(t, plain))
 	old, err := job.DecodeProgress(goldentest.Read(t, "progress-old-life"))
 	if err != nil {
 		t.Fatal(err)
@@ -150,16 +151,16 @@
 	if got, want := old.Task(taskName(1)).Incarnation, (incarnation.ID{Instance: "i-7f3a91c2"}); got != want {
 		t.Errorf("the incarnation is %v, want %v", got, want)
 	}
-	goldentest.Bytes(t, "progress-old-life", encoded(t, old))
+	goldentest.Bytes(t, "progress-old-life", encodeProgress(t, old))
 }
 
-// TestGoldenSubmission: the stored form of a job.
+// TestGoldenSubmission checks the stored form of a job.
 func TestGoldenSubmission(t *testing.T) {
 	goldentest.JSON(t, "submission.value", *goldenJob())
 }
 
-// lines writes records one a line, as text.
-func lines(records []topic.Record) []byte {
+// formatRecords formats records as text, one per line.
+func formatRecords(records []topic.Record) []byte {
 	var out bytes.Buffer
 	for _, r := range records {
 		value := "dropped"
@@ -171,8 +172,8 @@
 	return out.Bytes()
 }
 
-// readLines is the reverse of lines.
-func readLines(t *testing.T, name string) []topic.Record {
+// readRecords reads a golden file that formatRecords has written.
+func readRecords(t *testing.T, name string) []topic.Record {
 	t.Helper()
 	var records []topic.Record
 	for line := range strings.Lines(string(goldentest.Read(t, name))) {
@@ -190,7 +191,7 @@
 	return records
 }
 
-func made(t *testing.T) func(r topic.Record, err error) topic.Record {
+func mustRecord(t *testing.T) func(r topic.Record, err error) topic.Record {
 	return func(r topic.Record, err error) topic.Record {
 		t.Helper()
 		if err != nil {
@@ -200,10 +201,11 @@
 	}
 }
 
-// TestGoldenJobsTopic: the records of the jobs' topic, and what a replica makes of them.
+// TestGoldenJobsTopic checks the records of the jobs topic, and the state that a replica derives
+// from them.
 func TestGoldenJobsTopic(t *testing.T) {
 	const three job.ID = "0000000000000003"
-	must := made(t)
+	must := mustRecord(t)
 	first := directory.Leader{Term: 7, Incarnation: "entry-1", Address: "10.1.0.19:7000"}
 	full, err := job.DecodeProgress(goldenProgress(t)["progress-full"])
 	if err != nil {
@@ -221,17 +223,17 @@
 	}
 	records = append(records, jobstore.DeleteRecords(three)...)
 	records = append(records, must(directory.LeaderRecord(directory.Leader{Term: 8})))
-	goldentest.Bytes(t, "jobs-topic", lines(records))
+	goldentest.Bytes(t, "jobs-topic", formatRecords(records))
 
-	stored := readLines(t, "jobs-topic")
-	r := jobstore.NewReplica(jobtest.NewLog(1).Client("entry"), alone, zerolog.Nop())
+	stored := readRecords(t, "jobs-topic")
+	r := jobstore.NewReplica(jobtest.NewLog(1).Client("entry"), noReaders, zerolog.Nop())
 	r.ApplyLocal(stored[:6], 0)
 	if leader, _, _ := r.Leader(); leader != first {
 		t.Errorf("the leader is %+v", leader)
 	}
 	r.ApplyLocal(stored[6:], 6)
 	if leader, _, _ := r.Leader(); leader != (directory.Leader{Term: 8}) {
-		t.Errorf("the leader is %+v, want nobody in term 8", leader)
+		t.Errorf("the leader is %+v, want none in term 8", leader)
 	}
 	if got := r.IDs(); !reflect.DeepEqual(got, []job.ID{one, two}) {
 		t.Errorf("the jobs are %v", got)
@@ -247,34 +249,36 @@
 	}
 }
 
-// answerOf returns the status and the body that a handler answers with.
-func answerOf(h http.Handler, method, target, body string) []byte {
+// responseOf returns the status and the body of a handler's response.
+func responseOf(h http.Handler, method, target, body string) []byte {
 	r := httptest.NewRequest(method, "http://entry/"+target, strings.NewReader(body))
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, r)
 	return fmt.Appendf(nil, "%d\n%s", w.Code, maskText(w.Body.Bytes()))
 }
 
-var textForPeople = regexp.MustCompile(`"(error|message)":"[^"]*"`)
+var freeText = regexp.MustCompile(`"(error|message)":"[^"]*"`)
 
-// maskText takes out the text of errors and log lines: it is for people, and nothing reads it.
-func maskText(data []byte) []byte { return textForPeople.ReplaceAll(data, []byte(`"$1":"..."`)) }
+// maskText removes the text of errors and log messages. It is meant for people, and no program
+// reads it.
+func maskText(data []byte) []byte { return freeText.ReplaceAll(data, []byte(`"$1":"..."`)) }
 
-// TestGoldenRecordsPath: the request of an entry to store a record, its answers, and the log line
-// of the entry that stores it, in which the trace of a job finds its ID.
+// TestGoldenRecordsPath checks the request to store a record for another entry, its responses, and
+// the log line of the entry that stores the record. The trace of a job finds the job's ID in that
+// line.
 func TestGoldenRecordsPath(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
+	runBubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		var logged bytes.Buffer
-		var asked []byte
-		peer := jobstore.NewWriter(log.Client("b"), hedge.NewLatency(), followed(ctx, log, "b"),
+		var requestBody []byte
+		peer := jobstore.NewWriter(log.Client("b"), hedge.NewLatency(), startReplica(ctx, log, "b"),
 			func() []string { return nil }, "b", http.DefaultClient, zerolog.New(&logged))
-		keep := http.HandlerFunc(peer.ServeWrite)
+		store := http.HandlerFunc(peer.ServeWrite)
 		network := memnet.New()
 		router := httprouter.New()
 		router.HandlerFunc(http.MethodPost, "/internal/records", func(w http.ResponseWriter, r *http.Request) {
-			asked, _ = io.ReadAll(r.Body)
-			r.Body = io.NopCloser(bytes.NewReader(asked))
-			keep(w, r)
+			requestBody, _ = io.ReadAll(r.Body)
+			r.Body = io.NopCloser(bytes.NewReader(requestBody))
+			store(w, r)
 		})
 		network.Attach("http://b", router)
 		log.SetFault("a", jobtest.Fault{Refuse: true})
@@ -283,20 +287,20 @@
 		if err := w.Write(ctx, jobstore.CancelRecord(one)); err != nil {
 			t.Error(err)
 		}
-		goldentest.Bytes(t, "records-question", asked)
+		goldentest.Bytes(t, "records-question", requestBody)
 		var record topic.Record
-		question := goldentest.Read(t, "records-question")
-		err := json.Unmarshal(question, &record)
+		request := goldentest.Read(t, "records-question")
+		err := json.Unmarshal(request, &record)
 		if err != nil || !reflect.DeepEqual(record, jobstore.CancelRecord(one)) {
-			t.Errorf("the question is read as %+v, %v", record, err)
+			t.Errorf("the request is decoded as %+v, %v", record, err)
 		}
 		goldentest.Bytes(t, "records-log", maskText(logged.Bytes()))
-		goldentest.Bytes(t, "records-answer", answerOf(keep, http.MethodPost, "", string(question)))
-		goldentest.Bytes(t, "records-answer-other-key", answerOf(keep, http.MethodPost, "", `{"Key":"d","Value":"MQ=="}`))
-		goldentest.Bytes(t, "records-answer-bad", answerOf(keep, http.MethodPost, "", `{"Key":7}`))
+		goldentest.Bytes(t, "records-answer", responseOf(store, http.MethodPost, "", string(request)))
+		goldentest.Bytes(t, "records-answer-other-key", responseOf(store, http.MethodPost, "", `{"Key":"d","Value":"MQ=="}`))
+		goldentest.Bytes(t, "records-answer-bad", responseOf(store, http.MethodPost, "", `{"Key":7}`))
 		log.SetFault("b", jobtest.Fault{Refuse: true})
-		goldentest.Bytes(t, "records-answer-refused", answerOf(keep, http.MethodPost, "", string(question)))
+		goldentest.Bytes(t, "records-answer-refused", responseOf(store, http.MethodPost, "", string(request)))
 		time.Sleep(3 * time.Second)
-		goldentest.Bytes(t, "records-answer-unreached", answerOf(keep, http.MethodPost, "", string(question)))
+		goldentest.Bytes(t, "records-answer-unreached", responseOf(store, http.MethodPost, "", string(request)))
 	})
 }
--- a/jobs/jobstore/jobstore_test.go
+++ b/jobs/jobstore/jobstore_test.go
@@ -38,8 +38,8 @@
 	return r
 }
 
-// bubble runs a test on a paused clock, with a context that ends before the test.
-func bubble(t *testing.T, f func(t *testing.T, ctx context.Context, log *jobtest.Log)) {
+// runBubble runs a test in a synctest bubble, with a context that ends before the test.
+func runBubble(t *testing.T, f func(t *testing.T, ctx context.Context, log *jobtest.Log)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		f(t, ctx, jobtest.NewLog(1))
@@ -48,7 +48,7 @@
 	})
 }
 
-func add(t *testing.T, log *jobtest.Log, records ...topic.Record) {
+func appendRecords(t *testing.T, log *jobtest.Log, records ...topic.Record) {
 	t.Helper()
 	if _, err := log.Client("writer").Append(t.Context(), records, topic.Condition{}); err != nil {
 		t.Fatal(err)
@@ -60,21 +60,21 @@
 	two job.ID = "0000000000000002"
 )
 
-// alone is the number of readers of a replica that reads each record as it comes.
-func alone() int { return 0 }
+// noReaders is the reader count of a replica that reads each record as it arrives.
+func noReaders() int { return 0 }
 
-// TestReadersShare: where many entries read the topic, one read brings many records, and a query
-// for a job's state reads first. The leader reads each record as it comes, however many entries
-// there are.
+// TestReadersShare checks that, if many entries read the topic, one read returns many records, and
+// a query for a job's state reads the topic first. The leader reads each record as it arrives,
+// however many entries there are.
 func TestReadersShare(t *testing.T) {
 	const records, every = 100, 20 * time.Millisecond
 	tests := []struct {
-		name        string
-		readers     int
-		leads       bool
-		noStandby   bool
-		least, most int64
-		lag         time.Duration
+		name               string
+		readers            int
+		leading            bool
+		noStandby          bool
+		minReads, maxReads int64
+		lag                time.Duration
 	}{
 		{"three entries", 3, false, false, 60, records + 10, 50 * time.Millisecond},
 		{"55 entries", 55, false, false, 4, 8, 400 * time.Millisecond},
@@ -85,41 +85,41 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
-				add(t, log, submission(t, one, "first"))
+			runBubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
+				appendRecords(t, log, submission(t, one, "first"))
 				counted := &jobtest.CountedLog{Log: log.Client("entry")}
 				r := jobstore.NewReplica(counted, func() int { return test.readers }, zerolog.Nop()).
 					WithStandby(func() bool { return !test.noStandby })
-				r.SetLeading(test.leads)
+				r.SetLeading(test.leading)
 				go r.Run(ctx)
 				time.Sleep(time.Second)
 				before := counted.Reads()
 				for range records {
-					add(t, log, progress(t, one, job.Running))
+					appendRecords(t, log, progress(t, one, job.Running))
 					time.Sleep(every)
 				}
-				if got := counted.Reads() - before; got < test.least || got > test.most {
-					t.Errorf("%d reads for %d records, want %d to %d", got, records, test.least, test.most)
+				if got := counted.Reads() - before; got < test.minReads || got > test.maxReads {
+					t.Errorf("%d reads for %d records, want %d to %d", got, records, test.minReads, test.maxReads)
 				}
-				add(t, log, progress(t, one, job.Completed))
+				appendRecords(t, log, progress(t, one, job.Completed))
 				time.Sleep(10 * time.Millisecond)
 				r.Refresh(ctx)
 				if phase, _ := r.Phase(one); test.lag > 100*time.Millisecond && phase != job.Completed {
-					t.Errorf("after a refresh the job is %v", phase)
+					t.Errorf("after a refresh the job is %v, want completed", phase)
 				}
-				add(t, log, submission(t, two, "second"))
+				appendRecords(t, log, submission(t, two, "second"))
 				time.Sleep(test.lag)
 				if _, ok := r.Phase(two); !ok {
-					t.Errorf("a job is not known %v after it was stored", test.lag)
+					t.Errorf("a job is unknown %v after it was stored", test.lag)
 				}
 			})
 		})
 	}
 }
 
-// TestRefreshOfSilentLog: a query doesn't wait for a silent log longer than its own deadline.
+// TestRefreshOfSilentLog checks that a query doesn't wait for a silent log beyond its own deadline.
 func TestRefreshOfSilentLog(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
+	runBubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		r := jobstore.NewReplica(log.Client("entry"), func() int { return 55 }, zerolog.Nop())
 		go r.Run(ctx)
 		time.Sleep(time.Second)
@@ -130,50 +130,50 @@
 		began := time.Now()
 		r.Refresh(limited)
 		if took := time.Since(began); took > 150*time.Millisecond {
-			t.Errorf("it took %v", took)
+			t.Errorf("the refresh took %v, want at most 150ms", took)
 		}
 	})
 }
 
 func TestReplica(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
-		add(t, log, submission(t, one, "first"), progress(t, one, job.Running))
-		r := jobstore.NewReplica(log.Client("entry"), alone, zerolog.Nop())
+	runBubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
+		appendRecords(t, log, submission(t, one, "first"), progress(t, one, job.Running))
+		r := jobstore.NewReplica(log.Client("entry"), noReaders, zerolog.Nop())
 		go r.Run(ctx)
 		time.Sleep(50 * time.Millisecond)
 		if r.SyncedAt().IsZero() {
 			t.Error("the replica is not in sync after 50 ms")
 		}
-		add(t, log, submission(t, one, "second"), submission(t, two, "other"))
+		appendRecords(t, log, submission(t, one, "second"), submission(t, two, "other"))
 		time.Sleep(50 * time.Millisecond)
 		for _, v := range r.Jobs() {
 			if j, err := job.Decode(v.ID, v.Submission); err != nil || v.ID == one && j.Spec != "first" {
-				t.Errorf("job %s has the spec %q, %v; the first submission counts", v.ID, j.Spec, err)
+				t.Errorf("job %s has the spec %q, %v; want the first submission", v.ID, j.Spec, err)
 			}
 		}
 		if got := r.Pending("q"); got != 1 {
 			t.Errorf("%d jobs are pending, want 1", got)
 		}
-		add(t, log, jobstore.CancelRecord(two), progress(t, one, job.Completed))
+		appendRecords(t, log, jobstore.CancelRecord(two), progress(t, one, job.Completed))
 		time.Sleep(50 * time.Millisecond)
 		for id, want := range map[job.ID]job.Phase{one: job.Completed, two: job.Cancelled} {
 			if got, ok := r.Phase(id); !ok || got != want {
 				t.Errorf("job %s is %v, want %v", id, got, want)
 			}
 		}
-		add(t, log, jobstore.DeleteRecords(one)...)
+		appendRecords(t, log, jobstore.DeleteRecords(one)...)
 		time.Sleep(50 * time.Millisecond)
 		if _, ok := r.Phase(one); ok {
-			t.Error("a job that was deleted is still known")
+			t.Error("a deleted job is still known")
 		}
 	})
 }
 
-// TestUnreadableRecords: a leader's record and a submission that can't be decoded are logged. The
-// former is ignored; the latter counts, so that the job isn't lost.
+// TestUnreadableRecords checks that a leader record and a submission that can't be decoded are
+// logged. The leader record is ignored; the submission counts, so that the job isn't lost.
 func TestUnreadableRecords(t *testing.T) {
 	var logged bytes.Buffer
-	r := jobstore.NewReplica(jobtest.NewLog(1).Client("entry"), alone, zerolog.New(&logged))
+	r := jobstore.NewReplica(jobtest.NewLog(1).Client("entry"), noReaders, zerolog.New(&logged))
 	leader := directory.Leader{Term: 3, Incarnation: "entry-1", Address: "10.0.0.1:1"}
 	record, err := directory.LeaderRecord(leader)
 	if err != nil {
@@ -186,7 +186,7 @@
 		t.Errorf("the leader is %+v, want %+v", got, leader)
 	}
 	if _, known := r.Job(one); !known {
-		t.Error("the job is not known")
+		t.Error("the job is unknown")
 	}
 	for _, want := range []string{"leader is unreadable", `"key":"j/` + string(one) + `"`} {
 		if !strings.Contains(logged.String(), want) {
@@ -195,70 +195,73 @@
 	}
 }
 
-// TestCompletedStays: a late cancellation doesn't turn a completed job into a cancelled one.
+// TestCompletedStays checks that a late cancellation doesn't turn a completed job into a cancelled
+// one.
 func TestCompletedStays(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
-		add(t, log, submission(t, one, ""), progress(t, one, job.Completed), jobstore.CancelRecord(one))
-		r := jobstore.NewReplica(log.Client("entry"), alone, zerolog.Nop())
+	runBubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
+		appendRecords(t, log, submission(t, one, ""), progress(t, one, job.Completed), jobstore.CancelRecord(one))
+		r := jobstore.NewReplica(log.Client("entry"), noReaders, zerolog.Nop())
 		go r.Run(ctx)
 		time.Sleep(50 * time.Millisecond)
 		if got, _ := r.Phase(one); got != job.Completed {
-			t.Errorf("it is %v", got)
+			t.Errorf("the job is %v, want completed", got)
 		}
 	})
 }
 
-// TestNoteOvertakes: reading older records doesn't undo what this process has appended itself.
+// TestNoteOvertakes checks that reading older records doesn't revert records that this process has
+// appended and applied.
 func TestNoteOvertakes(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
-		add(t, log, submission(t, one, ""), progress(t, one, job.Running))
-		r := jobstore.NewReplica(log.Client("entry"), alone, zerolog.Nop())
+	runBubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
+		appendRecords(t, log, submission(t, one, ""), progress(t, one, job.Running))
+		r := jobstore.NewReplica(log.Client("entry"), noReaders, zerolog.Nop())
 		r.ApplyLocal([]topic.Record{progress(t, one, job.Completed)}, 2)
 		go r.Run(ctx)
 		time.Sleep(time.Millisecond)
-		add(t, log, progress(t, one, job.Completed))
+		appendRecords(t, log, progress(t, one, job.Completed))
 		time.Sleep(50 * time.Millisecond)
 		if got, _ := r.Phase(one); got != job.Completed {
-			t.Errorf("it is %v", got)
+			t.Errorf("the job is %v, want completed", got)
 		}
 	})
 }
 
-// TestExpired: a reader whose next records have expired loads the newest of each key.
+// TestExpired checks that a reader loads the newest record of each key if the records it should
+// read next have expired.
 func TestExpired(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
-		r := jobstore.NewReplica(log.Client("entry"), alone, zerolog.Nop())
+	runBubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
+		r := jobstore.NewReplica(log.Client("entry"), noReaders, zerolog.Nop())
 		go r.Run(ctx)
 		time.Sleep(50 * time.Millisecond)
 		log.SetFault("entry", jobtest.Fault{Silent: true})
 		time.Sleep(2 * time.Second)
-		add(t, log, submission(t, one, ""), submission(t, two, ""))
+		appendRecords(t, log, submission(t, one, ""), submission(t, two, ""))
 		log.Expire()
 		log.SetFault("entry", jobtest.Fault{})
 		time.Sleep(2 * time.Second)
 		if _, ok := r.Phase(two); !ok {
-			t.Error("a job that came while records expired is not known")
+			t.Error("a job that was stored while records expired is unknown")
 		}
 	})
 }
 
-// TestBackSoon: a log that was silent is in use again within 0.1 s of its return, and a slow one is
-// followed too.
+// TestBackSoon checks that a log that was silent is in use again within 0.1 s of its recovery, and
+// that a slow log is followed too.
 func TestBackSoon(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
-		r := jobstore.NewReplica(log.Client("entry"), alone, zerolog.Nop())
+	runBubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
+		r := jobstore.NewReplica(log.Client("entry"), noReaders, zerolog.Nop())
 		go r.Run(ctx)
 		time.Sleep(50 * time.Millisecond)
-		for _, away := range []time.Duration{2, 4, 7, 9} {
+		for _, outage := range []time.Duration{2, 4, 7, 9} {
 			log.SetFault("entry", jobtest.Fault{Silent: true})
-			time.Sleep(away*time.Second + 130*time.Millisecond)
+			time.Sleep(outage*time.Second + 130*time.Millisecond)
 			log.SetFault("entry", jobtest.Fault{})
 			back := time.Now()
 			for !r.SyncedAt().After(back) {
 				time.Sleep(10 * time.Millisecond)
 			}
 			if took := time.Since(back); took > 100*time.Millisecond {
-				t.Errorf("after %d s of silence it took %v", away, took)
+				t.Errorf("after %d s of silence the replica took %v to be in sync", outage, took)
 			}
 		}
 		log.SetFault("entry", jobtest.Fault{Delay: 900 * time.Millisecond})
@@ -269,11 +272,11 @@
 	})
 }
 
-// TestDeaf: while reads that wait for records hang, probes still show that the replica is in sync,
-// so that callers' records are accepted.
+// TestDeaf checks that probes show that the replica is in sync while reads that wait for records
+// hang, so that callers' records are accepted.
 func TestDeaf(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
-		r := jobstore.NewReplica(log.Client("entry"), alone, zerolog.Nop())
+	runBubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
+		r := jobstore.NewReplica(log.Client("entry"), noReaders, zerolog.Nop())
 		go r.Run(ctx)
 		time.Sleep(50 * time.Millisecond)
 		log.SetFault("entry", jobtest.Fault{Deaf: true})
@@ -285,27 +288,28 @@
 	})
 }
 
-func followed(ctx context.Context, log *jobtest.Log, name string) *jobstore.Replica {
-	r := jobstore.NewReplica(log.Client(name), alone, zerolog.Nop())
+func startReplica(ctx context.Context, log *jobtest.Log, name string) *jobstore.Replica {
+	r := jobstore.NewReplica(log.Client(name), noReaders, zerolog.Nop())
 	go r.Run(ctx)
 	return r
 }
 
-// TestClaims: the log takes the claims of two entries for one term as duplicates of one append and
-// answers both with success. Only the one whose claim is read back leads.
+// TestClaims checks that one of two entries that claim the same term leads. The log treats their
+// claims as duplicates of one append and reports success to both; only the claim that is read back
+// counts.
 func TestClaims(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
+	runBubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		for _, name := range []string{"a", "b"} {
 			record, err := directory.LeaderRecord(directory.Leader{Term: 1, Incarnation: name, Address: name})
 			if err != nil {
 				t.Fatal(err)
 			}
-			claim := topic.Condition{Exact: true, Producer: directory.TermProducer(1, 0)}
+			claim := topic.Condition{CheckEnd: true, Producer: directory.TermProducer(1, 0)}
 			if _, err := log.Client(name).Append(ctx, []topic.Record{record}, claim); err != nil {
 				t.Errorf("%s: %v", name, err)
 			}
 		}
-		r := jobstore.NewReplica(log.Client("c"), alone, zerolog.Nop())
+		r := jobstore.NewReplica(log.Client("c"), noReaders, zerolog.Nop())
 		go r.Run(ctx)
 		time.Sleep(50 * time.Millisecond)
 		if o, _, _ := r.Leader(); o.Incarnation != "a" {
@@ -315,9 +319,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		claim := topic.Condition{Exact: true, At: 0, Producer: directory.TermProducer(2, 0)}
+		claim := topic.Condition{CheckEnd: true, ExpectedEnd: 0, Producer: directory.TermProducer(2, 0)}
 		if _, err := log.Client("b").Append(ctx, []topic.Record{late}, claim); !errors.Is(err, topic.ErrConflict) {
-			t.Errorf("a claim at an old end got %v", err)
+			t.Errorf("a claim at an outdated end of the topic got %v", err)
 		}
 	})
 }
--- a/jobs/jobstore/pacing.go
+++ b/jobs/jobstore/pacing.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// Pace of reads. If every entry read each record as it comes, the reads would grow as the number of
-// entries times that of records. So entries read at intervals that grow with their number, and one
-// read brings all records of an interval.
+// Intervals of reads. If every entry read each record as it arrives, the number of reads would be
+// the number of entries times that of records. Entries therefore read at intervals that grow with
+// their number, and one read returns all records of an interval.
 const (
 	// readWait is how long a read waits for records.
 	readWait = 300 * time.Millisecond
-	// readIntervalPerReader is the time between two reads for each entry that reads the topic.
+	// readIntervalPerReader is the interval between two reads per entry that reads the topic.
 	readIntervalPerReader = 7 * time.Millisecond
-	// maxStandbyInterval bounds the interval of standbys. It has to be well below the time-out
-	// after which they claim the lead, so that they see the leader's heartbeats in time.
+	// maxStandbyInterval bounds the interval of standbys. It has to be well below the timeout after
+	// which they claim leadership, so that they see the leader's heartbeats in time.
 	maxStandbyInterval = 400 * time.Millisecond
 	// maxOtherInterval bounds the interval of the other entries. It has to be shorter than
-	// maxSyncAge by more than the log's response time, so that they always accept callers' records.
+	// maxSyncAge by more than the log's response time, so that these entries always accept callers'
+	// records.
 	maxOtherInterval = 800 * time.Millisecond
-	// refreshAge is how long ago an entry may have been in sync to answer a query without reading
-	// first.
+	// refreshAge is the maximum time since an entry was last in sync at which it answers a query
+	// without reading first.
 	refreshAge = 50 * time.Millisecond
 )
 
 // minReadInterval returns the shortest time between two reads. The leader needs each record at
-// once. A slow log adds its response time to the age of what was read, so the longer interval is
-// only for a fast one.
+// once. A slow log adds its response time to the age of what was read, so the longer interval
+// applies only to a fast log.
 func (r *Replica) minReadInterval() time.Duration {
 	if r.leading.Load() {
 		return 0
@@ -38,8 +39,8 @@
 	return min(time.Duration(r.readers())*readIntervalPerReader, longest)
 }
 
-// probeReaders returns how many processes share the probes of a log that doesn't answer. The leader
-// probes as if it were alone: no job starts until it is back.
+// probeReaders returns how many processes share the probes of a log that doesn't respond. The
+// leader probes as if it were the only one: no job starts until the log is back.
 func (r *Replica) probeReaders() int {
 	if r.leading.Load() {
 		return 1
@@ -47,7 +48,7 @@
 	return r.readers()
 }
 
-// SetLeading says whether this process leads and so reads each record as it comes.
+// SetLeading sets whether this process is the leader, which reads each record as it arrives.
 func (r *Replica) SetLeading(leading bool) {
 	r.leading.Store(leading)
 	r.tail.ReadNow()
@@ -56,11 +57,11 @@
 // Leading reports whether this process leads.
 func (r *Replica) Leading() bool { return r.leading.Load() }
 
-// ReadNow lets the next read start at once.
+// ReadNow makes the next read start at once.
 func (r *Replica) ReadNow() { r.tail.ReadNow() }
 
-// Refresh reads what there is, unless the replica was in sync a moment ago or reads all the time
-// anyway. It returns early when ctx ends.
+// Refresh reads the records that there are, unless the replica was in sync a moment ago or reads
+// continuously anyway. It returns early if ctx ends.
 func (r *Replica) Refresh(ctx context.Context) {
 	asked := time.Now()
 	for ctx.Err() == nil {
--- a/jobs/jobstore/peers.go
+++ b/jobs/jobstore/peers.go
@@ -16,7 +16,7 @@
 const (
 	// maxPeersAsked is the number of other entries asked to store a record. It has to be large
 	// enough to find one that reaches a log which rejects part of the entries, and small enough
-	// that a rejection by all of them leaves the caller time to come back.
+	// that a rejection by all of them leaves the caller time to retry.
 	maxPeersAsked = 5
 	// probeInterval is the time between two probes of an unreachable entry.
 	probeInterval = time.Second
@@ -24,19 +24,19 @@
 	probeTimeout = 500 * time.Millisecond
 )
 
-// peers chooses the entries to ask, and remembers which are unreachable.
+// peers selects the entries to ask, and tracks which are unreachable.
 type peers struct {
-	// addresses returns those of all entries; self is this one's.
+	// addresses returns the addresses of all entries; self is the address of this one.
 	addresses func() []string
 	self      string
 	client    *http.Client
 	logger    zerolog.Logger
 
-	// turn shifts the choice with each record.
-	turn atomic.Int64
+	// rotation shifts the selection with each record.
+	rotation atomic.Int64
 
 	mu sync.Mutex
-	// probedAt holds the unreachable entries and when each was last probed, by address.
+	// probedAt holds when each unreachable entry was last probed, by address.
 	probedAt map[string]time.Time
 }
 
@@ -51,7 +51,7 @@
 }
 
 // choose returns the entries to ask for one record: a few of the reachable ones, evenly spread over
-// the list, and others each time.
+// the list, and different ones for each record.
 func (p *peers) choose() []string {
 	var reachable []string
 	for _, address := range p.addresses() {
@@ -62,16 +62,16 @@
 	if len(reachable) <= maxPeersAsked {
 		return reachable
 	}
-	turn := int(p.turn.Add(1))
+	rotation := int(p.rotation.Add(1))
 	chosen := make([]string, maxPeersAsked)
 	for i := range chosen {
-		chosen[i] = reachable[(turn+i*len(reachable)/maxPeersAsked)%len(reachable)]
+		chosen[i] = reachable[(rotation+i*len(reachable)/maxPeersAsked)%len(reachable)]
 	}
 	return chosen
 }
 
 // unreachable reports whether an entry was unreachable when it was last asked or probed. Probes run
-// in the background: connecting to a box that is gone takes time that callers don't have.
+// in the background: connecting to a box that is down takes longer than callers can wait.
 func (p *peers) unreachable(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,14 +83,14 @@
 	return unreachable
 }
 
-// markUnreachable records that an entry could not be reached.
+// markUnreachable marks an entry as unreachable.
 func (p *peers) markUnreachable(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.probedAt[address] = time.Now()
 }
 
-// probe finds out whether an entry is reachable again. Any answer will do.
+// probe checks whether an entry is reachable again. Any response, also an error, shows that it is.
 func (p *peers) probe(address string) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
--- a/jobs/jobstore/records.go
+++ b/jobs/jobstore/records.go
@@ -7,7 +7,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// Prefixes of keys, before the ID of a job.
+// Prefixes of keys. The ID of a job follows.
 const (
 	submissionPrefix = "j/"
 	cancelPrefix     = "c/"
@@ -31,7 +31,7 @@
 	return topic.Record{Key: progressPrefix + string(id), Value: value}, err
 }
 
-// DeleteRecords returns the records that delete all that is stored of a job.
+// DeleteRecords returns the records that delete everything stored of a job.
 func DeleteRecords(id job.ID) []topic.Record {
 	return []topic.Record{
 		{Key: submissionPrefix + string(id)},
@@ -45,7 +45,7 @@
 	return strings.HasPrefix(key, submissionPrefix) || strings.HasPrefix(key, cancelPrefix)
 }
 
-// splitKey returns the prefix and the job of a key, and false if the key is not that of a job.
+// splitKey returns the prefix and the job ID of a key, and false if the key is not that of a job.
 func splitKey(key string) (prefix string, id job.ID, ok bool) {
 	for _, p := range []string{submissionPrefix, cancelPrefix, progressPrefix} {
 		if rest, found := strings.CutPrefix(key, p); found {
--- a/jobs/jobstore/replica.go
+++ b/jobs/jobstore/replica.go
@@ -1,14 +1,14 @@
 // Package jobstore stores jobs in one keyed topic of the log: submissions, cancellations, the
-// progress of each job, and who is the leader.
+// progress of each job, and the current leader.
 //
 // A Replica follows the topic and holds the newest record of each key. It reports when it was last
 // in sync, and its users decide whether that is recent enough. A Writer stores callers' records,
 // through other entries if this one can't reach the log. Every entry writes submissions and
-// cancellations; only the leader writes progress, and the log fences off a leader that has been
-// succeeded by the term in its appends.
+// cancellations. Only the leader writes progress: its appends carry its term, by which the log
+// fences off a former leader.
 //
-// The package owns the keys and the pace of reads. The encoding of values is that of package job,
-// reading and retries are those of package topic.
+// The package defines the keys and the intervals of reads. Values are encoded by package job, and
+// reads and their retries are made by package topic.
 //
 // # Usage
 //
@@ -47,12 +47,11 @@
 	jobs   table
 	sync   syncState
 	leader directory.Leader
-	// leaderSeenAt is when the last record of the leader came, by this process's clock.
+	// leaderSeenAt is when the last record of the leader arrived, by this process's clock.
 	leaderSeenAt time.Time
 	// next is the offset up to which all records have been read.
 	next int64
-	// changed tells of any record, jobsChanged of changed jobs or another leader, updated of every
-	// read.
+	// changed signals any record, jobsChanged changed jobs or a new leader, and updated every read.
 	changed     broadcast.Signal
 	jobsChanged broadcast.Signal
 	updated     broadcast.Signal
@@ -79,7 +78,7 @@
 	return r
 }
 
-// WithStandby sets what reports whether this process is a standby. By default it is.
+// WithStandby sets the function that reports whether this process is a standby. By default it is.
 func (r *Replica) WithStandby(isStandby func() bool) *Replica {
 	r.isStandby = isStandby
 	return r
@@ -112,7 +111,7 @@
 	r.updated.Notify()
 	firstSync := r.sync.at.IsZero() && !u.SyncedAt.IsZero()
 	if !u.SyncedAt.IsZero() {
-		r.sync.reached(u.SyncedAt)
+		r.sync.markSynced(u.SyncedAt)
 	}
 	if firstSync || u.Snapshot || len(u.Records) > 0 {
 		r.notify(before)
@@ -126,12 +125,12 @@
 	defer r.mu.Unlock()
 	before := r.leader
 	for i, record := range records {
-		r.applyRecord(topic.Stored{Record: record, Offset: first + int64(i)})
+		r.applyRecord(topic.StoredRecord{Record: record, Offset: first + int64(i)})
 	}
 	r.notify(before)
 }
 
-// notify wakes those who wait for a change, given the leader before it. The lock must be held.
+// notify signals a change, given the leader before it. The lock must be held.
 func (r *Replica) notify(before directory.Leader) {
 	r.changed.Notify()
 	if len(r.jobs.changed) > 0 || r.leader != before {
@@ -140,7 +139,7 @@
 }
 
 // applyRecord applies one record. The lock must be held.
-func (r *Replica) applyRecord(s topic.Stored) {
+func (r *Replica) applyRecord(s topic.StoredRecord) {
 	if s.Key == directory.LeaderKey {
 		r.applyLeader(s)
 		return
@@ -154,8 +153,8 @@
 	}
 }
 
-// applyLeader sets the leader, unless its term is over. The lock must be held.
-func (r *Replica) applyLeader(s topic.Stored) {
+// applyLeader sets the leader, unless a later term has begun. The lock must be held.
+func (r *Replica) applyLeader(s topic.StoredRecord) {
 	leader, err := directory.DecodeLeader(s.Value)
 	if err != nil {
 		r.logger.Error().Str("step", "jobstore.read").Int64("offset", s.Offset).Err(err).Msg("leader is unreadable")
@@ -173,8 +172,8 @@
 	return r.changed.Next()
 }
 
-// JobsChanged returns a channel that is closed once TakeChanged has something to return or the
-// leader changes. Progress doesn't count: it is the leader itself that writes it.
+// JobsChanged returns a channel that is closed once TakeChanged has jobs to return or the leader
+// changes. Progress doesn't count, because the leader writes it itself.
 func (r *Replica) JobsChanged() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -182,22 +181,23 @@
 }
 
 // SyncedAt returns when the replica was last in sync with the end of the topic: the time at which
-// the read was sent. It is zero before the first time. The time since then includes suspensions of
-// the machine.
+// the read was sent, or zero if no read has reached the end. The time since then includes
+// suspensions of the machine.
 func (r *Replica) SyncedAt() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.sync.lastTime()
 }
 
-// SyncedFor returns for how long the replica has been in sync without a gap; zero if it isn't now.
+// SyncedFor returns how long the replica has been in sync without a gap, or zero if it isn't in
+// sync.
 func (r *Replica) SyncedFor() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.sync.duration()
 }
 
-// Leader returns the newest leader, when its last record came (zero if none has since the last
+// Leader returns the newest leader, when its last record arrived (zero if none has since the last
 // snapshot), and the offset up to which all records have been read.
 func (r *Replica) Leader() (leader directory.Leader, seenAt time.Time, next int64) {
 	r.mu.Lock()
@@ -223,14 +223,14 @@
 	return r.jobs.pending(queue)
 }
 
-// Jobs returns all jobs, in no order, and resets TakeChanged.
+// Jobs returns all jobs, in no particular order, and resets TakeChanged.
 func (r *Replica) Jobs() []StoredJob {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.jobs.all()
 }
 
-// Job returns a job, and false if none has the ID.
+// Job returns a job, and false if no job has the ID.
 func (r *Replica) Job(id job.ID) (StoredJob, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -249,7 +249,7 @@
 }
 
 // TakeChanged returns the jobs that were submitted or cancelled since the last call of Jobs or
-// TakeChanged, in no order.
+// TakeChanged, in no particular order.
 func (r *Replica) TakeChanged() []StoredJob {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/jobs/jobstore/table.go
+++ b/jobs/jobstore/table.go
@@ -8,7 +8,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// StoredJob is all that is stored of a job, in its encoded form.
+// StoredJob is everything stored of a job, in encoded form.
 type StoredJob struct {
 	ID         job.ID
 	Submission []byte
@@ -22,8 +22,8 @@
 	offset int64
 }
 
-// none is the version of a key without a record.
-var none = version{offset: -1}
+// noVersion is the version of a key without a record.
+var noVersion = version{offset: -1}
 
 // row holds the newest records of a job, and its queue.
 type row struct {
@@ -46,7 +46,7 @@
 	}
 }
 
-// phase returns the phase of the job. A job that has ended isn't cancelled any more.
+// phase returns the phase of the job. A cancellation has no effect on a job that has ended.
 func (r *row) phase() job.Phase {
 	p := job.PhaseOf(r.progress.value)
 	if !p.Final() && r.cancel.value != nil {
@@ -55,7 +55,7 @@
 	return p
 }
 
-// submit keeps the first submission of a job: a second one is a retry of its caller.
+// submit keeps the first submission of a job: a second one is a retry by its caller.
 func (r *row) submit(id job.ID, v version) error {
 	r.submission.offset = v.offset
 	if v.value == nil {
@@ -85,7 +85,7 @@
 	return table{rows: map[job.ID]*row{}, changed: map[job.ID]bool{}}
 }
 
-// clear removes all jobs; all of them count as changed.
+// clear removes all jobs and marks them as changed.
 func (t *table) clear() {
 	for id := range t.rows {
 		t.changed[id] = true
@@ -94,16 +94,16 @@
 }
 
 // apply applies a record, unless a newer one of its key has been applied. It reports whether the
-// record is newer progress of a job. An error means that the job's queue is unknown; the record
-// counts nevertheless.
-func (t *table) apply(s topic.Stored) (progressed bool, err error) {
+// record is newer progress of a job. An error means that the job's queue is unknown; the record is
+// applied nevertheless.
+func (t *table) apply(s topic.StoredRecord) (progressed bool, err error) {
 	prefix, id, ok := splitKey(s.Key)
 	if !ok {
 		return false, nil
 	}
 	r := t.rows[id]
 	if r == nil {
-		r = &row{submission: none, cancel: none, progress: none}
+		r = &row{submission: noVersion, cancel: noVersion, progress: noVersion}
 		t.rows[id] = r
 	}
 	v := version{value: s.Value, offset: s.Offset}
@@ -155,7 +155,7 @@
 	return n
 }
 
-// all returns all jobs; none counts as changed any more.
+// all returns all jobs and resets the set of changed ones.
 func (t *table) all() []StoredJob {
 	jobs := make([]StoredJob, 0, len(t.rows))
 	for id, r := range t.rows {
@@ -165,7 +165,7 @@
 	return jobs
 }
 
-// takeChanged returns the changed jobs that are still stored; none counts as changed any more.
+// takeChanged returns the changed jobs that are still stored, and resets the set of changed ones.
 func (t *table) takeChanged() []StoredJob {
 	var jobs []StoredJob
 	for id := range t.changed {
--- a/jobs/jobstore/writer.go
+++ b/jobs/jobstore/writer.go
@@ -18,15 +18,15 @@
 	appendTimeout = 2 * time.Second
 	// retryDelay is the delay between two rounds of attempts.
 	retryDelay = 150 * time.Millisecond
-	// maxSyncAge is how long ago the replica may have been in sync for a record to be sent to the
-	// log. A log that has been silent for longer would leave it uncertain whether the record is
-	// stored.
+	// maxSyncAge is the maximum time since the replica was last in sync at which a record is sent
+	// to the log. If the log has been silent for longer, it would be uncertain whether the record
+	// is stored.
 	maxSyncAge = 1200 * time.Millisecond
 )
 
 // Writer stores callers' records, submissions and cancellations, through this entry's own
-// connection to the log or through another entry. Storing such a record twice does no harm, so
-// attempts without an answer are hedged.
+// connection to the log or through another entry. Storing such a record twice is harmless, so
+// attempts without a response are hedged.
 type Writer struct {
 	log     topic.Log
 	latency *hedge.Latency
@@ -37,7 +37,7 @@
 }
 
 // NewWriter returns a writer. The latency is the process's estimate for the log, addresses returns
-// those of all entries, and self is the address of this one.
+// the addresses of all entries, and self is the address of this one.
 func NewWriter(
 	log topic.Log, latency *hedge.Latency, replica *Replica, addresses func() []string, self string,
 	client *http.Client, logger zerolog.Logger,
@@ -56,11 +56,11 @@
 type route func(ctx context.Context) (int64, error)
 
 // Write stores a record. If topic.NotApplied holds for its error, the record is not stored and
-// never will be. After any other error it may be stored, also later.
+// never will be. After any other error the record may be stored, or may be stored later.
 func (wr *Writer) Write(ctx context.Context, record topic.Record) error {
 	uncertain := false
 	for {
-		offset, err := wr.round(ctx, wr.routes(record))
+		offset, err := wr.tryRoutes(ctx, wr.routes(record))
 		if err == nil {
 			wr.replica.ApplyLocal([]topic.Record{record}, offset)
 			return nil
@@ -76,8 +76,8 @@
 	}
 }
 
-// routes returns the routes for a record: this entry's own one first, if the log is reachable, then
-// a few peers.
+// routes returns the routes for a record: this entry's own connection first, if the log is
+// reachable, then a few peers.
 func (wr *Writer) routes(record topic.Record) []route {
 	var routes []route
 	if wr.logReachable() {
@@ -89,11 +89,11 @@
 	return routes
 }
 
-// round tries the routes in their order, each as soon as the previous one has failed or is slow,
+// tryRoutes tries the routes in order, each as soon as the previous one has failed or is slow,
 // until one succeeds.
-func (wr *Writer) round(ctx context.Context, routes []route) (int64, error) {
+func (wr *Writer) tryRoutes(ctx context.Context, routes []route) (int64, error) {
 	if len(routes) == 0 {
-		return 0, fmt.Errorf("%w: no way to the log", topic.ErrRejected)
+		return 0, fmt.Errorf("%w: no route to the log", topic.ErrRejected)
 	}
 	call := hedge.Call[int64]{
 		Attempt:     func(ctx context.Context, n int) (int64, error) { return routes[n](ctx) },
@@ -105,7 +105,8 @@
 	return call.Do(ctx)
 }
 
-// preferUncertain returns the error of two attempts after which the record may be stored.
+// preferUncertain merges the errors of two attempts: it returns one after which the record may be
+// stored, if there is one.
 func preferUncertain(earlier, later error) error {
 	if topic.NotApplied(earlier) {
 		return later
@@ -113,9 +114,9 @@
 	return earlier
 }
 
-// logReachable reports whether this entry may send a record to the log: the log has answered lately
-// and doesn't reject this entry. Otherwise the caller is better off with a rejection at once than
-// with an uncertain result after its deadline.
+// logReachable reports whether this entry may send a record to the log: the log has responded
+// recently and doesn't reject this entry. Otherwise an immediate rejection serves the caller better
+// than an uncertain result after its deadline.
 func (wr *Writer) logReachable() bool {
 	syncedAt := wr.replica.SyncedAt()
 	return !syncedAt.IsZero() && time.Since(syncedAt) < maxSyncAge && !wr.replica.Rejected()
--- a/jobs/jobstore/writer_test.go
+++ b/jobs/jobstore/writer_test.go
@@ -21,14 +21,15 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// writers starts two entries that store records for each other, and returns the first.
-func writers(ctx context.Context, log *jobtest.Log) *jobstore.Writer {
+// startWriters starts two entries that store records for each other, and returns the writer of the
+// first.
+func startWriters(ctx context.Context, log *jobtest.Log) *jobstore.Writer {
 	network := memnet.New()
 	var first *jobstore.Writer
 	peers := func() []string { return []string{"a", "b"} }
 	for _, name := range peers() {
 		w := newWriter(ctx, log, name, peers, network.Client("http://"+name))
-		network.Attach("http://"+name, routerOf(w.ServeWrite))
+		network.Attach("http://"+name, newRouter(w.ServeWrite))
 		if first == nil {
 			first = w
 		}
@@ -41,12 +42,12 @@
 func newWriter(
 	ctx context.Context, log *jobtest.Log, name string, peers func() []string, client *http.Client,
 ) *jobstore.Writer {
-	replica := followed(ctx, log, name)
+	replica := startReplica(ctx, log, name)
 	return jobstore.NewWriter(log.Client(name), hedge.NewLatency(), replica, peers, name, client, zerolog.Nop())
 }
 
-// routerOf serves an entry's part in storing records for others.
-func routerOf(store http.HandlerFunc) http.Handler {
+// newRouter returns a router that serves RecordsPath with a handler.
+func newRouter(store http.HandlerFunc) http.Handler {
 	router := httprouter.New()
 	router.HandlerFunc(http.MethodPost, jobstore.RecordsPath, store)
 	return router
@@ -75,8 +76,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
-				w := writers(ctx, log)
+			runBubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
+				w := startWriters(ctx, log)
 				log.SetFault("a", test.a)
 				log.SetFault("b", test.b)
 				time.Sleep(test.settle)
@@ -85,7 +86,7 @@
 				began := time.Now()
 				err := w.Write(call, submission(t, one, ""))
 				if took := time.Since(began); took > test.within {
-					t.Errorf("it took %v, want at most %v", took, test.within)
+					t.Errorf("the write took %v, want at most %v", took, test.within)
 				}
 				if (err == nil) != test.stored {
 					t.Errorf("got %v, want stored %v", err, test.stored)
@@ -98,40 +99,40 @@
 	}
 }
 
-// slowDial lets connections fail as those to a box without power do: after a while.
-type slowDial struct {
+// unreachableTransport delays and fails requests as connections to a box without power do.
+type unreachableTransport struct {
 	http.RoundTripper
-	mu   sync.Mutex
-	gone bool
+	mu          sync.Mutex
+	unreachable bool
 }
 
-func (s *slowDial) setGone(gone bool) {
+func (s *unreachableTransport) setUnreachable(unreachable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gone = gone
+	s.unreachable = unreachable
 }
 
-func (s *slowDial) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *unreachableTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	s.mu.Lock()
-	gone := s.gone
+	unreachable := s.unreachable
 	s.mu.Unlock()
-	if !gone {
+	if !unreachable {
 		return s.RoundTripper.RoundTrip(r)
 	}
 	time.Sleep(400 * time.Millisecond)
 	return nil, &net.OpError{Op: "dial", Err: errors.New("i/o timeout")}
 }
 
-// TestGonePeer: an entry whose box is gone holds up one rejection, and no later one; once it is
-// back it is used again.
+// TestGonePeer checks that an entry whose box is down delays only one rejection, and that the entry
+// is used again once it is back.
 func TestGonePeer(t *testing.T) {
-	bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
+	runBubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 		network := memnet.New()
 		peer := newWriter(ctx, log, "b", func() []string { return nil }, http.DefaultClient)
-		network.Attach("http://b", routerOf(peer.ServeWrite))
+		network.Attach("http://b", newRouter(peer.ServeWrite))
 		client := network.Client("http://a")
-		dial := &slowDial{RoundTripper: client.Transport, gone: true}
-		client.Transport = dial
+		transport := &unreachableTransport{RoundTripper: client.Transport, unreachable: true}
+		client.Transport = transport
 		w := newWriter(ctx, log, "a", func() []string { return []string{"a", "b"} }, client)
 		log.SetFault("a", jobtest.Fault{Refuse: true})
 		rejected := func(within time.Duration) {
@@ -150,21 +151,21 @@
 			time.Sleep(900 * time.Millisecond)
 			rejected(20 * time.Millisecond)
 		}
-		dial.setGone(false)
+		transport.setUnreachable(false)
 		back := time.Now()
 		for w.Write(ctx, submission(t, one, "")) != nil {
 			time.Sleep(100 * time.Millisecond)
 		}
 		if took := time.Since(back); took > 1200*time.Millisecond {
-			t.Errorf("an entry that is back was used after %v", took)
+			t.Errorf("an entry that is back was used after %v, want at most 1.2s", took)
 		}
 	})
 }
 
-// fleet starts entries that store records for each other, and returns the first. The log rejects
-// the given number of them, from the first on. asked counts the records that entries were asked to
-// store.
-func fleet(ctx context.Context, log *jobtest.Log, entries, rejected int, asked *atomic.Int64) *jobstore.Writer {
+// startFleet starts entries that store records for each other, and returns the writer of the first.
+// The log rejects the given number of entries, starting with the first. asked counts the records
+// that entries were asked to store.
+func startFleet(ctx context.Context, log *jobtest.Log, entries, rejected int, asked *atomic.Int64) *jobstore.Writer {
 	network := memnet.New()
 	names := make([]string, entries)
 	for i := range names {
@@ -173,7 +174,7 @@
 	var first *jobstore.Writer
 	for i, name := range names {
 		entry := newWriter(ctx, log, name, func() []string { return names }, network.Client("http://"+name))
-		network.Attach("http://"+name, routerOf(func(w http.ResponseWriter, r *http.Request) {
+		network.Attach("http://"+name, newRouter(func(w http.ResponseWriter, r *http.Request) {
 			asked.Add(1)
 			entry.ServeWrite(w, r)
 		}))
@@ -187,13 +188,14 @@
 	return first
 }
 
-// TestFewAreAsked: in a large fleet a rejection doesn't wait for each entry, also when the log
-// rejects the first of them, and where it rejects only part of the entries the others are found.
+// TestFewAreAsked checks that in a large fleet a rejection doesn't wait for each entry, even if the
+// log rejects the first of them, and that a route is found if the log rejects only part of the
+// entries.
 func TestFewAreAsked(t *testing.T) {
 	const entries = 55
 	tests := []struct {
 		name string
-		// rejected is how many of the entries the log rejects, from the first on.
+		// rejected is how many of the entries the log rejects, starting with the first.
 		rejected int
 		stored   bool
 	}{
@@ -203,9 +205,9 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			bubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
+			runBubble(t, func(t *testing.T, ctx context.Context, log *jobtest.Log) {
 				var asked atomic.Int64
-				w := fleet(ctx, log, entries, test.rejected, &asked)
+				w := startFleet(ctx, log, entries, test.rejected, &asked)
 				time.Sleep(100 * time.Millisecond)
 				for range entries {
 					asked.Store(0)
--- a/jobs/jobtest/log.go
+++ b/jobs/jobtest/log.go
@@ -44,7 +44,7 @@
 // Log is a keyed topic in memory.
 type Log struct {
 	mu      sync.Mutex
-	records []topic.Stored
+	records []topic.StoredRecord
 	// first is the offset of the oldest record that reads can start from.
 	first int64
 	// epochs and sequences hold the newest of each producer, and answers the offset that each of
@@ -181,7 +181,7 @@
 			}
 		}
 	}
-	if condition.Exact && condition.At != end {
+	if condition.CheckEnd && condition.ExpectedEnd != end {
 		return 0, topic.ErrConflict
 	}
 	if p := condition.Producer; p != nil {
@@ -192,7 +192,7 @@
 		l.answers[p.Name][p.Sequence] = end
 	}
 	for i, r := range records {
-		l.records = append(l.records, topic.Stored{Record: r, Offset: end + int64(i)})
+		l.records = append(l.records, topic.StoredRecord{Record: r, Offset: end + int64(i)})
 	}
 	close(l.changed)
 	l.changed = make(chan struct{})
@@ -257,7 +257,7 @@
 	}
 	c.log.mu.Lock()
 	defer c.log.mu.Unlock()
-	newest := map[string]topic.Stored{}
+	newest := map[string]topic.StoredRecord{}
 	for _, r := range c.log.records {
 		newest[r.Key] = r
 	}
--- a/jobs/jobtest/rig_test.go
+++ b/jobs/jobtest/rig_test.go
@@ -285,11 +285,11 @@
 	s.network.Attach("http://"+p.name, http.NotFoundHandler())
 	p.runner = runner.New(
 		runner.Settings{
-			Name:         p.name,
-			Agent:        fmt.Sprintf("%s/%d", p.name, p.incarnation),
-			Lease:        lease,
-			Drift:        0.03,
-			CordonWithin: jobtest.CordonBound,
+			Name:           p.name,
+			Agent:          fmt.Sprintf("%s/%d", p.name, p.incarnation),
+			Lease:          lease,
+			Drift:          0.03,
+			MaxCordonDelay: jobtest.CordonBound,
 		},
 		runner.Dependencies{
 			Worker:  s.worker[i],
--- a/jobs/leader/campaign.go
+++ b/jobs/leader/campaign.go
@@ -110,7 +110,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	condition := topic.Condition{At: end, Exact: true, Producer: directory.TermProducer(term, 0)}
+	condition := topic.Condition{ExpectedEnd: end, CheckEnd: true, Producer: directory.TermProducer(term, 0)}
 	offset, err := c.deps.Log.Append(ctx, []topic.Record{record}, condition)
 	c.deps.Logger.Info().Str("step", "leader.claim").Int64("term", term).Int64("offset", offset).Err(err).
 		Msg("leadership claimed")
--- a/jobs/runner/fixture_test.go
+++ b/jobs/runner/fixture_test.go
@@ -122,7 +122,7 @@
 
 // agentSettings returns the settings of an agent's process for worker w.
 func agentSettings(process string) runner.Settings {
-	return runner.Settings{Name: "w", Agent: process, Lease: lease, Drift: 0.03, CordonWithin: jobtest.CordonBound}
+	return runner.Settings{Name: "w", Agent: process, Lease: lease, Drift: 0.03, MaxCordonDelay: jobtest.CordonBound}
 }
 
 // newGrantingLeader returns a leader that grants leases in a zone that is not cordoned.
--- a/jobs/runner/golden_test.go
+++ b/jobs/runner/golden_test.go
@@ -165,7 +165,7 @@
 		w := &scriptedWorker{starts: map[assignment.RunID]error{}}
 		o := &leader{answer: assignment.Answer{Term: 1, Fence: 1, LeaseMillis: lease.Milliseconds()}}
 		r := runner.New(
-			runner.Settings{Name: "w", Agent: "1", Lease: lease, CordonWithin: jobtest.CordonBound, Service: "s", Zone: "z"},
+			runner.Settings{Name: "w", Agent: "1", Lease: lease, MaxCordonDelay: jobtest.CordonBound, Service: "s", Zone: "z"},
 			runner.Dependencies{
 				Worker:     w,
 				Leader:     o,
--- a/jobs/runner/runner.go
+++ b/jobs/runner/runner.go
@@ -48,8 +48,8 @@
 	Lease time.Duration
 	// Drift is the maximum fraction by which the worker's clock may run slow.
 	Drift float64
-	// CordonWithin is how long after a cordon of its zone a worker may still start runs.
-	CordonWithin time.Duration
+	// MaxCordonDelay is how long after a cordon of its zone a worker may still start runs.
+	MaxCordonDelay time.Duration
 }
 
 // Leader finds the leader and sends polls to it.
--- a/jobs/runner/starts.go
+++ b/jobs/runner/starts.go
@@ -24,9 +24,9 @@
 // zoneProofMaxAge is the maximum age of the proof that the worker's zone is not cordoned when a
 // start is sent. An operator's cordon is acknowledged no earlier than the proof was taken, and the
 // start is carried out no later than its call ends. With this limit, nothing starts later than
-// CordonWithin after the acknowledgment.
+// MaxCordonDelay after the acknowledgment.
 func (s Settings) zoneProofMaxAge() time.Duration {
-	return time.Duration(float64(s.CordonWithin)*(1-s.Drift)) - callTimeout - schedulingMargin
+	return time.Duration(float64(s.MaxCordonDelay)*(1-s.Drift)) - callTimeout - schedulingMargin
 }
 
 // pendingStart is a start that the agent tries to have carried out.
--- a/jobs/topic/health.go
+++ b/jobs/topic/health.go
@@ -9,19 +9,20 @@
 	"github.com/rs/zerolog"
 )
 
-// rejectedAfter is the number of consecutive errors after which the log is taken to reject this
-// process. A single error may be the reset of one connection.
+// rejectedAfter is the number of consecutive errors after which the log is considered to reject
+// this process. A single error may be the reset of one connection.
 const rejectedAfter = 2
 
-// health tracks whether the log answers, and logs when it stops and when it answers again.
+// health tracks whether the log responds, and logs when it stops responding and when it responds
+// again.
 type health struct {
 	topic  string
 	logger zerolog.Logger
 
 	failures     int
 	failingSince time.Time
-	// errors counts consecutive attempts that ended with an error other than a timeout. It is read
-	// by other goroutines.
+	// errors counts consecutive attempts that ended with an error other than a timeout. Other
+	// goroutines read it.
 	errors atomic.Int64
 }
 
@@ -33,7 +34,7 @@
 	h.failed(ctx, err)
 }
 
-// failed records a failure.
+// failed records a failure, and logs the first of consecutive ones.
 func (h *health) failed(ctx context.Context, err error) {
 	h.failures++
 	if h.failures > 1 || ctx.Err() != nil {
@@ -43,7 +44,7 @@
 	h.logger.Warn().Str("step", "jobstore.read").Str("topic", h.topic).Err(err).Msg("the log does not answer")
 }
 
-// succeeded records an answer.
+// succeeded records a response.
 func (h *health) succeeded() {
 	h.errors.Store(0)
 	if h.failures == 0 {
--- a/jobs/topic/hedged_read.go
+++ b/jobs/topic/hedged_read.go
@@ -8,19 +8,20 @@
 )
 
 // minFullReadInterval is the time after which a full read that is still running is repeated; it
-// doubles with each repetition. A log that is back after an outage has much to send to many
-// readers, and would not get through if they repeated their reads at the pace of probes.
+// doubles with each repetition. After an outage a log has to send many records to many readers, and
+// could not if they repeated their reads at the interval of probes.
 const minFullReadInterval = time.Second
 
-// errReadRunning is the result of a probe that found records which a running read is fetching
-// already.
-var errReadRunning = errors.New("records are being read")
+// errReadRunning is the result of a probe that found records which a running read is already
+// fetching.
+var errReadRunning = errors.New("a full read is already running")
 
-// hedgedRead is one read of a topic, made in as many attempts as it takes.
+// hedgedRead is one read of a topic, made in as many attempts as needed.
 //
-// The first attempt waits for records and returns them. The later ones probe whether the log
-// answers. A probe that finds no record answers the read as well. One that finds records shows that
-// the first attempt is stuck, and starts a full read, unless a recent one is still running.
+// The first attempt waits for records and returns them. Later attempts probe whether the log
+// responds. A probe that finds no records completes the read as well. A probe that finds records
+// shows that the first attempt is stuck, and starts a full read, unless a recent one is still
+// running.
 type hedgedRead struct {
 	log  Log
 	next int64
@@ -39,7 +40,7 @@
 	return &hedgedRead{log: log, next: next, wait: wait}
 }
 
-// read makes an attempt.
+// read makes one attempt.
 func (r *hedgedRead) read(ctx context.Context, attempt int) (Batch, error) {
 	if attempt == 0 {
 		return r.log.Read(ctx, Query{From: r.next, Wait: r.wait})
@@ -55,7 +56,7 @@
 	return r.log.Read(ctx, Query{From: r.next})
 }
 
-// startFullRead reports whether a full read may start, and counts it.
+// startFullRead reports whether a full read may start, and counts it if so.
 func (r *hedgedRead) startFullRead(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/jobs/topic/metrics.go
+++ b/jobs/topic/metrics.go
@@ -10,7 +10,7 @@
 	"yarrowgrade.example/yarrowgrade/internal/telemetry"
 )
 
-// result is the outcome of a call to the log, as a label of the counters.
+// result is the outcome of a call to the log, used as a label of the counters.
 type result string
 
 const (
@@ -38,7 +38,7 @@
 	return resultNoAnswer
 }
 
-// measuredLog counts the calls to a log by their results, and the time of appends.
+// measuredLog counts the calls to a log by result, and measures the duration of appends.
 type measuredLog struct {
 	log        Log
 	appends    telemetry.Counters[result]
@@ -48,7 +48,8 @@
 	unreadable tally.Counter
 }
 
-// WithMetrics returns the log with its calls counted. All topics of a process share the counters.
+// WithMetrics returns a log that counts the calls to the given one. All topics of a process share
+// the counters.
 func WithMetrics(log Log, scope tally.Scope) Log {
 	results := []result{resultDone, resultRejected, resultConflict, resultFenced, resultExpired, resultNoAnswer}
 	counters := func(name string) telemetry.Counters[result] {
--- a/jobs/topic/pacer.go
+++ b/jobs/topic/pacer.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// minProbeInterval is the time between two probes of a log that doesn't answer or returns
-	// errors. It is short because rejected callers come back within some hundred milliseconds, and
-	// because a new connection works at once when the log is back, while an old one may stay silent
+	// minProbeInterval is the time between two probes of a log that doesn't respond or returns
+	// errors. It is short because rejected callers retry within some hundred milliseconds, and
+	// because a new connection works as soon as the log is back, while an old one may remain silent
 	// for a second.
 	minProbeInterval = 80 * time.Millisecond
-	// probeIntervalPerReader is the probe interval for each process that reads the topic, where
-	// that is longer. It bounds the probes of all processes together.
+	// probeIntervalPerReader is the probe interval per process that reads the topic, where the
+	// product is longer than minProbeInterval. It bounds the probes of all processes together.
 	probeIntervalPerReader = 2 * time.Millisecond
 )
 
-// pacer decides when the next read starts and how long it waits for records.
+// pacer determines when the next read starts and how long it waits for records.
 type pacer struct {
 	// wait returns how long a read may wait for records.
 	wait func() time.Duration
-	// minInterval returns the shortest time between the starts of two reads; zero lets them follow
-	// at once.
+	// minInterval returns the shortest time between the starts of two reads; with zero the next
+	// read starts at once.
 	minInterval func() time.Duration
 	// readers returns how many processes read the topic.
 	readers func() int
@@ -41,8 +41,8 @@
 }
 
 // next blocks until the next read may start and returns how long it may wait for records. The
-// interval is taken off the wait, so that the reader is never longer out of sync than with reads
-// back to back. A read after wake doesn't wait.
+// interval is subtracted from the wait, so that the reader is never out of sync for longer than
+// with back-to-back reads. A read after wake doesn't wait.
 func (p *pacer) next(ctx context.Context) time.Duration {
 	interval := p.minInterval()
 	if interval <= 0 {
@@ -59,7 +59,7 @@
 	return 0
 }
 
-// wake lets the next read start at once.
+// wake makes the next read start at once.
 func (p *pacer) wake() {
 	select {
 	case p.woken <- struct{}{}:
@@ -67,7 +67,7 @@
 	}
 }
 
-// probeInterval returns the time between two attempts while the log doesn't answer.
+// probeInterval returns the time between two attempts while the log doesn't respond.
 func (p *pacer) probeInterval() time.Duration {
 	return max(minProbeInterval, time.Duration(p.readers())*probeIntervalPerReader)
 }
--- a/jobs/topic/relay_client.go
+++ b/jobs/topic/relay_client.go
@@ -16,19 +16,19 @@
 )
 
 // RelayClient is a log that reads new records from relay servers. It falls back to the log itself
-// when there is no server to ask, or the one that was asked fails or is out of sync. Appends, loads
-// and probes always go to the log.
+// if there is no server to ask, or if the server fails or is out of sync. Appends, loads and probes
+// always go to the log.
 type RelayClient struct {
 	Log
 	path   string
 	client *http.Client
-	// servers returns the addresses of the relay servers; none if this process has to read the log
-	// itself.
+	// servers returns the addresses of the relay servers, or none if this process has to read the
+	// log itself.
 	servers func() []string
 	logger  zerolog.Logger
 
 	mu sync.Mutex
-	// failedAt holds when servers failed that are not to be asked for a while, by address.
+	// failedAt holds the time of failure of each server that is avoided for now, by address.
 	failedAt map[string]time.Time
 }
 
@@ -62,7 +62,7 @@
 		return batch, err
 	}
 	c.logger.Warn().Str("step", "jobstore.relay").Str("source", servers[0]).Err(err).
-		Msg("news are not handed on; the log is read instead")
+		Msg("relay server failed; reading from the log instead")
 	c.mu.Lock()
 	c.failedAt[servers[0]] = time.Now()
 	c.mu.Unlock()
@@ -82,7 +82,7 @@
 	return failed
 }
 
-// ask reads from a server, and checks that its answer is complete and recent.
+// ask reads from a server, and checks that its response is complete and recent.
 func (c *RelayClient) ask(ctx context.Context, address string, from int64) (Batch, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayWait+relayGrace)
 	defer cancel()
@@ -92,11 +92,11 @@
 	if err != nil {
 		return Batch{}, err
 	}
-	// The staleness counts from when the request was sent, and the server has held the request
-	// since.
+	// The staleness is relative to when the request was sent, and the server has held the request
+	// since then.
 	age := time.Duration(response.AgeMillis-response.HeldMillis) * time.Millisecond
 	if age > maxRelayedAge || response.End != from+int64(len(response.Records)) {
-		return Batch{}, fault.New("jobstore.relay", address, fmt.Errorf("%w: got %d of the records up to %d, in sync %v ago",
+		return Batch{}, fault.New("jobstore.relay", address, fmt.Errorf("%w: got %d records up to offset %d, in sync %v ago",
 			errNotBuffered, len(response.Records), response.End, age))
 	}
 	for i, s := range response.Records {
--- a/jobs/topic/relay_server.go
+++ b/jobs/topic/relay_server.go
@@ -13,13 +13,13 @@
 	"yarrowgrade.example/yarrowgrade/internal/suspend"
 )
 
-// RelayServer passes the newest records that a tail has read on to other processes.
+// RelayServer serves the newest records that a tail has read to other processes.
 type RelayServer struct {
 	clock suspend.Clock
 
 	mu sync.Mutex
 	// buffer holds the newest records, without gaps; next is the offset after the last.
-	buffer   []Stored
+	buffer   []StoredRecord
 	next     int64
 	syncedAt suspend.Instant
 	changed  broadcast.Signal
@@ -30,7 +30,7 @@
 	return &RelayServer{clock: clock}
 }
 
-// Publish adds what a tail has read.
+// Publish adds the records that a tail has read.
 func (s *RelayServer) Publish(u Update) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,8 +64,8 @@
 	return response, s.changed.Next(), nil
 }
 
-// ServeHTTP answers GET ?from=OFFSET with a RelayResponse, as soon as there are records or after
-// relayWait. It answers 404 if it doesn't have all records from the offset on.
+// ServeHTTP responds to GET ?from=OFFSET with a RelayResponse, as soon as there are records or
+// after relayWait. It responds with 404 if it doesn't have all records from the offset on.
 func (s *RelayServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	received := time.Now()
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
--- a/jobs/topic/tail.go
+++ b/jobs/topic/tail.go
@@ -14,25 +14,26 @@
 const (
 	// readTimeout bounds one attempt to read, in addition to the time that it waits for records.
 	readTimeout = 2500 * time.Millisecond
-	// loadInterval is the time between two hedged loads of the newest records; the interval of
-	// probes applies where it is longer.
+	// loadInterval is the time between two hedged loads of the newest records. If the probe
+	// interval is longer, it applies instead.
 	loadInterval = 500 * time.Millisecond
-	// silentAfter is the number of unanswered attempts after which the log counts as silent.
+	// silentAfter is the number of attempts without a response after which the log counts as
+	// silent.
 	silentAfter = 3
 )
 
-// errSilent is the failure of a log that has left several attempts unanswered.
+// errSilent is the failure of a log that has not responded to several attempts.
 var errSilent = errors.New("no answer")
 
 // Update is what a tail has read.
 type Update struct {
-	Records []Stored
-	// Snapshot says that Records are the newest of all keys and replace whatever was read before.
+	Records []StoredRecord
+	// Snapshot means that Records are the newest of all keys and replace everything read before.
 	Snapshot bool
 	// Next is the offset up to which all records have been read.
 	Next int64
 	// SyncedAt is when the read was sent, if it reached the end of the topic, and zero otherwise.
-	// What was appended before that time has been read.
+	// Everything appended before that time has been read.
 	SyncedAt suspend.Instant
 }
 
@@ -44,14 +45,14 @@
 	name   string
 	logger zerolog.Logger
 	clock  suspend.Clock
-	// latency is that of the log's answers, without the time for which a read waits.
+	// latency is the response time of the log, without the time for which a read waits.
 	latency *hedge.Latency
 	pacer   pacer
 	health  health
 
-	// loaded says that the newest records have been loaded and next is valid.
+	// loaded means that the newest records have been loaded and next is valid.
 	loaded bool
-	// synced says that a read has reached the end of the topic.
+	// synced means that a read has reached the end of the topic.
 	synced bool
 	next   int64
 }
@@ -69,7 +70,7 @@
 	}
 }
 
-// WithMinInterval sets the shortest time between the starts of two reads, so that one read brings
+// WithMinInterval sets the shortest time between the starts of two reads, so that one read returns
 // all records of that time. The function is called before each read.
 func (t *Tail) WithMinInterval(interval func() time.Duration) *Tail {
 	t.pacer.minInterval = interval
@@ -83,7 +84,7 @@
 }
 
 // WithReaders sets how many processes read the topic. The more there are, the less often each of
-// them probes a log that doesn't answer.
+// them probes a log that doesn't respond.
 func (t *Tail) WithReaders(readers func() int) *Tail {
 	t.pacer.readers = readers
 	return t
@@ -95,7 +96,7 @@
 	return t
 }
 
-// ReadNow lets the next read start at once.
+// ReadNow makes the next read start at once.
 func (t *Tail) ReadNow() { t.pacer.wake() }
 
 // Latency returns the estimate of the log's response time.
@@ -134,7 +135,7 @@
 	})
 	if errors.Is(err, ErrExpired) {
 		t.logger.Info().Str("step", "jobstore.read").Str("topic", t.name).Int64("offset", t.next).
-			Msg("records have expired; the newest are loaded")
+			Msg("records have expired; loading the newest ones")
 		t.loaded = false
 		return t.load(ctx)
 	}
@@ -160,35 +161,35 @@
 		return Update{}, err
 	}
 	t.next, t.loaded = a.batch.End, true
-	if bad := a.batch.Unreadable; len(bad) > 0 {
-		t.logger.Error().Str("step", "jobstore.load").Str("topic", t.name).Int("records", len(bad)).Err(bad[0]).
-			Msg("some records are unreadable; the others are in use")
+	if unreadable := a.batch.Unreadable; len(unreadable) > 0 {
+		t.logger.Error().Str("step", "jobstore.load").Str("topic", t.name).Int("records", len(unreadable)).
+			Err(unreadable[0]).Msg("some records are unreadable; using the others")
 	}
 	t.logger.Info().Str("step", "jobstore.load").Str("topic", t.name).Int("records", len(a.batch.Records)).
-		Int64("offset", a.batch.End).Msg("newest records loaded")
+		Int64("offset", a.batch.End).Msg("loaded the newest records")
 	return Update{Records: a.batch.Records, Snapshot: true, Next: t.next}, nil
 }
 
-// request is a read that is repeated until the log answers.
+// request is a read that is repeated until the log responds.
 type request struct {
 	// wait is how long the first attempt waits for records. The others don't wait.
 	wait time.Duration
 	// hedgeInterval returns the time between two attempts after the first.
 	hedgeInterval func() time.Duration
-	// read makes an attempt.
+	// read makes one attempt.
 	read func(ctx context.Context, attempt int) (Batch, error)
 }
 
-// answer is the result of a request, with the time at which the answered attempt was sent.
-type answer struct {
+// readResult is the result of a request, with the time at which the successful attempt was sent.
+type readResult struct {
 	batch Batch
 	sent  suspend.Instant
 }
 
 // call makes a request.
-func (t *Tail) call(ctx context.Context, r request) (answer, error) {
-	call := hedge.Call[answer]{
-		Attempt: func(ctx context.Context, attempt int) (answer, error) { return t.attempt(ctx, r, attempt) },
+func (t *Tail) call(ctx context.Context, r request) (readResult, error) {
+	call := hedge.Call[readResult]{
+		Attempt: func(ctx context.Context, attempt int) (readResult, error) { return t.attempt(ctx, r, attempt) },
 		HedgeAfter: func(attempt int) time.Duration {
 			if attempt == silentAfter {
 				t.health.failed(ctx, errSilent)
@@ -218,7 +219,7 @@
 }
 
 // attempt makes one attempt of a request.
-func (t *Tail) attempt(ctx context.Context, r request, attempt int) (answer, error) {
+func (t *Tail) attempt(ctx context.Context, r request, attempt int) (readResult, error) {
 	wait := r.wait
 	if attempt > 0 {
 		wait = 0
@@ -226,8 +227,8 @@
 	sent := t.clock.Now()
 	batch, err := r.read(ctx, attempt)
 	if took := t.clock.Since(sent); err == nil && took >= wait {
-		// A read that records have ended early says nothing about the response time.
+		// If records arrived before the wait was over, the duration doesn't show the response time.
 		t.latency.Observe(took - wait)
 	}
-	return answer{batch: batch, sent: sent}, err
+	return readResult{batch: batch, sent: sent}, err
 }
