--- a/sessions/entry/snapshots.go
+++ b/sessions/entry/snapshots.go
@@ -15,7 +15,7 @@
 		return
 	}
 	state := e.replica.State()
-	revision, at := state.Saved()
+	revision, at := state.LastSnapshot()
 	patience := 1 + float64(e.peers.rank())/2
 	records := float64(state.Revision() - revision)
 	age := time.Since(e.began)
--- a/sessions/ledger/bench_test.go
+++ b/sessions/ledger/bench_test.go
@@ -8,9 +8,10 @@
 	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
-// designHistory is a state of the size to design for: 1,400 workers, 170 teams, 700 running and
-// 50 waiting sessions, and a full memory of ids.
-func designHistory(t testing.TB, workers int) *history {
+// fullSizeHistory returns a history with the given number of workers, scaled from the design size:
+// 1,400 workers, 170 teams, 700 running and 50 waiting sessions, and the maximum number of
+// remembered record IDs.
+func fullSizeHistory(t testing.TB, workers int) *history {
 	h := &history{t: t, state: NewState()}
 	for i := range workers {
 		w := testWorker(i)
@@ -36,14 +37,14 @@
 	return h
 }
 
-// BenchmarkState shows the size of a state, and the cost of a record and of a snapshot, against
-// the number of workers.
+// BenchmarkState measures the size of a state and the cost of a record and of a snapshot, for
+// several numbers of workers.
 func BenchmarkState(b *testing.B) {
 	for _, workers := range []int{14, 140, 1400} {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		h := designHistory(b, workers)
+		h := fullSizeHistory(b, workers)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		data, err := EncodeState(h.state)
@@ -70,7 +71,7 @@
 	}
 }
 
-// benchPlace folds one placement into the same state again and again.
+// benchPlace repeatedly applies one placement to the same state.
 func benchPlace(b *testing.B, s State, borrowed bool) {
 	h := &history{t: b, state: s, number: 1 << 20}
 	h.add(create("bench", "t0", shape(2, placement.SameRack)))
@@ -85,7 +86,7 @@
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		if _, v := h.state.With(h.state.Revision()+1, data); v.Status != Accepted {
+		if _, v := h.state.Apply(h.state.Revision()+1, data); v.Status != Accepted {
 			b.Fatalf("%+v", v)
 		}
 	}
--- a/sessions/ledger/config.go
+++ b/sessions/ledger/config.go
@@ -18,14 +18,14 @@
 	PolicyPrefix = "policy/"
 )
 
-// historyLimit is the number of earlier values kept for an entry.
+// historyLimit is the number of earlier values kept per entry.
 const historyLimit = 8
 
-// maxValueBytes is the maximum size of a value. With 450 changes a day and 140 agents at an entry,
-// values of this size cause 12 KB/s of polls.
+// maxValueBytes is the maximum size of a value. With 450 changes a day and 140 agents per entry,
+// values of this size cause 12 KB/s of poll traffic.
 const maxValueBytes = 16 << 10
 
-// Change is a value of an entry and who set it when, in ms since 1970.
+// Change is a value of an entry, with its author and the time of the change in ms since 1970.
 type Change struct {
 	Revision int64           `json:"revision"`
 	Value    json.RawMessage `json:"value"`
@@ -33,7 +33,7 @@
 	At       int64           `json:"at"`
 }
 
-// ConfigEntry is the value of a key. History has earlier values, the newest first.
+// ConfigEntry is the current value of a key. History has the earlier values, newest first.
 type ConfigEntry struct {
 	Key string `json:"key"`
 	Change
@@ -52,7 +52,7 @@
 	return ConfigEntry{Key: e.Key, Change: c, History: history}
 }
 
-// Team is a team of users with its guarantees.
+// Team is a customer, with its guarantees.
 type Team struct {
 	Name       string                `json:"name"`
 	Guarantees []placement.Guarantee `json:"guarantees"`
@@ -81,7 +81,7 @@
 	maxCount      = 256
 )
 
-// Validate returns a *fault.Field for the first field that is wrong.
+// Validate returns a *fault.Field for the first invalid field.
 func (t Team) Validate() error {
 	if !namePattern.MatchString(t.Name) {
 		return fault.BadField("name", "want 1 to 63 of a-z, 0-9, '.', '_' and '-', got %q", t.Name)
@@ -103,17 +103,17 @@
 	return nil
 }
 
-// Limits are the limits of the request path.
+// Limits configures the limits of the request path.
 type Limits struct {
-	// QueueLength is the maximum number of requests that wait at an agent.
+	// QueueLength is the maximum number of requests queued at an agent.
 	QueueLength int `json:"queue_length"`
-	// RetryPercent is how many retries an entry may make per 100 requests.
+	// RetryPercent is the number of retries that an entry may make per 100 requests.
 	RetryPercent int `json:"retry_percent"`
-	// MaxDeadlineMillis is the longest deadline that a caller may ask for, in ms.
+	// MaxDeadlineMillis is the longest deadline that a caller may request, in ms.
 	MaxDeadlineMillis int64 `json:"max_deadline_ms"`
 }
 
-// DefaultLimits are used until an operator sets others.
+// DefaultLimits returns the limits that apply until an operator sets others.
 func DefaultLimits() Limits {
 	return Limits{QueueLength: 64, RetryPercent: 10, MaxDeadlineMillis: 60_000}
 }
@@ -124,7 +124,7 @@
 	maxDeadlineMillis = int64(10 * time.Minute / time.Millisecond)
 )
 
-// Validate returns a *fault.Field for the first field that is wrong.
+// Validate returns a *fault.Field for the first invalid field.
 func (l Limits) Validate() error {
 	if l.QueueLength < 0 || l.QueueLength > maxQueueLength {
 		return fault.BadField("queue_length", "want 0 to %d, got %d", maxQueueLength, l.QueueLength)
@@ -144,13 +144,13 @@
 	Profile string `json:"profile"`
 }
 
-// Names of the profiles.
+// Names of the placement profiles.
 const (
 	CompletionFirst    = "completion"
 	FragmentationFirst = "fragmentation"
 )
 
-// Validate returns a *fault.Field for the first field that is wrong.
+// Validate returns a *fault.Field for the first invalid field.
 func (p PlacementConfig) Validate() error {
 	if p.Profile != CompletionFirst && p.Profile != FragmentationFirst {
 		return fault.BadField("profile", "want %s or %s, got %q", CompletionFirst, FragmentationFirst, p.Profile)
@@ -174,13 +174,13 @@
 		if err != nil {
 			return err
 		}
-		return sameName(t.Name, strings.TrimPrefix(key, TeamPrefix))
+		return checkName(t.Name, strings.TrimPrefix(key, TeamPrefix))
 	case strings.HasPrefix(key, PolicyPrefix):
 		var p policy.Policy
 		if err := decodeValid(value, &p); err != nil {
 			return err
 		}
-		return sameName(p.Name, strings.TrimPrefix(key, PolicyPrefix))
+		return checkName(p.Name, strings.TrimPrefix(key, PolicyPrefix))
 	}
 	return fault.BadField("key", "want %s, %s, %sNAME or %sNAME, got %q",
 		LimitsKey, PlacementKey, TeamPrefix, PolicyPrefix, key)
@@ -205,7 +205,7 @@
 	return t, t.Validate()
 }
 
-func sameName(name, keyName string) error {
+func checkName(name, keyName string) error {
 	if name != keyName {
 		return fault.BadField("name", "is %q, but the key names %q", name, keyName)
 	}
--- a/sessions/ledger/follower.go
+++ b/sessions/ledger/follower.go
@@ -11,21 +11,21 @@
 
 // Timeouts of the follower.
 const (
-	// readLimit is how many records one read asks for.
+	// readLimit is the maximum number of records per read.
 	readLimit = 256
-	// readWait is how long a read waits for the next record. A link that drops packets is noticed
-	// after readWait + readGrace. This must leave time to get a peer's state, since a change of the
-	// configuration has to take effect within 7 s.
+	// readWait is how long a read waits for the next record. A link that drops packets is detected
+	// after readWait + readGrace. This must leave time to fetch a peer's state, because a
+	// configuration change has to take effect within 7 s.
 	readWait = 3 * time.Second
-	// readGrace is how much longer than its wait a read may take.
+	// readGrace is the time that a read may take in addition to its wait.
 	readGrace = time.Second
 	// readRetry is the pause after a failed read.
 	readRetry = 250 * time.Millisecond
-	// loadTimeout limits the loading of a snapshot.
+	// loadTimeout limits the time to load a snapshot.
 	loadTimeout = 5 * time.Second
 )
 
-// PeerStates gets states from other processes.
+// PeerStates fetches states from other processes.
 type PeerStates interface {
 	// NewerState returns a state of a peer that is newer than the revision, if there is one.
 	NewerState(ctx context.Context, revision int64) (State, bool)
@@ -35,18 +35,19 @@
 type Update struct {
 	// Records are the next records of the log.
 	Records []hosting.Record
-	// State is a whole state from a snapshot or from a peer; nil if there is none.
+	// State is a full state from a snapshot or a peer; nil if there is none.
 	State *State
-	// FromPeer means that State came from a running process, so it is as new as that one's.
+	// FromPeer means that State came from a running process, so it is as recent as the state of
+	// that process.
 	FromPeer bool
-	// AtEnd means that the log had no further records when it was read.
+	// AtEnd means that the read reached the end of the log.
 	AtEnd bool
 	// Err is the error of a failed read.
 	Err error
 }
 
-// Follower reads the log for a replica. If records are missing, it gets a whole state from the
-// newest snapshot or from a peer.
+// Follower reads the log for a replica. If it cannot read the next records, it fetches a full state
+// from the newest snapshot or from a peer.
 type Follower struct {
 	log   hosting.Log
 	peers PeerStates
@@ -62,13 +63,13 @@
 // Run reads until ctx ends and sends every update to out.
 func (f *Follower) Run(ctx context.Context, out chan<- Update) {
 	f.loadSnapshot(ctx, out)
-	// The first reads do not wait for records, because the process is ready once it has seen the
+	// The first reads do not wait for records, because the process is ready once it has reached the
 	// end of the log.
 	wait := time.Duration(0)
 	for ctx.Err() == nil {
 		batch, err := f.read(ctx, wait)
 		if err != nil {
-			// A read that does not wait for records shows sooner that the log is back.
+			// A read that does not wait for records detects a recovered log sooner.
 			wait = 0
 			f.recover(ctx, out, err)
 			continue
@@ -90,7 +91,7 @@
 	return f.log.Read(ctx, hosting.LedgerStream, f.next, readLimit, wait)
 }
 
-// loadSnapshot continues from the newest snapshot, if there is one that can be read.
+// loadSnapshot resumes from the newest snapshot, if one can be read.
 func (f *Follower) loadSnapshot(ctx context.Context, out chan<- Update) {
 	bounded, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
@@ -107,7 +108,7 @@
 	send(ctx, out, Update{State: &s, FromPeer: fromPeer})
 }
 
-// recover handles a failed read. If the records have expired, it loads a snapshot. In any case
+// recover handles a failed read. If the records have expired, it loads a snapshot. In all cases
 // it asks the peers for a newer state.
 func (f *Follower) recover(ctx context.Context, out chan<- Update, err error) {
 	send(ctx, out, Update{Err: err})
--- a/sessions/ledger/golden_test.go
+++ b/sessions/ledger/golden_test.go
@@ -43,7 +43,7 @@
 	goldenTeam  = Team{Name: "plates", Guarantees: []placement.Guarantee{{Shape: goldenShape, Count: 2}}, Share: 3}
 )
 
-// goldenRecords has a record of each kind, by its name.
+// goldenRecords returns a record of each kind, by the name of the kind.
 func goldenRecords() map[string]Record {
 	record := func(r Record) Record {
 		r.ID, r.Base, r.At = "id-1", 3, 1_700_000_000_000
@@ -94,7 +94,7 @@
 			t.Errorf("%s: decoded %+v, %v", file, decoded, err)
 		}
 	}
-	// All kinds in one: the rig finds a kind that has no golden record.
+	// One record with all kinds, so that goldentest finds a kind without a golden record.
 	goldentest.JSON(t, "record", Record{
 		ID: "id-1", Base: 3, At: 1_700_000_000_000, Void: kinds["void"].Void, Config: kinds["config"].Config,
 		Join: kinds["join"].Join, Leave: kinds["leave"].Leave, Create: kinds["create"].Create, Cancel: kinds["cancel"].Cancel,
@@ -124,7 +124,7 @@
 	goldentest.Bytes(t, "limits-in-force.json", data)
 }
 
-// TestGoldenConfigShort: operators leave out what has a default.
+// TestGoldenConfigShort checks that fields with a default may be omitted.
 func TestGoldenConfigShort(t *testing.T) {
 	goldentest.Bytes(t, "team-short.json", []byte(`{"name":"plates","guarantees":[{"accelerators":8}]}`))
 	team, err := decodeTeam(goldentest.Read(t, "team-short.json"))
@@ -149,8 +149,8 @@
 	}
 }
 
-// goldenForm is the stored form of a state, with every field set.
-func goldenForm() storedState {
+// goldenStoredState returns the stored form of a state with every field set.
+func goldenStoredState() storedState {
 	team, err := json.Marshal(goldenTeam)
 	if err != nil {
 		panic(err)
@@ -169,18 +169,17 @@
 	}
 }
 
-// TestGoldenState: the stored form of a state, plain and as it is compressed in a snapshot.
+// TestGoldenState checks the stored form of a state, both plain and compressed as in a snapshot.
 func TestGoldenState(t *testing.T) {
-	goldentest.JSON(t, "state", goldenForm())
-	s, err := goldenForm().state()
+	goldentest.JSON(t, "state", goldenStoredState())
+	s, err := goldenStoredState().state()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := plainState(t, s); !bytes.Equal(got, goldentest.Read(t, "state.json")) {
 		t.Errorf("the state is stored as %s", got)
 	}
-	// A compressor may write other bytes in another version of the runtime, so the file is only
-	// read.
+	// The compressed bytes may differ between Go versions, so the file is only read.
 	const file = "state.gz"
 	decoded, err := DecodeState(goldentest.Read(t, file))
 	if err != nil {
@@ -191,7 +190,7 @@
 	}
 }
 
-// plainState is the stored form of a state without its compression.
+// plainState returns the uncompressed stored form of a state.
 func plainState(t *testing.T, s State) []byte {
 	t.Helper()
 	data, err := EncodeState(s)
@@ -213,23 +212,23 @@
 	goldentest.JSON(t, "chunk", chunk{Writer: "entry-1", Revision: 20, Index: 1, Total: 2, Data: []byte("part")})
 }
 
-// TestGoldenHistory folds a history that an earlier version wrote, and compares the verdicts
-// and the state.
+// TestGoldenHistory applies a history written by an earlier version and compares the verdicts and
+// the resulting state.
 func TestGoldenHistory(t *testing.T) {
 	goldentest.Bytes(t, "history.jsonl", goldenHistory(t))
 	var verdicts bytes.Buffer
 	s := NewState()
 	for i, line := range bytes.Split(bytes.TrimSpace(goldentest.Read(t, "history.jsonl")), []byte("\n")) {
 		var v Verdict
-		s, v = s.With(int64(i+1), line)
+		s, v = s.Apply(int64(i+1), line)
 		fmt.Fprintf(&verdicts, "%d %s %s\n", v.Offset, v.ID, v.Status)
 	}
 	goldentest.Bytes(t, "history-verdicts.txt", verdicts.Bytes())
 	goldentest.Bytes(t, "history-state.json", withoutReasons(t, plainState(t, s)))
 }
 
-// withoutReasons is a stored state without the texts that say why records were rejected. Those
-// are for people.
+// withoutReasons returns a stored state without the rejection reasons, whose wording may change
+// because only people read them.
 func withoutReasons(t *testing.T, plain []byte) []byte {
 	t.Helper()
 	var form storedState
@@ -246,8 +245,8 @@
 	return append(data, '\n')
 }
 
-// goldenHistory has a record a line: two sessions of one team come, are placed, run, are
-// stopped and end.
+// goldenHistory returns a history with one record per line, in which two sessions of one team are
+// created, placed, started, stopped and ended.
 func goldenHistory(t *testing.T) []byte {
 	t.Helper()
 	second := goldenSpec
--- a/sessions/ledger/placing.go
+++ b/sessions/ledger/placing.go
@@ -10,7 +10,7 @@
 
 func decimal(n int64) string { return strconv.FormatInt(n, 10) }
 
-// place accepts all members of a gang or none.
+// place assigns all members of a gang or rejects the record.
 func (s State) place(offset, at int64, p Place) (State, error) {
 	session, found := s.sessions.Get(p.Session)
 	if !found {
@@ -19,7 +19,7 @@
 	if session.Phase != SessionWaiting {
 		return s, fault.BadField("session", "%q is %s", p.Session, session.Phase)
 	}
-	shape, err := s.shapeToMeet(session, p.Borrowed)
+	shape, err := s.requiredShape(session, p.Borrowed)
 	if err != nil {
 		return s, err
 	}
@@ -51,9 +51,9 @@
 	return next, nil
 }
 
-// shapeToMeet returns the shape that the members must have: the session's or, if the placement
-// is not borrowed, that of the guarantee that it uses.
-func (s State) shapeToMeet(session Session, borrowed bool) (placement.Shape, error) {
+// requiredShape returns the shape that the members must have: the shape of the session or, if the
+// placement is not borrowed, the shape of the guarantee that it uses.
+func (s State) requiredShape(session Session, borrowed bool) (placement.Shape, error) {
 	if borrowed {
 		return session.Shape, nil
 	}
@@ -112,7 +112,8 @@
 	last := -1
 	for _, a := range accelerators {
 		if a <= last || a >= len(w.Holders) {
-			return fault.BadField("members.accelerators", "want growing numbers below %d, got %v", len(w.Holders), accelerators)
+			return fault.BadField("members.accelerators", "want growing numbers below %d, got %v",
+				len(w.Holders), accelerators)
 		}
 		if w.Holders[a] != 0 {
 			return fault.BadField("members.accelerators", "%d of %q is held by placement %d", a, w.Name, w.Holders[a])
@@ -123,8 +124,8 @@
 }
 
 // checkGuarantees checks that a placement that uses a guarantee does not increase the number of
-// guarantees that cannot be met. There may be some before it, for example after the loss of
-// workers. Borrowed placements need no check, because they can be reclaimed.
+// guarantees that cannot be met. Some may already be unmet, for example after the loss of workers.
+// Borrowed placements need no check, because they can be reclaimed.
 func (s State) checkGuarantees(next State) error {
 	if short := next.Shortfall(); len(short) > len(s.Shortfall()) {
 		return fault.BadField("members", "team %q could not have its guarantee of %d accelerators back",
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// Entitlements returns all guarantees with the number of placements that use each.
+// Entitlements returns all guarantees, each with the number of placements that use it.
 func (s State) Entitlements() []placement.Entitlement {
 	var list []placement.Entitlement
 	for _, t := range s.Teams() {
@@ -152,8 +153,8 @@
 	return list
 }
 
-// Shortfall returns the guarantees that could not be met now even if all borrowed accelerators were
-// reclaimed. It is empty unless workers were lost or more was guaranteed than there is.
+// Shortfall returns the guarantees that could not be met even if all borrowed accelerators were
+// reclaimed. It is empty unless workers were lost or the guarantees exceed the capacity.
 func (s State) Shortfall() []placement.Entitlement {
 	workers := s.PlacementWorkers()
 	borrowed := make(map[int64]bool)
@@ -165,7 +166,7 @@
 	return placement.Shortfall(capacity, s.Entitlements())
 }
 
-// PlacementWorkers returns the workers with accelerators that are not leaving.
+// PlacementWorkers returns the workers that have accelerators and are not leaving.
 func (s State) PlacementWorkers() []placement.Worker {
 	list := make([]placement.Worker, 0, s.workers.Len())
 	for _, w := range s.Workers() {
@@ -188,8 +189,8 @@
 	return s
 }
 
-// touch marks the workers of a placement as changed, so that their agents get a new view.
-func (s State) touch(offset int64, p Placement) State {
+// markChanged marks the workers of a placement as changed, so that their agents get a new view.
+func (s State) markChanged(offset int64, p Placement) State {
 	for _, m := range p.Members {
 		if w, found := s.workers.Get(m.Worker); found {
 			s = s.withWorker(w.WithRevision(offset))
@@ -207,7 +208,7 @@
 		return s, fault.BadField("token", "placement %d is %s", r.Token, p.Phase)
 	}
 	p.Phase = Running
-	return s.withPlacement(p).touch(offset, p), nil
+	return s.withPlacement(p).markChanged(offset, p), nil
 }
 
 func (s State) stop(offset int64, r Stop) (State, error) {
@@ -232,11 +233,11 @@
 		return s
 	}
 	p.Phase, p.Reason, p.For = Stopping, reason, beneficiary
-	return s.withPlacement(p).touch(offset, p)
+	return s.withPlacement(p).markChanged(offset, p)
 }
 
-// placedSession returns a placement and its session. It is an error if the session has ended or has
-// another placement.
+// placedSession returns a placement and its session. It returns an error if the session has ended
+// or has another placement.
 func (s State) placedSession(token int64) (Placement, Session, error) {
 	p, found := s.placements.Get(token)
 	if !found {
@@ -261,7 +262,7 @@
 	return s.endSession(offset, at, session, SessionFinished), nil
 }
 
-// checkpoint records saved work, from which the session continues if a member is lost.
+// checkpoint records the saved work from which the session resumes if a member is lost.
 func (s State) checkpoint(r Checkpoint) (State, error) {
 	_, session, err := s.placedSession(r.Token)
 	if err != nil {
@@ -301,7 +302,7 @@
 		return s.withPlacement(p), nil
 	}
 	s.placements = s.placements.Delete(p.Token)
-	return s.backToWaiting(at, p), nil
+	return s.requeueSession(at, p), nil
 }
 
 // withReleased returns the placement with another member released.
@@ -313,9 +314,9 @@
 	return p
 }
 
-// backToWaiting makes the session of an ended placement wait again. It will continue from the
-// newest checkpoint that all members have.
-func (s State) backToWaiting(at int64, p Placement) State {
+// requeueSession returns the session of an ended placement to the waiting phase. It resumes from
+// the newest checkpoint that all members have.
+func (s State) requeueSession(at int64, p Placement) State {
 	session, found := s.sessions.Get(p.Session)
 	if !found || session.Token != p.Token {
 		return s
@@ -328,7 +329,7 @@
 	return s
 }
 
-// Preparing reports whether any placement is in phase Preparing, which is subject to a timeout.
+// Preparing reports whether any placement is in the Preparing phase, which has a timeout.
 func (s State) Preparing() bool {
 	for itr := s.placements.Iterator(); !itr.Done(); {
 		_, p, _ := itr.Next()
@@ -339,7 +340,7 @@
 	return false
 }
 
-// DecisionInput returns the input of package placement. yieldRank returns the yield rank of a
+// DecisionInput returns the input for the placement decision. yieldRank returns the yield rank of a
 // placement.
 func (s State) DecisionInput(now time.Time, yieldRank func(Placement) int) placement.Input {
 	in := placement.Input{Workers: s.PlacementWorkers(), Entitlements: s.Entitlements()}
--- a/sessions/ledger/proposer.go
+++ b/sessions/ledger/proposer.go
@@ -15,15 +15,16 @@
 const (
 	// appendTimeout limits one append.
 	appendTimeout = 2 * time.Second
-	// settleWait is how long the proposer waits for its record after a failed append, which may
-	// have had its effect, before it appends again.
-	settleWait = 300 * time.Millisecond
-	// withdrawWait limits the attempts to void a record that is given up.
-	withdrawWait = time.Second
+	// verdictWait is how long the proposer waits for a verdict after a failed append before it
+	// retries, because the record may be in the log despite the failure.
+	verdictWait = 300 * time.Millisecond
+	// withdrawTimeout limits the attempts to void a record.
+	withdrawTimeout = time.Second
 )
 
-// ErrUnsettled means that a proposal may or may not be accepted, because the log does not answer.
-var ErrUnsettled = errors.New("the log gives no answer; the change may or may not take effect")
+// ErrOutcomeUnknown means that a proposal may or may not be accepted, because the log does not
+// respond.
+var ErrOutcomeUnknown = errors.New("the log did not respond; the change may or may not take effect")
 
 // Proposer appends records and waits for their verdicts. It is safe for concurrent use.
 type Proposer struct {
@@ -32,14 +33,14 @@
 	newID   func() string
 }
 
-// NewProposer returns a proposer. The replica must follow the same log.
+// NewProposer returns a proposer for the log. The replica must follow the same log.
 func NewProposer(log hosting.Log, replica *Replica) *Proposer {
 	return &Proposer{log: log, replica: replica, newID: uuid.NewString}
 }
 
 // Propose appends the record and returns its verdict once the replica has applied it. If ctx
-// ends first, Propose voids the record, so that the verdict is certain as long as the log
-// answers. If the log does not answer, the error wraps ErrUnsettled.
+// ends first, Propose voids the record, so that the outcome is known as long as the log responds.
+// If the log does not respond, the error wraps ErrOutcomeUnknown.
 func (p *Proposer) Propose(ctx context.Context, r Record) (Verdict, error) {
 	r = p.fill(r)
 	data, err := r.Encode()
@@ -64,7 +65,7 @@
 }
 
 // tryAppend appends once and waits for the verdict: until ctx ends if the append succeeded, and for
-// settleWait if it failed.
+// verdictWait if it failed.
 func (p *Proposer) tryAppend(ctx context.Context, id string, data []byte) (Verdict, bool) {
 	bounded, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
@@ -72,7 +73,7 @@
 	if err == nil {
 		return p.await(ctx, id)
 	}
-	short, stop := context.WithTimeout(ctx, settleWait)
+	short, stop := context.WithTimeout(ctx, verdictWait)
 	defer stop()
 	return p.await(short, id)
 }
@@ -89,9 +90,9 @@
 }
 
 // withdraw appends a Void for a record that may or may not be in the log. Whichever of the two
-// comes first counts.
+// comes first in the log takes effect.
 func (p *Proposer) withdraw(ctx context.Context, id string) (Verdict, error) {
-	ctx, cancel := context.WithTimeout(ctx, withdrawWait)
+	ctx, cancel := context.WithTimeout(ctx, withdrawTimeout)
 	defer cancel()
 	void := p.fill(Record{Void: &Void{ID: id}})
 	data, err := void.Encode()
@@ -103,5 +104,5 @@
 			return v, nil
 		}
 	}
-	return Verdict{}, fault.New("ledger.Propose", hosting.LedgerStream, ErrUnsettled)
+	return Verdict{}, fault.New("ledger.Propose", hosting.LedgerStream, ErrOutcomeUnknown)
 }
--- a/sessions/ledger/proposer_test.go
+++ b/sessions/ledger/proposer_test.go
@@ -13,12 +13,12 @@
 	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
-// noPeers is a process that runs alone.
+// noPeers is the PeerStates of a process without peers.
 type noPeers struct{}
 
 func (noPeers) NewerState(context.Context, int64) (State, bool) { return State{}, false }
 
-// follow keeps a replica up to date until ctx ends.
+// follow returns a replica that is kept up to date until ctx ends.
 func follow(ctx context.Context, wg *sync.WaitGroup, log hosting.Log, peers PeerStates) *Replica {
 	r := NewReplica()
 	updates := make(chan Update)
@@ -40,9 +40,9 @@
 	return r
 }
 
-// TestProposerUnderFaults proposes through a log that loses answers, is slow, and is down. What
-// is answered as accepted is there exactly once; what is given up has no effect, also when the
-// log comes back.
+// TestProposerUnderFaults proposes through a log that loses responses, is slow, or is down. An
+// accepted record must take effect exactly once. A withdrawn record must have no effect, even after
+// the log recovers.
 func TestProposerUnderFaults(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -79,7 +79,7 @@
 				log.SetFaults(standin.Faults{})
 				time.Sleep(time.Minute)
 				if _, found := replica.State().Session("s"); found != (tt.want == Accepted) && !tt.err {
-					t.Errorf("the session is there: %v", found)
+					t.Errorf("session exists: %v", found)
 				}
 				cancel()
 				wg.Wait()
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestRaces lets 8 proposers change one entry of the configuration from the same revision.
-// Exactly one wins, and all are told the truth.
+// TestRaces has 8 proposers change one configuration entry at the same revision. Exactly one
+// must be reported as accepted, and the entry must hold its value.
 func TestRaces(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
@@ -120,16 +120,16 @@
 		time.Sleep(time.Second)
 		e, _ := replica.State().ConfigEntry(LimitsKey)
 		if len(winners) != 1 || winners[e.Author] != e.Revision {
-			t.Errorf("winners %v, the entry is %s's at %d", winners, e.Author, e.Revision)
+			t.Errorf("winners %v, but the entry was set by %s at revision %d", winners, e.Author, e.Revision)
 		}
 		cancel()
 		wg.Wait()
 	})
 }
 
-// TestSlowReader lets records expire under a reader that could not read. It loads the snapshot,
-// never skips a record, and ends at the state of the one that read all along. Revisions only
-// grow.
+// TestSlowReader lets records expire while one reader is disconnected. The reader must load the
+// snapshot, skip no record, and reach the state of a reader that was connected throughout.
+// Revisions must only increase.
 func TestSlowReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
@@ -143,8 +143,8 @@
 			}
 		}
 		propose(team("guest"))
-		slowLog := &switchedLog{Log: log, off: true}
-		slow := follow(ctx, &wg, slowLog, noPeers{})
+		blockedLog := &interruptibleLog{Log: log, down: true}
+		slow := follow(ctx, &wg, blockedLog, noPeers{})
 		for i := range 40 {
 			propose(create(fmt.Sprintf("s%d", i), "guest", shape(1, placement.AnyPlace)))
 		}
@@ -153,12 +153,12 @@
 		}
 		log.SetFaults(standin.Faults{Retention: 10})
 		propose(create("last", "guest", shape(1, placement.AnyPlace)))
-		slowLog.set(false)
+		blockedLog.setDown(false)
 		time.Sleep(time.Minute)
-		if !same(fast.State(), slow.State()) {
-			t.Errorf("the slow reader is at %d, the other at %d", slow.State().Revision(), fast.State().Revision())
+		if !equalStates(fast.State(), slow.State()) {
+			t.Errorf("the slow reader is at revision %d, the other at %d", slow.State().Revision(), fast.State().Revision())
 		}
-		// A torn snapshot must not hide the whole one before it.
+		// An incomplete snapshot must not hide the complete one before it.
 		if _, err := log.Append(
 			ctx,
 			hosting.SnapshotStream,
@@ -167,47 +167,47 @@
 			t.Fatal(err)
 		}
 		if s, err := ReadSnapshot(ctx, log); err != nil || s.Revision() != 41 {
-			t.Errorf("snapshot at %d, %v; want 41", s.Revision(), err)
+			t.Errorf("snapshot at revision %d, %v; want 41", s.Revision(), err)
 		}
 		if old := NewState(); slow.Replace(old) {
-			t.Error("the replica went back")
+			t.Error("the replica regressed")
 		}
 		cancel()
 		wg.Wait()
 	})
 }
 
-// TestSilentLog cuts a reader off the log without a word: its reads get no answer at all, as
-// over a link that is cut. It has to take a peer's state within the 7 s of a configuration, and
-// to read on when the link is whole again.
+// TestSilentLog disconnects a reader from the log so that its reads neither succeed nor fail, as on
+// a link that drops packets. The reader must adopt a peer's state within the 7 s in which a
+// configuration change has to take effect, and must resume reading when the link recovers.
 func TestSilentLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
 		ctx, cancel := context.WithCancel(t.Context())
 		log := standin.New()
 		fast := follow(ctx, &wg, log, noPeers{})
-		cutLog := &switchedLog{Log: log}
+		cutLog := &interruptibleLog{Log: log}
 		cut := follow(ctx, &wg, cutLog, onePeer{fast})
 		p := NewProposer(log, fast)
 		for i := range 4 {
 			time.Sleep(time.Second)
-			cutLog.silence(true)
+			cutLog.setUnresponsive(true)
 			if v, err := p.Propose(ctx, team(fmt.Sprintf("team-%d", i))); err != nil || v.Status != Accepted {
 				t.Fatalf("%+v, %v", v, err)
 			}
 			time.Sleep(6 * time.Second)
 			if got, want := cut.State().ConfigRevision(), fast.State().ConfigRevision(); got != want {
-				t.Errorf("6 s after a change the reader that was cut off has %d, want %d", got, want)
+				t.Errorf("6 s after a change the disconnected reader is at configuration revision %d, want %d", got, want)
 			}
 			time.Sleep(time.Duration(i) * 700 * time.Millisecond)
-			cutLog.silence(false)
+			cutLog.setUnresponsive(false)
 			time.Sleep(3 * time.Second)
 			if v, err := p.Propose(ctx, team(fmt.Sprintf("other-%d", i))); err != nil || v.Status != Accepted {
 				t.Fatalf("%+v, %v", v, err)
 			}
 			time.Sleep(100 * time.Millisecond)
 			if got, want := cut.State().Revision(), fast.State().Revision(); got != want {
-				t.Errorf("the reader is at %d when the link is whole again, want %d", got, want)
+				t.Errorf("the reader is at revision %d after the link has recovered, want %d", got, want)
 			}
 		}
 		cancel()
@@ -215,7 +215,7 @@
 	})
 }
 
-// onePeer is a process beside another one.
+// onePeer is the PeerStates of a process with one peer.
 type onePeer struct{ replica *Replica }
 
 func (p onePeer) NewerState(_ context.Context, revision int64) (State, bool) {
@@ -223,28 +223,28 @@
 	return s, s.Revision() > revision
 }
 
-// switchedLog is a log that one process can be cut off from.
-type switchedLog struct {
+// interruptibleLog is a log whose connection to one process can fail.
+type interruptibleLog struct {
 	hosting.Log
-	mu     sync.Mutex
-	off    bool
-	silent bool
+	mu           sync.Mutex
+	down         bool
+	unresponsive bool
 }
 
-// silence lets reads wait for an answer that does not come.
-func (l *switchedLog) silence(silent bool) {
+// setUnresponsive makes reads block until their contexts end.
+func (l *interruptibleLog) setUnresponsive(unresponsive bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.silent = silent
+	l.unresponsive = unresponsive
 }
 
-func (l *switchedLog) set(off bool) {
+func (l *interruptibleLog) setDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.off = off
+	l.down = down
 }
 
-func (l *switchedLog) Read(
+func (l *interruptibleLog) Read(
 	ctx context.Context,
 	stream string,
 	offset int64,
@@ -252,13 +252,13 @@
 	wait time.Duration,
 ) (hosting.Batch, error) {
 	l.mu.Lock()
-	off, silent := l.off, l.silent
+	down, unresponsive := l.down, l.unresponsive
 	l.mu.Unlock()
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
 		return hosting.Batch{}, ctx.Err()
 	}
-	if off {
+	if down {
 		return hosting.Batch{}, standin.ErrDown
 	}
 	return l.Log.Read(ctx, stream, offset, limit, wait)
--- a/sessions/ledger/record.go
+++ b/sessions/ledger/record.go
@@ -1,9 +1,9 @@
 // Package ledger defines the durable state of sessions, workers and the configuration as the result
 // of an ordered log of records.
 //
-// A record in the platform's log is only a proposal. State.With applies the records in the order of
-// their offsets, and the verdict on a record depends only on the records before it. Every process
-// therefore decides between competing proposals in the same way, without locks or a leader.
+// A record in the platform's log is only a proposal. State.Apply applies the records in the order
+// of their offsets, and the verdict on a record depends only on the records before it. All
+// processes therefore resolve competing proposals identically, without locks or a leader.
 //
 // # State
 //
@@ -12,23 +12,24 @@
 //
 // # Dependencies
 //
-// The platform's log, and other processes (PeerStates) for newer states while the log cannot be
-// read. Package placement defines shapes and guarantees, package policy validates policies.
+// The package reads and appends to the platform's log, and asks other processes (PeerStates) for
+// newer states while the log cannot be read. Package placement defines shapes and guarantees, and
+// package policy validates policies.
 //
 // # Usage
 //
-//	state, verdict := state.With(offset, data)
+//	state, verdict := state.Apply(offset, data)
 //
 // A Follower reads the log, a Replica holds the newest State, and a Proposer appends records and
 // waits for their verdicts.
 //
 // # Retries
 //
-// An append whose answer was lost is retried. Every record has an ID and the revision on which
-// it is based. A second record with the same ID has no effect. State remembers the newest
-// seenLimit IDs and rejects records whose base is older than the oldest of them, so that a
-// delayed record cannot take effect twice. To give up, a proposer appends a Void with the ID;
-// whichever of the two comes first counts.
+// A proposer retries an append whose response was lost. Every record has an ID and the revision on
+// which it is based, and a second record with the same ID has no effect. State remembers the newest
+// seenLimit IDs and rejects records whose base is older than the oldest of them, so that a delayed
+// record cannot take effect twice. To withdraw a record, a proposer appends a Void with its ID;
+// whichever of the two comes first in the log takes effect.
 package ledger
 
 import (
@@ -64,7 +65,7 @@
 	Checkpoint *Checkpoint    `json:"checkpoint,omitempty"`
 }
 
-// Void cancels the record with the given ID unless it came before.
+// Void cancels the record with the given ID, unless that record precedes it in the log.
 type Void struct {
 	ID string `json:"id"`
 }
@@ -83,7 +84,7 @@
 	Worker Worker `json:"worker"`
 }
 
-// LeaveWorker records that a worker takes no new work.
+// LeaveWorker marks a worker as leaving, so that it takes no new work.
 type LeaveWorker struct {
 	Worker      string `json:"worker"`
 	Incarnation string `json:"incarnation"`
@@ -102,7 +103,7 @@
 	Session string `json:"session"`
 }
 
-// Place assigns accelerators to a waiting session, all or none. The offset of the record
+// Place assigns all members of a gang to a waiting session, or none. The offset of the record
 // becomes the token of the placement.
 type Place struct {
 	Session  string             `json:"session"`
@@ -123,15 +124,15 @@
 	For string `json:"for,omitempty"`
 }
 
-// Finish records that the placement's session has done its work.
+// Finish records that the placement's session has completed its work.
 type Finish struct {
 	Token int64 `json:"token"`
 }
 
-// ReleaseCause is how it is known that accelerators are free.
+// ReleaseCause is the evidence that accelerators are free.
 type ReleaseCause string
 
-// The causes. A worker that merely does not answer may still run its task.
+// The release causes. Silence is not one, because an unresponsive worker may still run its task.
 const (
 	// StoppedByAgent means that the worker's agent reported the end of the task.
 	StoppedByAgent ReleaseCause = "agent"
@@ -192,7 +193,7 @@
 	return n
 }
 
-// Status is the decision on a record.
+// Status is the outcome of a record.
 type Status string
 
 // The statuses. Only an accepted record has an effect.
@@ -203,7 +204,7 @@
 	Unreadable Status = "unreadable"
 )
 
-// Verdict is the decision on one record and its reason.
+// Verdict is the outcome of one record, with the reason if it was not accepted.
 type Verdict struct {
 	Offset int64  `json:"offset"`
 	ID     string `json:"id"`
--- a/sessions/ledger/replica.go
+++ b/sessions/ledger/replica.go
@@ -9,14 +9,14 @@
 	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 )
 
-// Replica holds the newest state that a process knows. One goroutine calls Apply and Replace; any
-// goroutine may call the other methods.
+// Replica holds the newest state known to a process. Only one goroutine may call Apply and Replace;
+// the other methods are safe for concurrent use.
 type Replica struct {
 	mu      sync.Mutex
 	state   State
 	changed chan struct{}
-	// workerWaiters has a channel for each worker that a goroutine waits for. It is closed when
-	// something changes for that worker.
+	// workerWaiters has a channel for each worker that goroutines wait for. The channel is closed
+	// when the worker changes.
 	workerWaiters map[string]chan struct{}
 }
 
@@ -43,8 +43,8 @@
 }
 
 // WatchWorker returns the newest state and a channel that is closed when the worker or the
-// configuration changes. Most records concern few workers, so open polls use this instead of Watch:
-// waking all of them for each record would take time quadratic in the number of agents.
+// configuration changes. Long polls use it instead of Watch, because most records affect few
+// workers and waking every poll on each record would cost time quadratic in the number of agents.
 func (r *Replica) WatchWorker(name string) (State, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,11 +57,11 @@
 }
 
 // Apply applies records and returns their verdicts. It skips records that the state already
-// includes and stops at a gap, so the state neither misses a record nor goes back.
+// includes and stops at a gap, so that the state neither misses a record nor regresses.
 func (r *Replica) Apply(records []hosting.Record) []Verdict {
 	state := r.State()
 	var verdicts []Verdict
-	var touched []string
+	var changedWorkers []string
 	for _, record := range records {
 		if record.Offset <= state.revision {
 			continue
@@ -70,17 +70,17 @@
 			break
 		}
 		var v Verdict
-		state, v = state.With(record.Offset, record.Data)
+		state, v = state.Apply(record.Offset, record.Data)
 		verdicts = append(verdicts, v)
-		touched = append(touched, state.Touched()...)
+		changedWorkers = append(changedWorkers, state.ChangedWorkers()...)
 	}
 	if len(verdicts) > 0 {
-		r.publish(state, touched, false)
+		r.publish(state, changedWorkers, false)
 	}
 	return verdicts
 }
 
-// Replace replaces the state if s is newer, and reports whether it was.
+// Replace replaces the state if s is newer, and reports whether it did.
 func (r *Replica) Replace(s State) bool {
 	if s.revision <= r.State().revision {
 		return false
@@ -89,18 +89,19 @@
 	return true
 }
 
-// publish sets the newest state and wakes the goroutines that wait for it. Waiters for a worker are
-// woken if the worker was touched, if the configuration changed, or if all is set.
-func (r *Replica) publish(s State, touched []string, all bool) {
+// publish sets the newest state and wakes the goroutines that wait for it. Goroutines that wait for
+// a worker are woken if the worker is in changedWorkers, if the configuration changed, or if all is
+// set.
+func (r *Replica) publish(s State, changedWorkers []string, all bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if all || s.configRevision != r.state.configRevision {
-		touched = slices.Collect(maps.Keys(r.workerWaiters))
+		changedWorkers = slices.Collect(maps.Keys(r.workerWaiters))
 	}
 	r.state = s
 	close(r.changed)
 	r.changed = make(chan struct{})
-	for _, name := range touched {
+	for _, name := range changedWorkers {
 		if c, found := r.workerWaiters[name]; found {
 			close(c)
 			delete(r.workerWaiters, name)
@@ -108,13 +109,13 @@
 	}
 }
 
-// Wait returns the first state that satisfies ok. If ctx ends first, it returns the newest
-// state and the error of ctx.
+// Wait blocks until a state satisfies ok and returns that state. If ctx ends first, it returns the
+// newest state and the error of ctx.
 func (r *Replica) Wait(ctx context.Context, ok func(State) bool) (State, error) {
 	return wait(ctx, r.Watch, ok)
 }
 
-// WaitWorker is like Wait, for a condition that depends only on one worker and the configuration.
+// WaitWorker is like Wait, for conditions that depend only on one worker and the configuration.
 func (r *Replica) WaitWorker(ctx context.Context, name string, ok func(State) bool) (State, error) {
 	return wait(ctx, func() (State, <-chan struct{}) { return r.WatchWorker(name) }, ok)
 }
--- a/sessions/ledger/replica_test.go
+++ b/sessions/ledger/replica_test.go
@@ -7,7 +7,7 @@
 	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
-// TestReplica wants a replica that skips nothing and never goes back.
+// TestReplica checks that a replica skips no record and never regresses.
 func TestReplica(t *testing.T) {
 	h := newHistory(t)
 	data, err := Record{ID: "x", Cancel: &CancelSession{Session: "none"}}.Encode()
@@ -33,12 +33,12 @@
 		}
 	}
 	if r.Replace(h.state) {
-		t.Error("the replica went back")
+		t.Error("the replica regressed")
 	}
 }
 
-// TestWatchWorker wants who waits for a worker to be woken by records on that worker, by the
-// configuration and by a whole state, and by nothing else.
+// TestWatchWorker checks that goroutines that wait for a worker are woken by records that change
+// the worker or the configuration and by the replacement of the state, and by nothing else.
 func TestWatchWorker(t *testing.T) {
 	h := newHistory(t)
 	r := NewReplica()
@@ -66,7 +66,7 @@
 		_, changed := r.WatchWorker("w0")
 		tt.record.ID, tt.record.Base = tt.name, h.state.Revision()
 		data, _ := tt.record.Encode()
-		h.raw(data)
+		h.addEncoded(data)
 		r.Apply([]hosting.Record{{Offset: h.state.Revision(), Data: data}})
 		if woken(changed) != tt.woken {
 			t.Errorf("%s: woken is %v, want %v", tt.name, !tt.woken, tt.woken)
@@ -75,7 +75,7 @@
 	_, changed := r.WatchWorker("w0")
 	h.add(create("u", "guest", shape(1, placement.AnyPlace)))
 	if r.Replace(h.state); !woken(changed) {
-		t.Error("a whole state did not wake")
+		t.Error("the replacement of the state did not wake the waiter")
 	}
 }
 
--- a/sessions/ledger/session.go
+++ b/sessions/ledger/session.go
@@ -23,9 +23,10 @@
 	Name  string          `json:"name"`
 	Team  string          `json:"team"`
 	Shape placement.Shape `json:"shape"`
-	// Urgent sessions come before others and may reclaim borrowed accelerators.
+	// Urgent sessions are placed before others and may reclaim borrowed accelerators.
 	Urgent bool `json:"urgent,omitempty"`
-	// Work is the run time of the session in seconds. With zero it runs until it is cancelled.
+	// Work is the run time of the session in seconds. If zero, the session runs until it is
+	// cancelled.
 	Work int64 `json:"work_seconds,omitempty"`
 }
 
@@ -53,8 +54,8 @@
 // SessionPhase is the phase of a session.
 type SessionPhase string
 
-// The phases of a session. It alternates between waiting and placed until a record finishes or
-// cancels it.
+// The phases of a session. A session alternates between waiting and placed until a record finishes
+// or cancels it.
 const (
 	SessionWaiting   SessionPhase = "waiting"
 	SessionPlaced    SessionPhase = "placed"
@@ -62,20 +63,20 @@
 	SessionCancelled SessionPhase = "cancelled"
 )
 
-// Session is a long-running gang job, started again after each interruption until it is finished or
-// cancelled.
+// Session is a long-running gang job that is restarted after each interruption until it is finished
+// or cancelled.
 type Session struct {
 	SessionSpec
 	Phase SessionPhase `json:"phase"`
 	// Token is the token of the placement while Phase is SessionPlaced, otherwise zero.
 	Token int64 `json:"token,omitempty"`
-	// Progress is the work that the checkpoints of all members hold.
+	// Progress is the work covered by the checkpoints of all members.
 	Progress time.Duration `json:"progress_ns"`
 	// Since is when the phase began, by the clock of the record's proposer, in ms since 1970.
 	Since int64 `json:"since"`
 	// Created is the offset of the record that created the session.
 	Created int64 `json:"created"`
-	// Restarts is the number of placements that ended before the work was done.
+	// Restarts is the number of placements that ended before the work was complete.
 	Restarts int `json:"restarts"`
 	// Trace is the W3C traceparent of the call that created the session; empty if it was not
 	// traced.
@@ -105,18 +106,19 @@
 	Borrowed bool               `json:"borrowed"`
 	Phase    PlacementPhase     `json:"phase"`
 	Members  []placement.Member `json:"members"`
-	// Released has the workers whose accelerators are free again.
+	// Released lists the workers whose accelerators are free again.
 	Released []string `json:"released,omitempty"`
-	// Progress is the least work that a checkpoint of the released members holds.
+	// Progress is the minimum work covered by the checkpoints of the released members.
 	Progress time.Duration `json:"progress_ns"`
 	Reason   string        `json:"reason,omitempty"`
 	// For is the session for which a stopping placement was reclaimed.
 	For string `json:"for,omitempty"`
-	// Since is when the session was placed, in ms since 1970.
+	// Since is when the session was placed, by the clock of the record's proposer, in ms since
+	// 1970.
 	Since int64 `json:"since"`
 }
 
-// IsReleased reports whether the member on the worker was released.
+// IsReleased reports whether the member on the worker has been released.
 func (p Placement) IsReleased(worker string) bool {
 	for _, name := range p.Released {
 		if name == worker {
--- a/sessions/ledger/snapshot.go
+++ b/sessions/ledger/snapshot.go
@@ -16,14 +16,15 @@
 	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 )
 
-// chunkBytes is the size of one record of a snapshot. A compressed state of 1 MB takes 16 appends.
+// chunkBytes is the maximum data size of one snapshot record. A compressed state of 1 MB takes 16
+// appends.
 const chunkBytes = 64 << 10
 
-// maxStateBytes is the maximum size of a decoded state, so that a corrupt snapshot can't
-// exhaust the memory.
+// maxStateBytes is the maximum size of a decompressed state, so that a corrupt snapshot cannot
+// exhaust memory.
 const maxStateBytes = 64 << 20
 
-// storedState is the stored form of a State.
+// storedState is the JSON form of a State in a snapshot.
 type storedState struct {
 	Revision       int64            `json:"revision"`
 	ConfigRevision int64            `json:"config_revision"`
@@ -164,7 +165,7 @@
 }
 
 // errNoSnapshot means that the stream has no complete snapshot.
-var errNoSnapshot = errors.New("no whole snapshot")
+var errNoSnapshot = errors.New("no complete snapshot")
 
 // ReadSnapshot returns the newest complete snapshot in the stream.
 func ReadSnapshot(ctx context.Context, log hosting.Log) (State, error) {
@@ -178,8 +179,8 @@
 		}
 		for _, r := range batch.Records {
 			offset = r.Offset + 1
-			s, whole := collect(parts, r.Data)
-			if whole && (!found || s.revision > newest.revision) {
+			s, complete := collect(parts, r.Data)
+			if complete && (!found || s.revision > newest.revision) {
 				newest, found = s, true
 			}
 		}
@@ -193,8 +194,8 @@
 	return newest, nil
 }
 
-// collect adds a chunk and returns the state if its snapshot is complete now. It ignores unreadable
-// chunks.
+// collect adds a chunk and returns the state if the chunk completes its snapshot. It ignores
+// unreadable chunks.
 func collect(parts map[snapshotKey]map[int][]byte, data []byte) (State, bool) {
 	var c chunk
 	if err := fault.Decode(data, &c); err != nil || c.Index < 0 || c.Index >= c.Total {
@@ -208,11 +209,11 @@
 	if len(parts[key]) < c.Total {
 		return State{}, false
 	}
-	var whole []byte
+	var joined []byte
 	for i := range c.Total {
-		whole = append(whole, parts[key][i]...)
+		joined = append(joined, parts[key][i]...)
 	}
 	delete(parts, key)
-	s, err := DecodeState(whole)
+	s, err := DecodeState(joined)
 	return s, err == nil && s.revision == c.Revision
 }
--- a/sessions/ledger/state.go
+++ b/sessions/ledger/state.go
@@ -12,11 +12,12 @@
 	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
-// seenLimit is the number of record IDs remembered. About 8,000 records a day are expected: 750
-// sessions with ten records each, 450 changes of the configuration, 200 joins and leaves.
+// seenLimit is the number of record IDs remembered. It covers about one day: the expected load is
+// 8,000 records a day, from 750 sessions with ten records each, 450 configuration changes, and 200
+// joins and leaves.
 const seenLimit = 8192
 
-// endedLimit is the number of ended sessions that are kept for operators.
+// endedLimit is the number of ended sessions that remain visible to operators.
 const endedLimit = 1000
 
 // State is the result of all records up to a revision. It is immutable.
@@ -29,12 +30,12 @@
 	workers        *immutable.SortedMap[string, Worker]
 	sessions       *immutable.SortedMap[string, Session]
 	placements     *immutable.SortedMap[int64, Placement]
-	ended          *immutable.SortedMap[int64, string] // offset of the end to session
+	ended          *immutable.SortedMap[int64, string] // offset of the ending record to session name
 	seen           *immutable.Map[string, Verdict]
-	seenOrder      *immutable.SortedMap[int64, string] // offset to id
-	teams          *immutable.SortedMap[string, Team]  // decoded form of the team entries of config
-	// touched has the workers for which the last record changed something.
-	touched []string
+	seenOrder      *immutable.SortedMap[int64, string] // offset to record ID
+	teams          *immutable.SortedMap[string, Team]  // decoded team entries of config
+	// changedWorkers lists the workers that the last record changed.
+	changedWorkers []string
 }
 
 // NewState returns the state before the first record.
@@ -54,17 +55,18 @@
 // Revision returns the offset of the last record applied; zero before the first.
 func (s State) Revision() int64 { return s.revision }
 
-// ConfigRevision returns the offset of the last accepted change of the configuration.
+// ConfigRevision returns the offset of the last accepted configuration change.
 func (s State) ConfigRevision() int64 { return s.configRevision }
 
-// Saved returns the revision of the newest snapshot and when it was taken by its writer's clock, in
-// ms since 1970.
-func (s State) Saved() (revision, at int64) { return s.savedRevision, s.savedAt }
+// LastSnapshot returns the revision of the newest snapshot and the time at which it was taken, by
+// its writer's clock in ms since 1970.
+func (s State) LastSnapshot() (revision, at int64) { return s.savedRevision, s.savedAt }
 
-// With returns the state after the record and the verdict on it. The offset must be the next one. A
-// record that is not accepted changes only the revision and the remembered IDs.
-func (s State) With(offset int64, data []byte) (State, Verdict) {
-	s.revision, s.touched = offset, nil
+// Apply returns the state after the record, and the verdict on the record. The offset must follow
+// the state's revision. A record that is not accepted changes only the revision and the remembered
+// IDs.
+func (s State) Apply(offset int64, data []byte) (State, Verdict) {
+	s.revision, s.changedWorkers = offset, nil
 	r, err := DecodeRecord(data)
 	if err != nil {
 		return s, Verdict{Offset: offset, Status: Unreadable, Reason: err.Error()}
@@ -80,7 +82,7 @@
 	if r.Void != nil {
 		return s.void(offset, r)
 	}
-	next, err := s.apply(offset, r)
+	next, err := s.applyBody(offset, r)
 	verdict := Verdict{Offset: offset, ID: r.ID, Status: Accepted}
 	if err != nil {
 		next = s
@@ -90,9 +92,8 @@
 	return next.withSeen(r.ID, verdict), verdict
 }
 
-// void rejects the record with an ID that has not been seen, so that it counts as a duplicate
-// when it comes later. The ID of the void record itself is not remembered, because applying it
-// twice does no harm.
+// void rejects an ID that has not been seen, so that a record with this ID that arrives later is a
+// duplicate. The ID of the Void record itself is not remembered, because Void is idempotent.
 func (s State) void(offset int64, r Record) (State, Verdict) {
 	if _, found := s.seen.Get(r.Void.ID); !found {
 		rejected := Verdict{Offset: offset, ID: r.Void.ID, Status: Rejected, Reason: "given up by its proposer"}
@@ -101,7 +102,7 @@
 	return s, Verdict{Offset: offset, ID: r.ID, Status: Accepted}
 }
 
-// seenFloor returns the revision below which IDs may have been forgotten.
+// seenFloor returns the revision below which record IDs may have been evicted.
 func (s State) seenFloor() int64 {
 	if s.seenOrder.Len() < seenLimit {
 		return 0
@@ -128,7 +129,7 @@
 	return s.seen.Get(id)
 }
 
-func (s State) apply(offset int64, r Record) (State, error) {
+func (s State) applyBody(offset int64, r Record) (State, error) {
 	switch {
 	case r.Config != nil:
 		return s.putConfig(offset, r.At, *r.Config)
@@ -198,16 +199,16 @@
 	return s.withWorker(w.WithRevision(offset)), nil
 }
 
-// withWorker replaces a worker and marks it as touched, so that its agent gets a new view.
+// withWorker replaces a worker and marks it as changed, so that its agent gets a new view.
 func (s State) withWorker(w Worker) State {
 	s.workers = s.workers.Set(w.Name, w)
-	s.touched = append(s.touched[:len(s.touched):len(s.touched)], w.Name)
+	s.changedWorkers = append(s.changedWorkers[:len(s.changedWorkers):len(s.changedWorkers)], w.Name)
 	return s
 }
 
-// Touched returns the workers for which the last record changed something, possibly with
-// duplicates. A change of the configuration concerns all workers and touches none.
-func (s State) Touched() []string { return s.touched }
+// ChangedWorkers returns the names of the workers that the last record changed, possibly with
+// duplicates. A configuration change affects all workers but is not listed here.
+func (s State) ChangedWorkers() []string { return s.changedWorkers }
 
 func (w Worker) held() bool {
 	for _, h := range w.Holders {
@@ -287,28 +288,28 @@
 // Session returns a session by name.
 func (s State) Session(name string) (Session, bool) { return s.sessions.Get(name) }
 
-// Placement returns a placement by its token.
+// Placement returns a placement by token.
 func (s State) Placement(token int64) (Placement, bool) { return s.placements.Get(token) }
 
 // Team returns a team by name.
 func (s State) Team(name string) (Team, bool) { return s.teams.Get(name) }
 
-// ConfigEntry returns an entry of the configuration.
+// ConfigEntry returns a configuration entry by key.
 func (s State) ConfigEntry(key string) (ConfigEntry, bool) { return s.config.Get(key) }
 
-// Workers returns all workers by name.
+// Workers returns all workers in the order of their names.
 func (s State) Workers() []Worker { return values(s.workers) }
 
-// Sessions returns all sessions by name.
+// Sessions returns all sessions in the order of their names.
 func (s State) Sessions() []Session { return values(s.sessions) }
 
-// Placements returns all placements by token.
+// Placements returns all placements in the order of their tokens.
 func (s State) Placements() []Placement { return values(s.placements) }
 
-// Teams returns all teams by name.
+// Teams returns all teams in the order of their names.
 func (s State) Teams() []Team { return values(s.teams) }
 
-// Config returns all entries by key.
+// Config returns all configuration entries in the order of their keys.
 func (s State) Config() []ConfigEntry { return values(s.config) }
 
 // Limits returns the limits in force.
@@ -342,13 +343,13 @@
 	return list
 }
 
-// Age returns the time from a proposer's clock reading, in ms since 1970, to now. It is at
-// least zero, also if the clocks differ.
+// Age returns the time elapsed since a proposer's clock reading, in ms since 1970. Because clocks
+// may differ, it returns zero for a reading in the future.
 func Age(since int64, now time.Time) time.Duration {
 	return max(0, now.Sub(time.UnixMilli(since)))
 }
 
-// Waiting returns the waiting sessions in the order of their creation.
+// Waiting returns the waiting sessions in creation order.
 func (s State) Waiting() []Session {
 	var list []Session
 	for _, session := range s.Sessions() {
--- a/sessions/ledger/state_test.go
+++ b/sessions/ledger/state_test.go
@@ -14,7 +14,7 @@
 	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
-// history folds records one after the other, as a log would hold them.
+// history applies records in sequence, as if they were read from a log.
 type history struct {
 	t      testing.TB
 	state  State
@@ -32,16 +32,16 @@
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	return h.raw(data)
+	return h.addEncoded(data)
 }
 
-func (h *history) raw(data []byte) Verdict {
+func (h *history) addEncoded(data []byte) Verdict {
 	before := h.state
 	var v Verdict
-	h.state, v = h.state.With(h.state.Revision()+1, data)
+	h.state, v = h.state.Apply(h.state.Revision()+1, data)
 	for _, w := range h.state.Workers() {
-		if old, _ := before.Worker(w.Name); old.Revision != w.Revision && !slices.Contains(h.state.Touched(), w.Name) {
-			h.t.Errorf("record %d changed %s, but names only %v as touched", v.Offset, w.Name, h.state.Touched())
+		if old, _ := before.Worker(w.Name); old.Revision != w.Revision && !slices.Contains(h.state.ChangedWorkers(), w.Name) {
+			h.t.Errorf("record %d changed %s, but lists only %v as changed", v.Offset, w.Name, h.state.ChangedWorkers())
 		}
 	}
 	return v
@@ -71,8 +71,8 @@
 	return placement.Member{Worker: worker, Accelerators: accelerators}
 }
 
-// newHistory has two racks of three workers, a team with a guarantee of one whole worker, and
-// one without.
+// newHistory returns a history with two racks of three workers, a team with a guarantee of one
+// whole worker, and a team without a guarantee.
 func newHistory(t testing.TB) *history {
 	h := &history{t: t, state: NewState()}
 	for i := range 6 {
@@ -162,8 +162,9 @@
 	}
 }
 
-// TestLostAnswers appends a record again after its answer was lost, late, and after it was
-// given up.
+// TestLostAnswers appends a record a second time, after it was voided, and after its ID was
+// evicted. Such appends occur when the response to an append is lost or the append itself is
+// delayed.
 func TestLostAnswers(t *testing.T) {
 	h := newHistory(t)
 	r := create("s", "guest", shape(1, placement.AnyPlace))
@@ -188,11 +189,11 @@
 		h.add(Record{Leave: &LeaveWorker{Worker: "nobody"}})
 	}
 	if v := h.add(r); v.Status != Rejected || !strings.Contains(v.Reason, "older than the ids remembered") {
-		t.Errorf("an append so late that its id is forgotten: %+v, want rejected", v)
+		t.Errorf("an append after its id was evicted: %+v, want rejected", v)
 	}
 }
 
-// TestUnreadable has torn, unknown and empty records. They change nothing but the revision.
+// TestUnreadable checks that truncated, unknown and empty records change nothing but the revision.
 func TestUnreadable(t *testing.T) {
 	for _, data := range []string{
 		"",
@@ -204,25 +205,25 @@
 	} {
 		h := newHistory(t)
 		before := h.state
-		if v := h.raw([]byte(data)); v.Status != Unreadable || v.Offset != before.Revision()+1 || v.Reason == "" {
+		if v := h.addEncoded([]byte(data)); v.Status != Unreadable || v.Offset != before.Revision()+1 || v.Reason == "" {
 			t.Errorf("%q: %+v", data, v)
 		}
 		before.revision++
-		if !same(before, h.state) {
+		if !equalStates(before, h.state) {
 			t.Errorf("%q changed the state", data)
 		}
 	}
 }
 
-// same compares two states by their stored form.
-func same(a, b State) bool {
+// equalStates compares two states by their stored forms.
+func equalStates(a, b State) bool {
 	x, _ := EncodeState(a)
 	y, _ := EncodeState(b)
 	return reflect.DeepEqual(x, y)
 }
 
-// TestSessionIsKept loses every member of a gang in every way. The session waits again, from
-// its whole checkpoint only.
+// TestSessionIsKept stops and loses the members of a gang in different orders. The session must
+// wait again, with the progress of the newest checkpoint that all members have.
 func TestSessionIsKept(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
@@ -279,9 +280,9 @@
 	}
 }
 
-// TestGuarantees draws placements, held and borrowed, in every order, on a system that is
-// guaranteed to the last accelerator. After each accepted record every unused guarantee must
-// still fit, as a shape, into what is free or borrowed.
+// TestGuarantees draws guaranteed and borrowed placements in random order, on a system in which
+// every accelerator is guaranteed. After each step, every unused guarantee must still fit, with its
+// shape, into the free and borrowed accelerators.
 func TestGuarantees(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := &history{t: t, state: NewState()}
@@ -310,20 +311,20 @@
 				}
 			}
 			if short := h.state.Shortfall(); len(short) > 0 {
-				rt.Fatalf("after %d steps these can't be had back: %v", i, short)
+				rt.Fatalf("after %d steps these guarantees cannot be met: %v", i, short)
 			}
 		}
 	})
 }
 
-// drawMembers draws up to n free accelerators, on all workers or on few.
+// drawMembers draws up to n free accelerators, with at most one to four per worker.
 func drawMembers(rt *rapid.T, s State, n int) []placement.Member {
-	most := rapid.SampledFrom([]int{3, 2, 4, 1}).Draw(rt, "on each worker")
+	perWorker := rapid.SampledFrom([]int{3, 2, 4, 1}).Draw(rt, "on each worker")
 	var list []placement.Member
 	for _, w := range s.Workers() {
 		m := placement.Member{Worker: w.Name}
 		for a, h := range w.Holders {
-			if h == 0 && len(m.Accelerators) < min(most, n) {
+			if h == 0 && len(m.Accelerators) < min(perWorker, n) {
 				m.Accelerators = append(m.Accelerators, a)
 			}
 		}
@@ -335,8 +336,8 @@
 	return list
 }
 
-// TestSnapshotRoundTrip draws histories and wants the state from a snapshot to be the same, and
-// to fold on the same.
+// TestSnapshotRoundTrip draws histories and checks that a state loaded from a snapshot equals the
+// original, also after further records.
 func TestSnapshotRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		h := newHistory(t)
@@ -361,13 +362,13 @@
 			x.add(create("next", "guest", shape(1, placement.AnyPlace)))
 			x.add(Record{Void: &Void{ID: "r1"}})
 		}
-		if !same(h.state, other.state) {
-			rt.Fatal("the state from the snapshot went on differently")
+		if !equalStates(h.state, other.state) {
+			rt.Fatal("the state from the snapshot diverged from the original")
 		}
 	})
 }
 
-// FuzzRecord wants every byte string to fold without a panic, and to the same state twice.
+// FuzzRecord checks that applying any byte string does not panic and is deterministic.
 func FuzzRecord(f *testing.F) {
 	for _, r := range []Record{
 		team("x"),
@@ -381,10 +382,10 @@
 	}
 	start := newHistory(f).state
 	f.Fuzz(func(t *testing.T, data []byte) {
-		a, v := start.With(start.Revision()+1, data)
-		b, w := start.With(start.Revision()+1, data)
-		if v != w || !same(a, b) {
-			t.Errorf("%q folds differently: %+v and %+v", data, v, w)
+		a, v := start.Apply(start.Revision()+1, data)
+		b, w := start.Apply(start.Revision()+1, data)
+		if v != w || !equalStates(a, b) {
+			t.Errorf("%q is applied differently: %+v and %+v", data, v, w)
 		}
 		if a.Revision() != start.Revision()+1 {
 			t.Errorf("revision %d", a.Revision())
@@ -392,7 +393,7 @@
 	})
 }
 
-// FuzzState wants every byte string to decode or to fail, without a panic.
+// FuzzState checks that decoding any byte string does not panic.
 func FuzzState(f *testing.F) {
 	data, _ := EncodeState(newHistory(f).state)
 	f.Add(data)
--- a/sessions/ledger/worker.go
+++ b/sessions/ledger/worker.go
@@ -15,7 +15,7 @@
 // Worker is a machine with a target and its agent.
 type Worker struct {
 	Name string `json:"name"`
-	// Region may be empty if there is only one.
+	// Region may be empty if there is only one region.
 	Region       string `json:"region,omitempty"`
 	Zone         string `json:"zone"`
 	Rack         string `json:"rack"`
@@ -24,19 +24,18 @@
 	Service string `json:"service,omitempty"`
 	// Address is the base URL of the agent.
 	Address string `json:"address"`
-	// Incarnation is the random ID of this run of the agent.
+	// Incarnation is a random ID that distinguishes this run of the agent from earlier ones.
 	Incarnation string `json:"incarnation"`
-	// Slots is how many requests the target serves at the same time.
+	// Slots is the number of requests that the target serves concurrently.
 	Slots int `json:"slots"`
 	// Leaving means that the worker takes no new work.
 	Leaving bool `json:"leaving,omitempty"`
 	// Joined is the offset of the record by which the incarnation joined. State sets it.
 	Joined int64 `json:"joined,omitempty"`
-	// Holders has the token of the placement on each accelerator; zero if it is free. State
-	// sets it.
+	// Holders has the token of the placement that holds each accelerator, or zero if it is free.
+	// State sets it.
 	Holders []int64 `json:"holders,omitempty"`
-	// Revision is the offset of the last record that changed something for this worker. State sets
-	// it.
+	// Revision is the offset of the last record that changed this worker. State sets it.
 	Revision int64 `json:"revision,omitempty"`
 }
 
@@ -69,7 +68,8 @@
 	return nil
 }
 
-// WithHolder returns the worker with the given accelerators held by token.
+// WithHolder returns the worker with the given accelerators assigned to the placement with the
+// token. A token of zero frees them.
 func (w Worker) WithHolder(accelerators []int, token, revision int64) Worker {
 	holders := append([]int64(nil), w.Holders...)
 	for _, a := range accelerators {
--- a/sessions/oracle/config_test.go
+++ b/sessions/oracle/config_test.go
@@ -12,22 +12,23 @@
 	"yarrowgrade.example/yarrowgrade/sessions/ledger"
 )
 
-// putEvent is one operator's attempt to change the limits, as the operator saw it.
+// putEvent is one operator's attempt to change the limits, as observed by the operator.
 type putEvent struct {
 	operator int
 	base     int64
-	// revision is the new one; zero if the change was refused.
+	// revision is the new revision; zero if the change was not acknowledged.
 	revision int64
-	// unknown says that no answer came; withdrawn that the system gave the change up before it took
-	// effect.
+	// unknown means that no response arrived. withdrawn means that the system withdrew the change
+	// before it took effect.
 	unknown   bool
 	withdrawn bool
 	call, ret int64
 }
 
-// put lets an operator read the limits at one entry and change them. Several operators race.
+// put has an operator read the limits at one entry and change them, possibly through the
+// other one. Several operators may do so concurrently.
 func (x *execution) put(st step) {
-	operator := x.next()
+	operator := x.nextNumber()
 	i := st.A % entryCount
 	x.pending.Go(func() {
 		base := int64(0)
@@ -40,7 +41,7 @@
 		answer, err := x.caller(st.B%entryCount).PutConfig(x.ctx, ledger.LimitsKey, limits, base, fmt.Sprint(operator))
 		ev.ret = time.Now().UnixNano()
 		ev.revision = answer.Revision
-		ev.unknown = err != nil && !refused(err)
+		ev.unknown = err != nil && !isConflict(err)
 		ev.withdrawn = err != nil && strings.Contains(err.Error(), "given up")
 		x.mu.Lock()
 		defer x.mu.Unlock()
@@ -48,15 +49,16 @@
 	})
 }
 
-// putInput is a change with the revisions that some lost answer must have told of.
+// putInput is a change, with the revisions that must result from changes whose responses were lost.
 type putInput struct {
 	putEvent
-	lost []int64
+	lostRevisions []int64
 }
 
-// configModel is a register that changes by compare-and-set on its revision. A change whose answer
-// was lost may have had no effect, or have made a revision that others read, or one that nobody has
-// seen. That last one is a negative number.
+// configModel is a register that changes by compare-and-set on its revision. A change whose
+// response was lost may have had no effect, may have created a revision that others have read, or
+// may have created a revision that nobody has observed. The model represents the latter by a
+// negative number.
 var configModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{int64(0)} },
 	Step: func(state, input, _ any) []any {
@@ -64,7 +66,7 @@
 		switch {
 		case in.unknown && in.base == now:
 			next := []any{now, int64(-in.operator)}
-			for _, revision := range in.lost {
+			for _, revision := range in.lostRevisions {
 				if revision > now {
 					next = append(next, revision)
 				}
@@ -73,7 +75,7 @@
 		case in.unknown || in.withdrawn:
 			return []any{now}
 		case in.revision == 0 && in.base != now && (now < 0 || in.base < now):
-			// Revisions grow, so the one that the operator had read is not newer.
+			// Revisions only increase, so the one that the operator has read is not newer.
 			return []any{now}
 		case in.revision > now && in.base == now:
 			return []any{in.revision}
@@ -82,18 +84,18 @@
 	},
 }
 
-// linearizable checks the history of changes. One whose answer was lost may take effect at any time
-// after it was asked for.
+// linearizable checks the history of changes. A change whose response was lost may take effect at
+// any time after its call.
 func linearizable(events []putEvent) (bool, string) {
-	told := map[int64]bool{0: true}
+	known := map[int64]bool{0: true}
 	for _, ev := range events {
-		told[ev.revision] = true
+		known[ev.revision] = true
 	}
-	var lost []int64
+	var lostRevisions []int64
 	for _, ev := range events {
-		if !told[ev.base] {
-			told[ev.base] = true
-			lost = append(lost, ev.base)
+		if !known[ev.base] {
+			known[ev.base] = true
+			lostRevisions = append(lostRevisions, ev.base)
 		}
 	}
 	var history []porcupine.Operation
@@ -104,7 +106,7 @@
 		}
 		history = append(history, porcupine.Operation{
 			ClientId: ev.operator,
-			Input:    putInput{ev, lost},
+			Input:    putInput{ev, lostRevisions},
 			Call:     ev.call,
 			Return:   ret,
 		})
@@ -115,8 +117,8 @@
 	return true, ""
 }
 
-// TestConfigChecker holds the checker itself against histories that are right and wrong, with and
-// without lost answers.
+// TestConfigChecker tests the checker itself on valid and invalid histories, with and without lost
+// responses.
 func TestConfigChecker(t *testing.T) {
 	accepted := func(base, revision, call int64) putEvent {
 		return putEvent{operator: int(call), base: base, revision: revision, call: call, ret: call + 5}
--- a/sessions/oracle/load_test.go
+++ b/sessions/oracle/load_test.go
@@ -11,7 +11,8 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// Today's request path: 10 targets with 8 slots, 100 ms for each request, so 800 requests a second.
+// The request path under load has 10 targets with 8 slots each and takes 100 ms per request, which
+// gives a capacity of 800 requests per second.
 const (
 	loadAgents   = 10
 	loadSlots    = 8
@@ -24,28 +25,30 @@
 // loadCase is one load on the request path.
 type loadCase struct {
 	name string
-	// wards and ports are requests a second of the two teams, whose shares are 3 and 1.
+	// wards and ports are the request rates per second of the two teams, whose shares are 3 and 1.
 	wards, ports int
-	before       func(s *system)
-	// done is the least share of what could be done that must be done; behaving that of the team
-	// below its share.
-	done, behaving float64
-	// ratio is how many times more the team of share 3 must get done than that of share 1, where
-	// both want too much.
-	ratio float64
-	// p99 bounds how long the team below its share waits for what is done, if not zero.
-	p99 time.Duration
+	setUp        func(s *system)
+	// minDone is the minimum fraction of the achievable requests that must be done. minWardsDone is
+	// the minimum fraction of the requests of team wards where it stays below its share; zero means
+	// no minimum.
+	minDone, minWardsDone float64
+	// minRatio is the minimum ratio of done requests between the teams with shares 3 and 1 when
+	// both overload the system; zero means no minimum.
+	minRatio float64
+	// maxP99 limits the 99th percentile latency of the done requests of team wards; zero means no
+	// limit.
+	maxP99 time.Duration
 }
 
-// loadResult is what became of one team's requests.
+// loadResult has the outcomes of one team's requests.
 type loadResult struct {
 	sent, done, notRun, unknown int
 	doneTimes, refusalTimes     []time.Duration
 }
 
-// TestLoad puts loads on the request path and checks how much is done in time, what the behaving
-// team gets, and how quickly refusals are given. With -v it prints the table of
-// docs/MEASUREMENTS.md.
+// TestLoad checks, under several loads, how many requests are done in time, how many of the
+// requests of the team below its share are done, and how quickly requests are refused. With -v it
+// prints the table of docs/MEASUREMENTS.md.
 func TestLoad(t *testing.T) {
 	slow := func(s *system) {
 		s.targets[0].delay, s.targets[1].delay = 10*loadService, 10*loadService
@@ -71,9 +74,9 @@
 	for _, target := range s.targets {
 		target.delay = loadService
 	}
-	s.declare()
-	if c.before != nil {
-		c.before(s)
+	s.setUpTeams()
+	if c.setUp != nil {
+		c.setUp(s)
 	}
 	var mu sync.Mutex
 	results := map[string]*loadResult{"wards": {}, "ports": {}}
@@ -81,17 +84,17 @@
 	for team, rate := range map[string]int{"wards": c.wards, "ports": c.ports} {
 		wg.Go(func() {
 			for i := range rate * loadSeconds {
-				wg.Go(func() { s.measureOne(&mu, results[team], team, i) })
+				wg.Go(func() { s.sendMeasured(&mu, results[team], team, i) })
 				time.Sleep(time.Second / time.Duration(rate))
 			}
 		})
 	}
 	wg.Wait()
 	s.stop()
-	judgeLoad(t, c, results)
+	checkLoad(t, c, results)
 }
 
-func (s *system) measureOne(mu *sync.Mutex, r *loadResult, team string, i int) {
+func (s *system) sendMeasured(mu *sync.Mutex, r *loadResult, team string, i int) {
 	began := time.Now()
 	answer, err := s.caller(i%entryCount).Send(s.ctx, request.Call{
 		Service: service, Team: team, DeadlineMillis: loadDeadline.Milliseconds(), Body: fmt.Sprintf("%s %d", team, i),
@@ -102,7 +105,7 @@
 	r.sent++
 	switch {
 	case err != nil:
-		s.violate("%v", err)
+		s.addViolation("%v", err)
 	case answer.Outcome == request.Done:
 		r.done++
 		r.doneTimes = append(r.doneTimes, took)
@@ -114,38 +117,39 @@
 	}
 }
 
-func judgeLoad(t *testing.T, c loadCase, results map[string]*loadResult) {
+func checkLoad(t *testing.T, c loadCase, results map[string]*loadResult) {
 	wards, ports := results["wards"], results["ports"]
 	possible := min(wards.sent+ports.sent, capacity*loadSeconds)
 	share := float64(wards.done+ports.done) / float64(possible)
-	behaving := float64(wards.done) / float64(wards.sent)
+	wardsShare := float64(wards.done) / float64(wards.sent)
 	for _, team := range []string{"wards", "ports"} {
 		r := results[team]
 		t.Logf("| %s | %s | %d | %d | %d | %d | %v | %v | %v |", c.name, team, r.sent, r.done, r.notRun, r.unknown,
-			at(r.doneTimes, 0.5), at(r.doneTimes, 0.99), at(r.refusalTimes, 0.99))
+			quantile(r.doneTimes, 0.5), quantile(r.doneTimes, 0.99), quantile(r.refusalTimes, 0.99))
 	}
-	if share < c.done {
-		t.Errorf("%.0f %% of what was possible is done, want %.0f", 100*share, 100*c.done)
+	if share < c.minDone {
+		t.Errorf("%.0f %% of the achievable requests are done, want %.0f", 100*share, 100*c.minDone)
 	}
-	if float64(wards.done) < c.ratio*float64(ports.done) {
-		t.Errorf("shares of 3 and 1 got %d and %d done", wards.done, ports.done)
+	if float64(wards.done) < c.minRatio*float64(ports.done) {
+		t.Errorf("teams with shares 3 and 1 have %d and %d requests done", wards.done, ports.done)
 	}
-	if p99 := at(wards.doneTimes, 0.99); c.p99 > 0 && p99 > c.p99 {
-		t.Errorf("the team below its share waits %v, want at most %v", p99, c.p99)
+	if p99 := quantile(wards.doneTimes, 0.99); c.maxP99 > 0 && p99 > c.maxP99 {
+		t.Errorf("the 99th percentile latency of the team below its share is %v, want at most %v", p99, c.maxP99)
 	}
-	if behaving < c.behaving {
-		t.Errorf("the team below its share got %.0f %% done, want %.0f", 100*behaving, 100*c.behaving)
+	if wardsShare < c.minWardsDone {
+		t.Errorf("%.0f %% of the requests of the team below its share are done, want %.0f",
+			100*wardsShare, 100*c.minWardsDone)
 	}
-	if p99 := at(append(wards.refusalTimes, ports.refusalTimes...), 0.99); p99 > loadDeadline {
-		t.Errorf("refusals take %v", p99)
+	if p99 := quantile(append(wards.refusalTimes, ports.refusalTimes...), 0.99); p99 > loadDeadline {
+		t.Errorf("the 99th percentile latency of refusals is %v, over the deadline", p99)
 	}
-	if p99 := at(append(wards.doneTimes, ports.doneTimes...), 0.99); p99 > loadDeadline {
-		t.Errorf("what is done takes %v, over the deadline", p99)
+	if p99 := quantile(append(wards.doneTimes, ports.doneTimes...), 0.99); p99 > loadDeadline {
+		t.Errorf("the 99th percentile latency of done requests is %v, over the deadline", p99)
 	}
 }
 
-// at returns a quantile, in whole milliseconds.
-func at(times []time.Duration, q float64) time.Duration {
+// quantile returns the q-quantile of times, rounded to milliseconds.
+func quantile(times []time.Duration, q float64) time.Duration {
 	if len(times) == 0 {
 		return 0
 	}
--- a/sessions/oracle/plan_test.go
+++ b/sessions/oracle/plan_test.go
@@ -17,7 +17,9 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// step is one action of a plan, with its parameters drawn.
+// step is one action of a plan with its parameters. A and B select processes, teams, shapes or
+// faults, depending on the action. For is the duration of a fault or a measure of work, and Wait is
+// the delay before the next step.
 type step struct {
 	Do   string
 	A, B int
@@ -25,17 +27,17 @@
 	Wait time.Duration
 }
 
-// doings are the actions of a plan.
-var doings = []string{
+// actionNames lists the actions that a plan draws from. Repeated names are drawn more often.
+var actionNames = []string{
 	"create", "create", "create", "urgent", "cancel", "request", "request", "pay", "pay", "payTwice", "payAgain", "put",
-	"killEntry", "killAgent", "freezeEntry", "freezeAgent", "cut", "cutAnswers", "cutLog", "killZone", "cutZone", "lieBoxes",
-	"logDown", "logSlow", "loseAnswers", "expire", "targetFault", "loseWorker", "leave",
+	"killEntry", "killAgent", "freezeEntry", "freezeAgent", "cut", "cutAnswers", "cutLog", "killZone", "cutZone",
+	"lieBoxes", "logDown", "logSlow", "loseAnswers", "expire", "targetFault", "loseWorker", "leave",
 }
 
 func drawPlan(t *rapid.T) []step {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) step {
 		return step{
-			Do:   rapid.SampledFrom(doings).Draw(t, "do"),
+			Do:   rapid.SampledFrom(actionNames).Draw(t, "do"),
 			A:    rapid.IntRange(0, agentCount-1).Draw(t, "a"),
 			B:    rapid.IntRange(0, agentCount-1).Draw(t, "b"),
 			For:  time.Duration(rapid.IntRange(1, 20).Draw(t, "for")) * time.Second,
@@ -44,51 +46,51 @@
 	}), 3, 25).Draw(t, "plan")
 }
 
-// sent is a request of a plan and its outcomes, one for each time that it was sent.
-type sent struct {
+// sentRequest is a request of a plan with its outcomes, one for each response.
+type sentRequest struct {
 	body     string
 	key      string
 	outcomes []request.Answer
 }
 
-// execution is a plan under way.
+// execution is the state of a plan that is being executed.
 type execution struct {
 	*system
 	mu       sync.Mutex
-	requests []*sent
-	// accepted has the sessions whose creation was acknowledged; cancelled those whose cancellation
-	// was asked for.
-	accepted  map[string]bool
-	cancelled map[string]bool
-	puts      []putEvent
-	lost      map[int]bool
-	left      map[int]bool
-	number    int
-	pending   sync.WaitGroup
+	requests []*sentRequest
+	// accepted has the sessions whose creation was acknowledged, and cancelled those for which a
+	// cancellation was requested.
+	accepted    map[string]bool
+	cancelled   map[string]bool
+	puts        []putEvent
+	lostWorkers map[int]bool
+	leftWorkers map[int]bool
+	number      int
+	pending     sync.WaitGroup
 }
 
-// execute runs a plan in the calling bubble and returns what went wrong.
+// execute runs a plan in the caller's bubble and returns the violations.
 func execute(t *testing.T, seed uint64, plan []step) []string {
 	x := &execution{
 		system: newSystem(t, seed), accepted: map[string]bool{}, cancelled: map[string]bool{},
-		lost: map[int]bool{}, left: map[int]bool{},
+		lostWorkers: map[int]bool{}, leftWorkers: map[int]bool{},
 	}
-	x.declare()
+	x.setUpTeams()
 	z := &sizes{m: make(map[int64]int)}
 	watching, stopWatching := context.WithCancel(x.ctx)
-	entriesNow := make(chan []ledger.State)
+	entryStates := make(chan []ledger.State)
 	x.wg.Go(func() { x.watchGangs(watching, z) })
 	x.wg.Go(func() {
 		x.watchStates(watching, z, func() []ledger.State {
 			select {
-			case states := <-entriesNow:
+			case states := <-entryStates:
 				return states
 			case <-watching.Done():
 				return nil
 			}
 		})
 	})
-	x.wg.Go(func() { x.offerStates(watching, entriesNow) })
+	x.wg.Go(func() { x.sendEntryStates(watching, entryStates) })
 	for _, st := range plan {
 		x.do(st)
 		time.Sleep(st.Wait)
@@ -96,11 +98,11 @@
 	x.finish()
 	stopWatching()
 	x.stop()
-	return x.verdict()
+	return x.foundViolations()
 }
 
-// offerStates hands the states of the entries to the watcher.
-func (x *execution) offerStates(ctx context.Context, out chan<- []ledger.State) {
+// sendEntryStates sends the current states of the entries to the watcher until ctx ends.
+func (x *execution) sendEntryStates(ctx context.Context, out chan<- []ledger.State) {
 	for {
 		var states []ledger.State
 		x.mu.Lock()
@@ -118,8 +120,8 @@
 	}
 }
 
-// during undoes a failure after a while.
-func (x *execution) during(d time.Duration, undo func()) {
+// undoAfter calls undo after the given time.
+func (x *execution) undoAfter(d time.Duration, undo func()) {
 	x.pending.Go(func() {
 		time.Sleep(d)
 		x.mu.Lock()
@@ -128,31 +130,33 @@
 	})
 }
 
-func (x *execution) next() int {
+func (x *execution) nextNumber() int {
 	x.number++
 	return x.number
 }
 
-// entry is the index of the entry that the step names.
+// entry returns the index of the entry that the step selects.
 func (st step) entry() int { return st.A % entryCount }
 
-// actions are what a step can do. They don't wait for answers.
+// actions maps the name of each action to its function. The functions do not wait for responses.
 var actions = map[string]func(x *execution, st step){
-	"create":   func(x *execution, st step) { x.create(st, false) },
-	"urgent":   func(x *execution, st step) { x.create(st, true) },
-	"cancel":   func(x *execution, st step) { x.cancelOne(st) },
-	"request":  func(x *execution, st step) { x.send(&sent{body: fmt.Sprintf("request %d", x.next())}, st.entry()) },
+	"create": func(x *execution, st step) { x.createSession(st, false) },
+	"urgent": func(x *execution, st step) { x.createSession(st, true) },
+	"cancel": func(x *execution, st step) { x.cancelSession(st) },
+	"request": func(x *execution, st step) {
+		x.send(&sentRequest{body: fmt.Sprintf("request %d", x.nextNumber())}, st.entry())
+	},
 	"pay":      func(x *execution, st step) { x.pay(st.entry()) },
 	"payTwice": func(x *execution, _ step) { x.pay(0, 1) },
 	"payAgain": func(x *execution, st step) { x.payAgain(st) },
 	"put":      func(x *execution, st step) { x.put(st) },
 	"killEntry": func(x *execution, st step) {
 		x.killEntry(st.entry())
-		x.during(st.For, func() { x.restartEntry(st.entry()) })
+		x.undoAfter(st.For, func() { x.restartEntry(st.entry()) })
 	},
 	"killAgent": func(x *execution, st step) {
 		x.killAgent(st.A)
-		x.during(st.For, func() { x.restartAgent(st.A) })
+		x.undoAfter(st.For, func() { x.restartAgent(st.A) })
 	},
 	"freezeEntry": func(x *execution, st step) { x.freeze(entryAddress(st.entry()), st.For) },
 	"freezeAgent": func(x *execution, st step) { x.freeze(agentAddress(st.A), st.For) },
@@ -164,14 +168,14 @@
 	"cutLog":     func(x *execution, st step) { x.cut(entryAddress(st.entry()), platformAddress, st.For) },
 	"killZone":   func(x *execution, st step) { x.killZone(st.entry(), st.For) },
 	"cutZone":    func(x *execution, st step) { x.cutZone(st.entry(), st.For) },
-	"lieBoxes":   func(x *execution, st step) { x.lieBoxes(st) },
+	"lieBoxes":   func(x *execution, st step) { x.addFalseBoxes(st) },
 	"logDown":    func(x *execution, st step) { x.fault(standin.Faults{Down: true}, st.For) },
 	"logSlow": func(x *execution, st step) {
 		x.fault(standin.Faults{Delay: time.Duration(st.B) * 300 * time.Millisecond}, st.For)
 	},
 	"loseAnswers": func(x *execution, st step) { x.fault(standin.Faults{LoseAnswers: 1 + st.B}, st.For) },
 	"expire":      func(x *execution, st step) { x.fault(standin.Faults{Retention: 40}, st.For) },
-	"targetFault": func(x *execution, st step) { x.targets[st.A].set(targetFault(st.B % int(targetFaults))) },
+	"targetFault": func(x *execution, st step) { x.targets[st.A].set(targetFault(st.B % int(targetFaultCount))) },
 	"loseWorker":  func(x *execution, st step) { x.loseWorker(st) },
 	"leave":       func(x *execution, st step) { x.leave(st) },
 }
@@ -190,27 +194,27 @@
 }
 
 func (x *execution) restartAgent(i int) {
-	if _, found := x.agents[i]; !found && !x.lost[i] {
+	if _, found := x.agents[i]; !found && !x.lostWorkers[i] {
 		x.startAgent(i)
 	}
 }
 
 func (x *execution) freeze(address string, d time.Duration) {
 	x.network.Freeze(address)
-	x.during(d, func() { x.network.Thaw(address) })
+	x.undoAfter(d, func() { x.network.Thaw(address) })
 }
 
 func (x *execution) cut(from, to string, d time.Duration) {
 	x.network.Cut(from, to, true)
-	x.during(d, func() { x.network.Cut(from, to, false) })
+	x.undoAfter(d, func() { x.network.Cut(from, to, false) })
 }
 
 func (x *execution) fault(f standin.Faults, d time.Duration) {
 	x.platform.SetFaults(f)
-	x.during(d, func() { x.platform.SetFaults(standin.Faults{}) })
+	x.undoAfter(d, func() { x.platform.SetFaults(standin.Faults{}) })
 }
 
-// zone lists the addresses of the processes of an availability zone.
+// zone returns the addresses of the processes in an availability zone.
 func zone(i int) []string {
 	list := []string{entryAddress(i)}
 	for j := range zoneSize {
@@ -219,10 +223,10 @@
 	return list
 }
 
-// lieBoxes puts false lines into the platform's list of boxes: an entry that is not there, an agent
-// that is called an entry, and a live entry under another name that is called leaving. They stay
-// until the end.
-func (x *execution) lieBoxes(st step) {
+// addFalseBoxes adds false records to the platform's list of boxes: an entry that does not exist,
+// an agent that is listed as an entry, and a live entry that is listed under another name as
+// leaving. They remain until the end of the plan.
+func (x *execution) addFalseBoxes(st step) {
 	for _, b := range []hosting.Box{
 		{Name: "ghost", Role: hosting.EntryBox, State: hosting.BoxLive, Address: "http://ghost"},
 		{Name: "not-an-entry", Role: hosting.EntryBox, State: hosting.BoxLive, Address: agentAddress(st.A)},
@@ -232,13 +236,13 @@
 	}
 }
 
-// killZone takes the power from a whole availability zone, and gives it back after a while.
+// killZone kills all processes of an availability zone and restarts them after the given time.
 func (x *execution) killZone(i int, d time.Duration) {
 	x.killEntry(i)
 	for j := range zoneSize {
 		x.killAgent(i*zoneSize + j)
 	}
-	x.during(d, func() {
+	x.undoAfter(d, func() {
 		x.restartEntry(i)
 		for j := range zoneSize {
 			x.restartAgent(i*zoneSize + j)
@@ -246,8 +250,8 @@
 	})
 }
 
-// cutZone parts an availability zone from the other one and from the platform, as two regions lose
-// each other.
+// cutZone partitions an availability zone from the other zone and from the platform, as when two
+// regions lose contact with each other.
 func (x *execution) cutZone(i int, d time.Duration) {
 	for _, inside := range zone(i) {
 		for _, outside := range append(zone(1-i), platformAddress) {
@@ -257,17 +261,18 @@
 	}
 }
 
-// loseWorker takes a machine away for good. At most one, so that the guarantees still fit.
+// loseWorker removes a machine permanently. A plan loses at most one, so that the guarantees still
+// fit.
 func (x *execution) loseWorker(st step) {
-	if len(x.lost) > 0 {
+	if len(x.lostWorkers) > 0 {
 		return
 	}
-	x.lost[st.A] = true
+	x.lostWorkers[st.A] = true
 	x.killAgent(st.A)
 	x.platform.LoseWorker(workerName(st.A))
 }
 
-// leave stops an agent as planned, and starts a new one in its place.
+// leave shuts an agent down gracefully and starts a replacement.
 func (x *execution) leave(st step) {
 	r, found := x.agents[st.A]
 	if !found {
@@ -295,9 +300,9 @@
 	{Accelerators: 12, Adjacency: placement.SameRack},
 }
 
-func (x *execution) create(st step, urgent bool) {
+func (x *execution) createSession(st step, urgent bool) {
 	spec := ledger.SessionSpec{
-		Name: fmt.Sprintf("session-%d", x.next()), Team: teams[st.B%len(teams)].Name,
+		Name: fmt.Sprintf("session-%d", x.nextNumber()), Team: teams[st.B%len(teams)].Name,
 		Shape: shapes[st.A%len(shapes)], Urgent: urgent, Work: int64(st.For/time.Second) * 5,
 	}
 	x.pending.Go(func() {
@@ -310,7 +315,7 @@
 	})
 }
 
-func (x *execution) cancelOne(st step) {
+func (x *execution) cancelSession(st step) {
 	if x.number == 0 {
 		return
 	}
@@ -319,13 +324,13 @@
 	x.pending.Go(func() { _, _ = x.caller(st.B%entryCount).CancelSession(x.ctx, name) })
 }
 
-// send sends a request through each of the entries at once.
-func (x *execution) send(r *sent, entries ...int) {
+// send sends a request through all of the given entries concurrently.
+func (x *execution) send(r *sentRequest, entries ...int) {
 	x.requests = append(x.requests, r)
 	x.sendAgain(r, entries...)
 }
 
-func (x *execution) sendAgain(r *sent, entries ...int) {
+func (x *execution) sendAgain(r *sentRequest, entries ...int) {
 	for _, i := range entries {
 		x.pending.Go(func() {
 			answer, err := x.caller(i).Send(x.ctx, request.Call{
@@ -337,7 +342,7 @@
 				Body:           r.body,
 			})
 			if err != nil {
-				// The entry died or can't be reached: the caller has no outcome.
+				// The entry is down or unreachable, so the caller has no outcome.
 				return
 			}
 			x.mu.Lock()
@@ -347,9 +352,10 @@
 	}
 }
 
-// pay sends a request that must not be repeated.
+// pay sends a request that must run at most once, with the same key through all of the given
+// entries.
 func (x *execution) pay(entries ...int) {
-	body := fmt.Sprintf("pay %d", x.next())
+	body := fmt.Sprintf("pay %d", x.nextNumber())
 	x.pending.Go(func() {
 		key, err := x.caller(entries[0]).Key(x.ctx, service)
 		if err != nil {
@@ -357,13 +363,13 @@
 		}
 		x.mu.Lock()
 		defer x.mu.Unlock()
-		x.send(&sent{body: body, key: key}, entries...)
+		x.send(&sentRequest{body: body, key: key}, entries...)
 	})
 }
 
-// payAgain sends an earlier payment again, by the same key.
+// payAgain resends an earlier payment with the same key.
 func (x *execution) payAgain(st step) {
-	var paid []*sent
+	var paid []*sentRequest
 	for _, r := range x.requests {
 		if r.key != "" {
 			paid = append(paid, r)
@@ -374,7 +380,8 @@
 	}
 }
 
-// TestSystem draws plans of failures and work, and holds the whole system against the oracles.
+// TestSystem draws plans of faults and work, executes them, and checks the whole system against the
+// oracles.
 func TestSystem(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		plan := drawPlan(rt)
--- a/sessions/oracle/schemes_test.go
+++ b/sessions/oracle/schemes_test.go
@@ -12,26 +12,27 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// The payments of TestKeySchemes: 20 a second for 20 s, and something that happens 5 s after the
-// first.
+// TestKeySchemes sends 20 payments per second for 20 s. An event occurs 5 s after the first one.
 const (
-	schemePayments = 400
-	schemePause    = 50 * time.Millisecond
-	schemeEvent    = 5 * time.Second
-	// schemeOutage is longer than a lease, as outages of the log are.
+	schemePayments   = 400
+	schemeInterval   = 50 * time.Millisecond
+	schemeEventDelay = 5 * time.Second
+	// schemeOutage is longer than a lease, as outages of the log usually are.
 	schemeOutage = 10 * time.Second
-	// logDelay is the platform's time for an append or a read.
+	// logDelay is the platform's latency for an append or a read.
 	logDelay = 4 * time.Millisecond
-	// birthWait is how long a new home refuses under the birth rule: the old home's lease, and a
-	// margin for clocks.
-	birthWait = 6 * time.Second
+	// ownerGracePeriod is how long a new owner of a key refuses requests in the birth scheme. It is
+	// the lease of the former owner plus a margin for clock differences.
+	ownerGracePeriod = 6 * time.Second
 )
 
-// scheme is a way to run a payment at most once. It reports whether the payment is done.
+// scheme sends payment i so that it runs at most once, and reports whether the payment is done.
+// sinceEvent is the time since the event of the test; it is negative before the event.
 type scheme func(s *system, i int, sinceEvent time.Duration) bool
 
-// byTicket is what the system does: a key of one incarnation, got from an entry.
-func byTicket(s *system, i int, _ time.Duration) bool {
+// byIncarnationKey is the scheme of the system, called ticket in the tests: an entry issues a key
+// that is bound to one incarnation of an agent.
+func byIncarnationKey(s *system, i int, _ time.Duration) bool {
 	key, err := s.caller(i%entryCount).Key(s.ctx, service)
 	if err != nil {
 		return false
@@ -39,8 +40,9 @@
 	return s.payOnce(i, key)
 }
 
-// byClaim appends a claim to the log and reads it back, and then sends the payment anywhere.
-func byClaim(s *system, i int, _ time.Duration) bool {
+// byLogClaim is the scheme called claim: it appends a claim to the log and reads it back, and then
+// sends the payment to any agent.
+func byLogClaim(s *system, i int, _ time.Duration) bool {
 	offset, err := s.platform.Append(s.ctx, "claims", fmt.Append(nil, i))
 	if err != nil {
 		return false
@@ -51,20 +53,21 @@
 	return s.payOnce(i, "")
 }
 
-// byBirth is the rule that was not built, as far as it decides who is refused: a key's home is
-// found by rendezvous, and refuses while it is new. killed is the agent that is replaced; during an
-// outage of the log no home can renew.
-func byBirth(killed int, outage bool) scheme {
+// byOwnerGrace is the scheme called birth, an alternative that the system does not implement. It
+// models only which payments are refused: rendezvous hashing selects the owner of a key, and a new
+// owner refuses requests during its grace period. replaced is the agent that is replaced; during an
+// outage of the log no owner can renew its lease.
+func byOwnerGrace(replaced int, outage bool) scheme {
 	return func(s *system, i int, sinceEvent time.Duration) bool {
 		var names []string
 		for a := range agentCount {
 			names = append(names, workerName(a))
 		}
-		home := membership.Order(fmt.Sprint(i), names)[0]
-		if home == workerName(killed) && sinceEvent >= 0 && sinceEvent < birthWait {
+		owner := membership.Order(fmt.Sprint(i), names)[0]
+		if owner == workerName(replaced) && sinceEvent >= 0 && sinceEvent < ownerGracePeriod {
 			return false
 		}
-		if outage && sinceEvent >= birthWait && sinceEvent < schemeOutage {
+		if outage && sinceEvent >= ownerGracePeriod && sinceEvent < schemeOutage {
 			return false
 		}
 		return s.payOnce(i, "")
@@ -83,38 +86,38 @@
 	return err == nil && answer.Outcome == request.Done
 }
 
-// TestKeySchemes compares ways to run a payment at most once by the share that is done at the first
-// try. With -v it prints the table of docs/MEASUREMENTS.md.
+// TestKeySchemes compares schemes that run a payment at most once by the fraction of payments that
+// are done at the first attempt. With -v it prints the table of docs/MEASUREMENTS.md.
 func TestKeySchemes(t *testing.T) {
 	tests := []struct {
-		name   string
-		scheme scheme
-		event  func(s *system)
-		least  float64
-		most   float64
+		name     string
+		scheme   scheme
+		event    func(s *system)
+		minShare float64
+		maxShare float64
 	}{
-		{"ticket, quiet", byTicket, func(*system) {}, 1, 1},
-		{"ticket, log down", byTicket, logDown, 1, 1},
-		{"ticket, an agent is replaced", byTicket, replaceAgent, 0.98, 1},
-		{"claim, quiet", byClaim, func(*system) {}, 1, 1},
-		{"claim, log down", byClaim, logDown, 0.4, 0.6},
-		{"claim, an agent is replaced", byClaim, replaceAgent, 0.98, 1},
-		{"birth, quiet", byBirth(-1, false), func(*system) {}, 1, 1},
-		{"birth, log down", byBirth(-1, true), logDown, 0.7, 0.9},
-		{"birth, an agent is replaced", byBirth(0, false), replaceAgent, 0.9, 0.98},
+		{"ticket, quiet", byIncarnationKey, func(*system) {}, 1, 1},
+		{"ticket, log down", byIncarnationKey, logDown, 1, 1},
+		{"ticket, an agent is replaced", byIncarnationKey, replaceAgent, 0.98, 1},
+		{"claim, quiet", byLogClaim, func(*system) {}, 1, 1},
+		{"claim, log down", byLogClaim, logDown, 0.4, 0.6},
+		{"claim, an agent is replaced", byLogClaim, replaceAgent, 0.98, 1},
+		{"birth, quiet", byOwnerGrace(-1, false), func(*system) {}, 1, 1},
+		{"birth, log down", byOwnerGrace(-1, true), logDown, 0.7, 0.9},
+		{"birth, an agent is replaced", byOwnerGrace(0, false), replaceAgent, 0.9, 0.98},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newSystemOf(t, 1, agentCount, 8)
-				s.declare()
+				s.setUpTeams()
 				s.platform.SetFaults(standin.Faults{Delay: logDelay})
 				done := s.runPayments(tt.scheme, tt.event)
 				s.stop()
 				share := float64(done) / schemePayments
 				t.Logf("| %s | %.1f %% |", tt.name, 100*share)
-				if share < tt.least || share > tt.most {
-					t.Errorf("%.3f are done, want %.2f to %.2f", share, tt.least, tt.most)
+				if share < tt.minShare || share > tt.maxShare {
+					t.Errorf("a fraction of %.3f is done, want %.2f to %.2f", share, tt.minShare, tt.maxShare)
 				}
 			})
 		})
@@ -133,25 +136,26 @@
 	s.startAgent(0)
 }
 
-// runPayments sends the payments while the event happens, and returns how many are done.
+// runPayments sends the payments, triggers the event meanwhile, and returns the number of payments
+// that are done.
 func (s *system) runPayments(pay scheme, event func(s *system)) int {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	done := 0
 	began := time.Now()
 	wg.Go(func() {
-		time.Sleep(schemeEvent)
+		time.Sleep(schemeEventDelay)
 		event(s)
 	})
 	for i := range schemePayments {
 		wg.Go(func() {
-			if pay(s, i, time.Since(began)-schemeEvent) {
+			if pay(s, i, time.Since(began)-schemeEventDelay) {
 				mu.Lock()
 				done++
 				mu.Unlock()
 			}
 		})
-		time.Sleep(schemePause)
+		time.Sleep(schemeInterval)
 	}
 	wg.Wait()
 	return done
--- a/sessions/oracle/system_test.go
+++ b/sessions/oracle/system_test.go
@@ -1,12 +1,12 @@
-// Package oracle checks the guarantees of the scheduler for sessions against simple models, under
-// faults, on a paused clock.
+// Package oracle tests the guarantees of the session scheduler against simple models, under
+// injected faults and on a simulated clock.
 //
 // The system under test consists of real entries and agents with their handlers and clients, on an
 // in-memory network (memnet) and platform (standin). A plan of actions is drawn first and then
-// executed in a bubble of testing/synctest, so that hours pass in milliseconds, and a plan can be
-// shrunk and replayed.
+// executed in a testing/synctest bubble, so that hours pass in milliseconds and a failing plan can
+// be shrunk and replayed.
 //
-// Replay a failure with the command that the failing test prints, such as
+// To replay a failure, run the command that the failing test prints, such as
 //
 //	go test ./sessions/oracle -run TestSystem -rapid.failfile=...
 package oracle
@@ -35,7 +35,7 @@
 	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
-// The system under test.
+// Dimensions and addresses of the system under test.
 const (
 	entryCount      = 2
 	agentCount      = 6
@@ -71,20 +71,21 @@
 	starts     int
 	violations []string
 	targets    map[int]*fakeTarget
-	// runs counts how often targets ran each body.
+	// runs counts the runs of each request body on all targets.
 	runs map[string]int
 }
 
-// running is a running process.
+// running is a running process with the function that stops it.
 type running[T any] struct {
 	process T
 	cancel  context.CancelFunc
 }
 
-// newSystem starts the usual system.
+// newSystem starts a system of the default size.
 func newSystem(t *testing.T, seed uint64) *system { return newSystemOf(t, seed, agentCount, 2) }
 
-// newSystemOf starts entries and the given number of agents, each with a target of the given slots.
+// newSystemOf starts the entries and the given number of agents, each with a target that has the
+// given number of slots.
 func newSystemOf(t *testing.T, seed uint64, agents, slots int) *system {
 	s := &system{
 		t:        t,
@@ -109,14 +110,14 @@
 	return s
 }
 
-// intN is the random source of all processes.
+// intN returns a random number in [0, n). It is the random source of all processes.
 func (s *system) intN(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.random.IntN(n)
 }
 
-func (s *system) violate(format string, args ...any) {
+func (s *system) addViolation(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.violations = append(s.violations, fmt.Sprintf(format, args...))
@@ -153,7 +154,7 @@
 	}
 }
 
-// timing is fast, so that bounds are reached within a short plan.
+// timing has short intervals, so that a short plan reaches the time limits.
 var timing = gang.Timing{
 	Beat:       time.Second,
 	Fresh:      3 * time.Second,
@@ -202,13 +203,13 @@
 	}
 }
 
-// stop ends all processes.
+// stop stops all processes.
 func (s *system) stop() {
 	s.network.Heal()
 	s.cancel()
 	s.wg.Wait()
-	// Messages on their way have to arrive: the clock of a bubble stops when its first goroutine
-	// ends.
+	// Messages in flight need time to arrive, because the clock of a bubble stops when the bubble's
+	// first goroutine ends.
 	time.Sleep(2 * time.Minute)
 }
 
@@ -225,7 +226,7 @@
 	return r.process.State(), true
 }
 
-// eventually waits until ok, for at most limit.
+// eventually waits up to limit for ok to return true, and returns its last result.
 func (s *system) eventually(limit time.Duration, ok func() bool) bool {
 	for end := time.Now().Add(limit); time.Now().Before(end); {
 		if ok() {
@@ -236,8 +237,8 @@
 	return ok()
 }
 
-// teams are the teams of the system under test. Their guarantees fit together: 8+8 of 24
-// accelerators.
+// teams are the teams of the system under test. Their guarantees can all be met at the same time:
+// they take 8+8 of 24 accelerators.
 var teams = []ledger.Team{
 	{Name: "wards", Share: 3, Guarantees: guarantee(8, placement.SameRack, 1)},
 	{Name: "ports", Share: 1, Guarantees: guarantee(4, placement.SameWorker, 2)},
@@ -249,29 +250,29 @@
 	return []placement.Guarantee{{Shape: shape, Count: count}}
 }
 
-// declare adds the teams, and waits until all agents have joined.
-func (s *system) declare() {
+// setUpTeams adds the teams and waits until all agents have joined.
+func (s *system) setUpTeams() {
 	for _, team := range teams {
 		if _, err := s.caller(0).PutConfigWhenReady(s.ctx, ledger.TeamPrefix+team.Name, team, "oracle"); err != nil {
-			s.violate("team %s: %v", team.Name, err)
+			s.addViolation("team %s: %v", team.Name, err)
 		}
 	}
 	if !s.eventually(30*time.Second, func() bool {
 		state, _ := s.state(0)
 		return len(state.Workers()) == len(s.agents)
 	}) {
-		s.violate("not all agents joined")
+		s.addViolation("not all agents joined")
 	}
 }
 
-func (s *system) verdict() []string {
+func (s *system) foundViolations() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.violations)
 }
 
-// refused reports whether an entry answered that a change conflicts.
-func refused(err error) bool {
+// isConflict reports whether an entry rejected a change with a conflict status.
+func isConflict(err error) bool {
 	var status *jsonhttp.StatusError
 	return errors.As(err, &status) && status.Status == http.StatusConflict
 }
--- a/sessions/oracle/target_test.go
+++ b/sessions/oracle/target_test.go
@@ -14,18 +14,18 @@
 
 const (
 	faultNone targetFault = iota
-	// faultRefuse accepts no connection.
+	// faultRefuse refuses connections.
 	faultRefuse
-	// faultCut runs the request and loses the answer.
+	// faultCut runs the request and loses the response.
 	faultCut
-	// faultCross answers with another request's answer.
-	faultCross
+	// faultCrossed runs the request and reports a response that belongs to another request.
+	faultCrossed
 	// faultSlow runs the request slowly.
 	faultSlow
-	targetFaults
+	targetFaultCount
 )
 
-// fakeTarget runs requests and counts them.
+// fakeTarget is a request.Target that counts the requests it runs and injects faults.
 type fakeTarget struct {
 	system *system
 	delay  time.Duration
@@ -39,7 +39,7 @@
 	f.fault = fault
 }
 
-func (f *fakeTarget) mode() targetFault {
+func (f *fakeTarget) currentFault() targetFault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.fault
@@ -49,11 +49,11 @@
 
 // Run implements request.Target.
 func (f *fakeTarget) Run(ctx context.Context, hop request.Hop) (int, string, error) {
-	fault := f.mode()
+	fault := f.currentFault()
 	if fault == faultRefuse {
 		return 0, "", &request.NotSentError{Err: errCut}
 	}
-	f.system.ran(hop.Body)
+	f.system.recordRun(hop.Body)
 	delay := f.delay
 	if fault == faultSlow {
 		delay = time.Minute
@@ -66,15 +66,15 @@
 	switch fault {
 	case faultCut:
 		return 0, "", errCut
-	case faultCross:
+	case faultCrossed:
 		return 0, "", request.ErrCrossed
 	}
-	return 200, answerTo(hop.Body), nil
+	return 200, responseTo(hop.Body), nil
 }
 
-func answerTo(body string) string { return "ran " + body }
+func responseTo(body string) string { return "ran " + body }
 
-func (s *system) ran(body string) {
+func (s *system) recordRun(body string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs[body]++
--- a/sessions/oracle/verdict_test.go
+++ b/sessions/oracle/verdict_test.go
@@ -9,7 +9,7 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// finish heals the system, waits until it is quiet, and checks what must hold at the end.
+// finish removes all faults, gives the system a minute to recover, and checks the final invariants.
 func (x *execution) finish() {
 	x.pending.Wait()
 	x.mu.Lock()
@@ -31,70 +31,72 @@
 	x.checkGuarantees()
 }
 
-// checkRequests holds each outcome against what the targets ran.
+// checkRequests checks each outcome against the runs that the targets counted.
 func (x *execution) checkRequests() {
 	for _, r := range x.requests {
 		runs := x.runsOf(r.body)
 		if r.key != "" && runs > 1 {
-			x.violate("%s ran %d times", r.body, runs)
+			x.addViolation("%s ran %d times", r.body, runs)
 		}
 		for _, o := range r.outcomes {
 			switch o.Outcome {
 			case request.Done:
-				if o.Body != answerTo(r.body) {
-					x.violate("%s got the answer %q", r.body, o.Body)
+				if o.Body != responseTo(r.body) {
+					x.addViolation("%s got the response %q", r.body, o.Body)
 				}
 				if runs == 0 {
-					x.violate("%s is done but never ran", r.body)
+					x.addViolation("%s is done but never ran", r.body)
 				}
 			case request.NotRun:
 				if runs > 0 {
-					x.violate("%s is not_run but ran %d times: %s", r.body, runs, o.Reason)
+					x.addViolation("%s is not_run but ran %d times: %s", r.body, runs, o.Reason)
 				}
 				if o.RetryAfterMillis == 0 {
-					x.violate("%s is not_run without a time to come back", r.body)
+					x.addViolation("%s is not_run without a retry time", r.body)
 				}
 			case request.Unknown:
 			default:
-				x.violate("%s got the outcome %q", r.body, o.Outcome)
+				x.addViolation("%s got the outcome %q", r.body, o.Outcome)
 			}
 		}
 	}
 }
 
-// checkSessions looks for sessions that were dropped, and for a system that stands still.
+// checkSessions checks that no session was dropped or cancelled without a request, and that no
+// placement is stuck in the Preparing phase.
 func (x *execution) checkSessions() {
 	state, _ := x.state(0)
 	for name := range x.accepted {
 		session, found := state.Session(name)
 		if !found {
-			x.violate("session %s was dropped", name)
+			x.addViolation("session %s was dropped", name)
 			continue
 		}
 		if session.Phase == ledger.SessionCancelled && !x.cancelled[name] {
-			x.violate("session %s was cancelled by nobody", name)
+			x.addViolation("session %s was cancelled without a request", name)
 		}
 	}
 	for _, p := range state.Placements() {
 		if p.Phase == ledger.Preparing {
-			x.violate("placement %d still prepares a minute after all failures", p.Token)
+			x.addViolation("placement %d is still preparing a minute after all faults", p.Token)
 		}
 	}
 }
 
-// maxRecords is far above what a plan needs: 25 actions and two minutes. The platform's log takes
-// some hundred appends a second, and it is not the system's alone.
+// maxRecords is far above what a plan of 25 actions and two minutes needs. The log must not be
+// flooded, because the platform accepts only a few hundred appends per second and shares the log
+// with other users.
 const maxRecords = 1500
 
-// checkLog wants the system not to flood the log.
+// checkLog checks that the system does not flood the log.
 func (x *execution) checkLog() {
 	if state, _ := x.state(0); state.Revision() > maxRecords {
 		batch, _ := x.platform.Read(x.ctx, hosting.LedgerStream, state.Revision()-20, 20, 0)
-		x.violate("the log has %d records, among the last: %s", state.Revision(), texts(batch))
+		x.addViolation("the log has %d records, among the last: %s", state.Revision(), texts(batch))
 	}
 }
 
-// texts returns the records of a batch as they are stored.
+// texts returns the stored form of the records of a batch.
 func texts(batch hosting.Batch) []string {
 	var list []string
 	for _, r := range batch.Records {
@@ -103,27 +105,28 @@
 	return list
 }
 
-// checkConfig wants both entries and all agents at the newest configuration.
+// checkConfig checks that both entries and all agents have the newest configuration, and that the
+// configuration changes are linearizable.
 func (x *execution) checkConfig() {
 	a, _ := x.state(0)
 	b, _ := x.state(1)
 	if a.ConfigRevision() != b.ConfigRevision() {
-		x.violate("entries are at configurations %d and %d", a.ConfigRevision(), b.ConfigRevision())
+		x.addViolation("entries are at configuration revisions %d and %d", a.ConfigRevision(), b.ConfigRevision())
 	}
 	for i, r := range x.agents {
-		if got := r.process.ConfigRevision(); got != a.ConfigRevision() && !x.lost[i] {
-			x.violate("agent %d is at configuration %d, not %d", i, got, a.ConfigRevision())
+		if got := r.process.ConfigRevision(); got != a.ConfigRevision() && !x.lostWorkers[i] {
+			x.addViolation("agent %d is at configuration revision %d, not %d", i, got, a.ConfigRevision())
 		}
 	}
 	if ok, reason := linearizable(x.puts); !ok {
-		x.violate("configuration: %s", reason)
+		x.addViolation("configuration: %s", reason)
 	}
 }
 
-// checkGuarantees wants every guarantee to be had back at the end, with at most one worker lost.
+// checkGuarantees checks that every guarantee can be met at the end, unless a worker was lost.
 func (x *execution) checkGuarantees() {
 	state, _ := x.state(0)
-	if short := state.Shortfall(); len(short) > 0 && len(x.lost) == 0 {
-		x.violate("guarantees can't be had back: %v", short)
+	if short := state.Shortfall(); len(short) > 0 && len(x.lostWorkers) == 0 {
+		x.addViolation("guarantees cannot be met: %v", short)
 	}
 }
--- a/sessions/oracle/watch_test.go
+++ b/sessions/oracle/watch_test.go
@@ -10,8 +10,9 @@
 	"yarrowgrade.example/yarrowgrade/sessions/ledger"
 )
 
-// watchGangs records a violation for each gang that runs partially for longer than its bound, until
-// ctx ends. It compares the platform's list of tasks with the number of members in the placement.
+// watchGangs records a violation for each gang of which only some members run for longer than
+// timing.Bound plus one second, until ctx ends. It compares the platform's list of tasks with the
+// number of members in the placement.
 func (s *system) watchGangs(ctx context.Context, sizes *sizes) {
 	since := make(map[int64]time.Time)
 	for ctx.Err() == nil {
@@ -36,7 +37,7 @@
 				since[token] = time.Now()
 			}
 			if partial := time.Since(since[token]); partial > timing.Bound()+time.Second {
-				s.violate("gang %d has run with %d members for %v", token, n, partial)
+				s.addViolation("gang %d has run with %d members for %v", token, n, partial)
 				delete(since, token)
 			}
 		}
@@ -62,14 +63,15 @@
 	return n, found
 }
 
-// watchStates checks the state of each entry from time to time: its revision only grows, and
-// stateComplaints finds nothing.
+// watchStates records the violations that stateViolations finds in the states of the entries, every
+// 100 ms until ctx ends. It also records the number of members of each placement in z. A revision
+// lower than the previous one means that the entry was restarted.
 func (s *system) watchStates(ctx context.Context, z *sizes, states func() []ledger.State) {
 	newest := make(map[int]int64)
 	for ctx.Err() == nil {
 		for i, state := range states() {
 			if state.Revision() < newest[i] {
-				newest[i] = 0 // the entry was replaced and reads again
+				newest[i] = 0 // the entry was restarted and reads the log again
 			}
 			newest[i] = state.Revision()
 			z.mu.Lock()
@@ -77,17 +79,17 @@
 				z.m[p.Token] = len(p.Members)
 			}
 			z.mu.Unlock()
-			for _, complaint := range stateComplaints(state) {
-				s.violate("revision %d: %s", state.Revision(), complaint)
+			for _, violation := range stateViolations(state) {
+				s.addViolation("revision %d: %s", state.Revision(), violation)
 			}
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// stateComplaints checks what must hold in every state: no accelerator has two holders, placements
-// are whole and belong to their sessions.
-func stateComplaints(state ledger.State) []string {
+// stateViolations checks the invariants of a state: no accelerator has two holders, and placements
+// are complete and belong to their sessions.
+func stateViolations(state ledger.State) []string {
 	var list []string
 	held := make(map[string]int64)
 	for _, p := range state.Placements() {
@@ -122,7 +124,7 @@
 	for _, session := range state.Sessions() {
 		_, found := state.Placement(session.Token)
 		if session.Phase == ledger.SessionPlaced && !found {
-			list = append(list, fmt.Sprintf("session %s is placed by %d, which is gone", session.Name, session.Token))
+			list = append(list, fmt.Sprintf("session %s has placement %d, which does not exist", session.Name, session.Token))
 		}
 	}
 	return list
