--- a/cmd/soak/address.go
+++ b/cmd/soak/address.go
@@ -10,40 +10,41 @@
 	"sync/atomic"
 )
 
-// Ports of a process, at an IP address of its own.
+// Ports of a process. Each process has its own loopback IP address.
 const (
 	internalPort = 7000 + iota
 	callersPort
 	readyPort
 	heartbeatsPort
-	// claimPort is where the soak listens for as long as the address is its own: another soak on
-	// this machine may draw the same addresses.
+	// claimPort is the port on which the soak listens to reserve the address: another soak on the
+	// same machine may generate the same addresses.
 	claimPort
 )
 
-// addressesPerNetwork is how many addresses a soak process may use.
+// addressesPerNetwork is the number of addresses that a soak process may use.
 const addressesPerNetwork = 250
 
-// boxes counts the addresses that this process has tried.
-var boxes atomic.Int64
+// addressesTried counts the addresses that this process has tried.
+var addressesTried atomic.Int64
 
-// errAddressesTaken means that another program listens on each address of this process.
-var errAddressesTaken = errors.New("no address is free for a box: another run, or what is left of one, has taken them")
+// errAddressesTaken means that other programs listen on all addresses of this process.
+var errAddressesTaken = errors.New(
+	"no free loopback address for a box: another soak, or processes left over from one, use them all")
 
-// addressOf returns the n-th loopback address of this process: a network of 127.0.0.0/8 for each
-// soak process, and in it one address after the other.
+// addressOf returns the n-th loopback address of this process. Each soak process uses its own
+// network of 127.0.0.0/8 and assigns the addresses in it in order.
 func addressOf(n int64) string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 16+pid/addressesPerNetwork%200, pid%addressesPerNetwork, 1+n%addressesPerNetwork)
 }
 
-func at(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
+func hostPort(ip string, port int) string { return net.JoinHostPort(ip, strconv.Itoa(port)) }
 
-// claimIP returns a loopback address for a box at which no other program listens. It is claimed until
-// the closer is closed.
+// claimIP returns a loopback address for a box on which no other program listens. The address is
+// reserved until claim is closed.
 func claimIP() (ip string, claim io.Closer, err error) {
 	for range addressesPerNetwork {
-		ip := addressOf(boxes.Add(1))
+		ip := addressOf(addressesTried.Add(1))
 		if claim := claimAddress(ip); claim != nil {
 			return ip, claim, nil
 		}
@@ -51,14 +52,14 @@
 	return "", nil, errAddressesTaken
 }
 
-// claimAddress claims an address, or returns nil if another program listens there.
+// claimAddress reserves an address. It returns nil if another program listens on one of its ports.
 func claimAddress(ip string) io.Closer {
-	claim, err := net.Listen("tcp", at(ip, claimPort))
+	claim, err := net.Listen("tcp", hostPort(ip, claimPort))
 	if err != nil {
 		return nil
 	}
 	for port := internalPort; port < claimPort; port++ {
-		l, err := net.Listen("tcp", at(ip, port))
+		l, err := net.Listen("tcp", hostPort(ip, port))
 		if err != nil {
 			claim.Close()
 			return nil
--- a/cmd/soak/address_test.go
+++ b/cmd/soak/address_test.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// TestTakenAddresses guards against a day that can't be played since another program listens on the
-// addresses that it draws: its entries ended at their start, and the day said that the system does
-// not serve.
+// TestTakenAddresses guards against a failed start when another program already listens on the
+// addresses that a scenario picks. The entries would exit on start-up, and the scenario would
+// report that the system does not serve.
 func TestTakenAddresses(t *testing.T) {
 	for n, port := range []int{callersPort, claimPort, internalPort} {
-		l, err := net.Listen("tcp", at(addressOf(boxes.Load()+1+int64(n)), port))
+		l, err := net.Listen("tcp", hostPort(addressOf(addressesTried.Load()+1+int64(n)), port))
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer l.Close()
 	}
-	s := small()
+	s := shortSettings()
 	s.Length = time.Second
-	report, err := playDay(t.Context(), s, 1, logsOf(t))
+	report, err := runScenario(t.Context(), s, 1, logDir(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,23 +30,25 @@
 	}
 }
 
-// TestNotServing: a day that does not begin says of each entry whether its process runs and what it
-// answered, and how soon the store did.
+// TestNotServing checks the error of a system that does not start to serve: it reports for each
+// entry whether its process runs and what it answered, and the response time of the store.
 func TestNotServing(t *testing.T) {
-	s := small()
-	c, err := newCluster(t.Context(), s, 1, logsOf(t))
+	s := shortSettings()
+	c, err := newCluster(t.Context(), s, 1, logDir(t))
 	defer c.close()
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.entries[0].process.Kill()
-	d := &day{settings: s, cluster: c, callers: newCallers(c, nil, false, nil)}
-	err = d.awaitService(t.Context(), time.Second)
+	sc := &scenario{settings: s, cluster: c, callers: newCallers(c, nil, false, nil)}
+	err = sc.awaitService(t.Context(), time.Second)
 	var failure *notServingError
 	if !errors.As(err, &failure) {
 		t.Fatalf("got %v, want a notServingError", err)
 	}
-	for _, want := range []string{"entry-0 (its process has ended", "entry-1 (its process runs)", "the store answered in"} {
+	for _, want := range []string{
+		"entry-0 (its process has ended", "entry-1 (its process runs)", "the store answered in",
+	} {
 		if !strings.Contains(err.Error(), want) {
 			t.Errorf("%q is not in: %v", want, err)
 		}
--- a/cmd/soak/callers.go
+++ b/cmd/soak/callers.go
@@ -14,47 +14,47 @@
 	"yarrowgrade.example/yarrowgrade/platform/standin"
 )
 
-// Times of callers.
+// Timing of callers.
 const (
-	callTimeout = 3 * time.Second
-	retryPause  = 300 * time.Millisecond
-	tries       = 3
-	// answerLimit is how long an answer may take on a day of planned work.
-	answerLimit = 2900 * time.Millisecond
+	callTimeout       = 3 * time.Second
+	retryDelay        = 300 * time.Millisecond
+	maxSubmitAttempts = 3
+	// maxAnswerTime is the longest time that an answer may take in a scenario of planned work.
+	maxAnswerTime = 2900 * time.Millisecond
 )
 
-// callers submit jobs and remember what they were told.
+// callers submit and cancel jobs, and record the answers.
 type callers struct {
 	cluster *cluster
 	random  *rand.Rand
 	// planned means that no call may be cut or delayed.
 	planned bool
-	// standstill knows when this process did not run.
-	standstill *standstill
-	// clients are one for each entry; they keep their connections open.
+	// stalls measures when this process did not run.
+	stalls *stallMonitor
+	// clients has one client per entry. Each keeps its connections open.
 	clients []*http.Client
 
-	mu      sync.Mutex
-	number  int
-	queueOf map[job.ID]int
-	// refused holds the jobs that were not accepted, and whether every attempt was certainly
-	// refused.
-	accepted  map[job.ID]bool
+	mu       sync.Mutex
+	number   int
+	queueOf  map[job.ID]int
+	accepted map[job.ID]bool
+	// refused holds the jobs that were not accepted. Its value is true if every attempt was
+	// definitely refused, and false if one may have been accepted without an answer.
 	refused   map[job.ID]bool
 	cancelled map[job.ID]bool
-	// cancelledAt is when an entry has answered that a job is cancelled.
+	// cancelledAt is the time at which an entry confirmed the cancellation of a job.
 	cancelledAt map[job.ID]time.Time
 	violations  []string
-	// lateReadings describe calls that were held by a standstill of this process alone.
+	// lateReadings describe calls that were delayed only by a stall of this process.
 	lateReadings []string
 }
 
-func newCallers(c *cluster, random *rand.Rand, planned bool, s *standstill) *callers {
+func newCallers(c *cluster, random *rand.Rand, planned bool, s *stallMonitor) *callers {
 	cs := &callers{
 		cluster:     c,
 		random:      random,
 		planned:     planned,
-		standstill:  s,
+		stalls:      s,
 		queueOf:     map[job.ID]int{},
 		accepted:    map[job.ID]bool{},
 		refused:     map[job.ID]bool{},
@@ -68,10 +68,10 @@
 	return cs
 }
 
-// caller returns a caller at an entry, under an API key.
+// caller returns a caller that uses an entry and an API key.
 func (cs *callers) caller(entry int, key string) standin.Caller {
 	return standin.Caller{
-		Address: cs.cluster.entries[entry].callers,
+		Address: cs.cluster.entries[entry].callerAddress,
 		Host:    host,
 		Key:     key,
 		Client:  cs.clients[entry],
@@ -84,53 +84,54 @@
 	cs.violations = append(cs.violations, fmt.Sprintf(format, args...))
 }
 
-// judge checks an answer that has just come on a day of planned work. A call that found nobody
-// listening was not taken, and may be retried elsewhere. What this process only read late, or gave up
-// by its own timer, while it did not run is told apart: nobody was held or cut by the system.
-func (cs *callers) judge(what string, a standin.Response, reached bool) {
+// checkAnswer checks an answer that has just arrived in a scenario of planned work. A call that
+// found no listener was not accepted and may be retried at another entry. Answers that this process
+// read late, or calls that its own timer ended, because it was stalled are recorded separately: the
+// system neither delayed nor cut them.
+func (cs *callers) checkAnswer(what string, a standin.Response, reached bool) {
 	if !cs.planned {
 		return
 	}
-	stood := cs.stoodStill(a)
-	heldLong := a.Took-stood > answerLimit
+	stalled := cs.stalledDuring(a)
+	heldLong := a.Took-stalled > maxAnswerTime
 	givenUp := a.Status == 0 && reached
-	if a.Took > answerLimit && !heldLong && (!givenUp || isTimeout(a.Err)) {
-		cs.noteLate("late reading: %s was answered after %v, of which this process stood still for %v (%v)",
-			what, a.Took, stood, a.Err)
+	if a.Took > maxAnswerTime && !heldLong && (!givenUp || isTimeout(a.Err)) {
+		cs.recordLateReading("late reading: %s was answered after %v, of which this process was stalled for %v (%v)",
+			what, a.Took, stalled, a.Err)
 		return
 	}
 	if givenUp {
-		cs.violate("CUT: %s broke off: %v", what, a.Err)
+		cs.violate("CUT: %s ended without an answer: %v", what, a.Err)
 	}
 	if heldLong {
-		cs.violate("HELD: %s was answered after %v, of which this process stood still for %v", what, a.Took, stood)
+		cs.violate("HELD: %s was answered after %v, of which this process was stalled for %v", what, a.Took, stalled)
 	}
 }
 
-// stoodStill returns for how long this process did not run during a call that has just ended; zero for
-// one that was answered in time.
-func (cs *callers) stoodStill(a standin.Response) time.Duration {
-	if a.Took <= answerLimit {
+// stalledDuring returns how long this process was stalled during a call that has just ended. It
+// returns zero for a call that was answered in time.
+func (cs *callers) stalledDuring(a standin.Response) time.Duration {
+	if a.Took <= maxAnswerTime {
 		return 0
 	}
 	now := time.Now()
-	return cs.standstill.between(now.Add(-a.Took), now)
+	return cs.stalls.stalledBetween(now.Add(-a.Took), now)
 }
 
-func (cs *callers) noteLate(format string, args ...any) {
+func (cs *callers) recordLateReading(format string, args ...any) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	cs.lateReadings = append(cs.lateReadings, fmt.Sprintf(format, args...))
 }
 
-// isTimeout reports whether a call ended by the caller's own timer.
+// isTimeout reports whether the caller's own timer ended a call.
 func isTimeout(err error) bool {
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// drawJob draws a job and the queue to submit it to.
-func (cs *callers) drawJob() (*job.Job, int) {
+// newRandomJob generates a job and chooses the queue to submit it to.
+func (cs *callers) newRandomJob() (*job.Job, int) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	cs.number++
@@ -161,35 +162,35 @@
 	return j, queue
 }
 
-// submit submits a job, at up to three entries.
+// submit submits a job and retries at the next entries, up to maxSubmitAttempts times.
 func (cs *callers) submit(ctx context.Context, j *job.Job, queue, first int) {
 	cs.cluster.platform.Workers.Expect(j)
-	doubt := false
-	for try := range tries {
-		entry := (first + try) % len(cs.clients)
-		answer := cs.caller(entry, keptKey).Submit(ctx, prefix(queue), j)
-		cs.judge("submission of "+string(j.ID), answer, answer.Reached())
+	uncertain := false
+	for attempt := range maxSubmitAttempts {
+		entry := (first + attempt) % len(cs.clients)
+		answer := cs.caller(entry, validKey).Submit(ctx, prefix(queue), j)
+		cs.checkAnswer("submission of "+string(j.ID), answer, answer.Reached())
 		if answer.Accepted() {
 			cs.mu.Lock()
 			cs.accepted[j.ID] = true
 			cs.mu.Unlock()
 			return
 		}
-		doubt = doubt || !answer.Rejected() && answer.Reached()
-		time.Sleep(retryPause)
+		uncertain = uncertain || !answer.Rejected() && answer.Reached()
+		time.Sleep(retryDelay)
 	}
 	cs.mu.Lock()
-	cs.refused[j.ID] = !doubt
+	cs.refused[j.ID] = !uncertain
 	cs.mu.Unlock()
 }
 
-// cancel cancels a job at an entry. The job may be cancelled even if no answer says so.
+// cancel cancels a job at an entry. The job may be cancelled even if no answer confirms it.
 func (cs *callers) cancel(ctx context.Context, id job.ID, queue, entry int) {
 	cs.mu.Lock()
 	cs.cancelled[id] = true
 	cs.mu.Unlock()
-	answer := cs.caller(entry, keptKey).Cancel(ctx, prefix(queue), id)
-	cs.judge("cancellation of "+string(id), answer, answer.Reached())
+	answer := cs.caller(entry, validKey).Cancel(ctx, prefix(queue), id)
+	cs.checkAnswer("cancellation of "+string(id), answer, answer.Reached())
 	if answer.Accepted() {
 		cs.mu.Lock()
 		cs.cancelledAt[id] = time.Now()
--- a/cmd/soak/cluster.go
+++ b/cmd/soak/cluster.go
@@ -17,52 +17,52 @@
 	"yarrowgrade.example/yarrowgrade/platform/standin"
 )
 
-// Bounds that the processes are given, as on the users' sites.
+// Time limits in the settings of the processes, with the values that the users' sites have.
 const (
-	lease  = 6 * time.Second
-	revoke = 5 * time.Second
-	grace  = 6 * time.Second
+	lease           = 6 * time.Second
+	revocationLimit = 5 * time.Second
+	gracePeriod     = 6 * time.Second
 )
 
-// The configuration of a day.
+// Configuration of a scenario.
 const (
-	service  = "roster"
-	host     = "queues.example"
-	keptKey  = "key-kept"
-	takenKey = "key-taken"
-	rackSize = 3
+	service    = "roster"
+	host       = "queues.example"
+	validKey   = "key-kept"
+	revokedKey = "key-taken"
+	rackSize   = 3
 )
 
-// capacity is that of each worker.
+// capacity is the capacity of each worker.
 var capacity = job.Resources{CPU: 16_000, Memory: 64_000, Accelerators: 8}
 
-// queues is the number of queues, one for each priority.
+// queues is the number of queues. Each has its own priority.
 const queues = 3
 
-// zoneOf returns the availability zone of a worker. Each rack is one.
+// zoneOf returns the availability zone of a worker. Each rack is its own zone.
 func zoneOf(worker int) string { return fmt.Sprintf("zone-%d", worker/rackSize) }
 
 func prefix(queue int) string { return fmt.Sprintf("/q%d/", queue) }
 
-// box is a process with the links around it.
+// box is a process and the network links around it.
 type box struct {
 	name    string
 	process *loopback.Process
-	// inbound is the link from agents and entries to an entry, store the one to the store, and
-	// worker the one from an agent to its worker.
-	inbound, store, worker *loopback.Link
-	// callers is the address of an entry for callers.
-	callers string
-	// beside is the worker beside an agent; nil for an entry.
-	beside *jobtest.Worker
-	// boot is what the process was started with.
+	// inboundLink leads from agents and entries to an entry, storeLink from a process to the store,
+	// and workerLink from an agent to its worker.
+	inboundLink, storeLink, workerLink *loopback.Link
+	// callerAddress is the address of an entry for callers.
+	callerAddress string
+	// worker is the worker of an agent; nil for an entry.
+	worker *jobtest.Worker
+	// boot holds the settings with which the process was started.
 	boot standin.Settings
 }
 
 // links returns all links of the box.
 func (b *box) links() []*loopback.Link {
 	var all []*loopback.Link
-	for _, l := range []*loopback.Link{b.inbound, b.store, b.worker} {
+	for _, l := range []*loopback.Link{b.inboundLink, b.storeLink, b.workerLink} {
 		if l != nil {
 			all = append(all, l)
 		}
@@ -82,7 +82,7 @@
 	closers  []func()
 }
 
-// newCluster starts the platform and all processes. close must be called even after an error.
+// newCluster starts the platform and all processes. The caller must call close even after an error.
 func newCluster(ctx context.Context, s settings, seed uint64, logs string) (*cluster, error) {
 	c := &cluster{settings: s, platform: standin.New(seed), logs: logs}
 	address, err := c.serve(c.platform.StoreHandler())
@@ -95,7 +95,7 @@
 		c.platform.Workers.SameIDShare = sameIDShare
 	}
 	go c.platform.Workers.Run(ctx)
-	if err := c.platform.PutConfig(ctx, config(1, keptKey, takenKey)); err != nil {
+	if err := c.platform.PutConfig(ctx, config(1, validKey, revokedKey)); err != nil {
 		return c, err
 	}
 	for i := range s.Entries {
@@ -111,7 +111,7 @@
 	return c, nil
 }
 
-// config returns a configuration with the API keys.
+// config returns a configuration in which the API keys are valid.
 func config(version int64, keys ...string) standin.Config {
 	c := standin.Config{Version: version, Teams: []standin.Team{{Name: "team", Keys: keys, Guaranteed: 16}}}
 	for q := range queues {
@@ -127,7 +127,7 @@
 	return c
 }
 
-// serve serves a handler on loopback until close.
+// serve serves a handler on a loopback address until close.
 func (c *cluster) serve(h http.Handler) (address string, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -139,7 +139,7 @@
 	return l.Addr().String(), nil
 }
 
-// link returns a link to an address. close ends it.
+// link returns a link to an address. It stays open until close.
 func (c *cluster) link(to string) (*loopback.Link, error) {
 	l, err := loopback.NewLink()
 	if err != nil {
@@ -150,7 +150,7 @@
 	return l, nil
 }
 
-// newIP returns a loopback address for a box, which is its own until close.
+// newIP returns a loopback address for a box. The address is reserved until close.
 func (c *cluster) newIP() (string, error) {
 	ip, claim, err := claimIP()
 	if err != nil {
@@ -165,15 +165,15 @@
 	if err != nil {
 		return err
 	}
-	b := &box{name: fmt.Sprintf("entry-%d", i), callers: at(ip, callersPort)}
-	if b.inbound, err = c.link(at(ip, internalPort)); err != nil {
+	b := &box{name: fmt.Sprintf("entry-%d", i), callerAddress: hostPort(ip, callersPort)}
+	if b.inboundLink, err = c.link(hostPort(ip, internalPort)); err != nil {
 		return err
 	}
-	if b.store, err = c.link(c.store); err != nil {
+	if b.storeLink, err = c.link(c.store); err != nil {
 		return err
 	}
-	boot := standin.Settings{IP: ip, Port: internalPort, Callers: b.callers, Ready: at(ip, readyPort)}
-	if err := c.launch(b, boot, "job-entry", "--advertise", b.inbound.Address()); err != nil {
+	boot := standin.Settings{IP: ip, Port: internalPort, Callers: b.callerAddress, Ready: hostPort(ip, readyPort)}
+	if err := c.launch(b, boot, "job-entry", "--advertise", b.inboundLink.Address()); err != nil {
 		return err
 	}
 	c.entries = append(c.entries, b)
@@ -192,19 +192,19 @@
 	if err != nil {
 		return err
 	}
-	b := &box{name: name, beside: w}
-	if b.worker, err = c.link(served); err != nil {
+	b := &box{name: name, worker: w}
+	if b.workerLink, err = c.link(served); err != nil {
 		return err
 	}
-	if b.store, err = c.link(c.store); err != nil {
+	if b.storeLink, err = c.link(c.store); err != nil {
 		return err
 	}
 	boot := standin.Settings{
 		IP:         ip,
 		Port:       internalPort,
 		Zone:       zoneOf(i),
-		Heartbeats: at(ip, heartbeatsPort),
-		Worker:     b.worker.Address(),
+		Heartbeats: hostPort(ip, heartbeatsPort),
+		Worker:     b.workerLink.Address(),
 	}
 	if err := c.launch(b, boot, "job-agent"); err != nil {
 		return err
@@ -214,10 +214,10 @@
 	return nil
 }
 
-// launch writes the settings of a process and starts it.
+// launch writes the settings file of a process and starts the process.
 func (c *cluster) launch(b *box, boot standin.Settings, args ...string) error {
-	boot.Node, boot.Zone, boot.Store = cmp.Or(boot.Node, b.name), cmp.Or(boot.Zone, zoneOf(0)), b.store.Address()
-	boot.Lease, boot.Revoke, boot.Grace = lease, revoke, grace
+	boot.Node, boot.Zone, boot.Store = cmp.Or(boot.Node, b.name), cmp.Or(boot.Zone, zoneOf(0)), b.storeLink.Address()
+	boot.Lease, boot.Revoke, boot.Grace = lease, revocationLimit, gracePeriod
 	b.boot = boot
 	data, err := boot.Encode()
 	if err != nil {
@@ -236,16 +236,16 @@
 	return b.process.Start()
 }
 
-// all returns all boxes.
-func (c *cluster) all() []*box { return append(append([]*box{}, c.entries...), c.agents...) }
+// boxes returns the boxes of all entries and agents.
+func (c *cluster) boxes() []*box { return append(append([]*box{}, c.entries...), c.agents...) }
 
-// heal ends all faults, and resumes or restarts processes that were paused or have ended.
+// heal ends all faults, resumes paused processes and restarts those that have exited.
 func (c *cluster) heal() error {
 	c.platform.SetFault(jobtest.Fault{})
 	for _, w := range c.workers {
 		w.Heal()
 	}
-	for _, b := range c.all() {
+	for _, b := range c.boxes() {
 		for _, l := range b.links() {
 			l.Heal()
 		}
@@ -261,7 +261,7 @@
 
 // close ends all processes, servers and links.
 func (c *cluster) close() {
-	for _, b := range c.all() {
+	for _, b := range c.boxes() {
 		b.process.Kill()
 	}
 	for _, f := range c.closers {
--- a/cmd/soak/day.go
+++ b/cmd/soak/day.go
@@ -11,26 +11,26 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// Times of a day.
+// Timing of a scenario.
 const (
 	startTimeout  = 30 * time.Second
-	jobPause      = 800 * time.Millisecond
-	faultPause    = 1500 * time.Millisecond
+	maxJobPause   = 800 * time.Millisecond
+	maxFaultPause = 1500 * time.Millisecond
 	settleTimeout = 90 * time.Second
-	pollPause     = 200 * time.Millisecond
-	// revokeSlack is added to the time after which a removed key must not work any more: the soak
-	// knows when it sent a call, not when it arrived.
-	revokeSlack = 100 * time.Millisecond
-	keyPause    = 250 * time.Millisecond
+	pollInterval  = 200 * time.Millisecond
+	// revokeSlack is added to the time after which a revoked key must be refused: the soak knows
+	// when it sent a call, not when the call arrived.
+	revokeSlack     = 100 * time.Millisecond
+	keyPollInterval = 250 * time.Millisecond
 )
 
-// report is the result of a day.
+// report is the result of a scenario.
 type report struct {
 	planned                    bool
-	accepted, refused, doubted int
+	accepted, refused, inDoubt int
 	starts                     int
 	injected, violations       []string
-	// lateReadings describe calls that were held by a standstill of this process alone.
+	// lateReadings describe calls that were delayed only by a stall of this process.
 	lateReadings []string
 }
 
@@ -41,29 +41,29 @@
 		kind = "planned work"
 	}
 	return fmt.Sprintf("%d %s, %d jobs accepted, %d refused, %d in doubt, %d runs, %d violations",
-		len(r.injected), kind, r.accepted, r.refused, r.doubted, r.starts, len(r.violations))
+		len(r.injected), kind, r.accepted, r.refused, r.inDoubt, r.starts, len(r.violations))
 }
 
-// day is one day of the soak.
-type day struct {
+// scenario is the run of the soak for one seed.
+type scenario struct {
 	settings settings
 	cluster  *cluster
 	callers  *callers
 	injector *injector
-	// troubles is nil on a day without them.
-	troubles *troubles
-	// restarts is nil on a day on which each incarnation has an ID of its own.
-	restarts *restarts
-	// secondAgents is nil on a day of planned work.
+	// extraFaults is nil unless the scenario has the faults of --troubled.
+	extraFaults *extraFaults
+	// restarter is nil if each incarnation of a worker has its own ID.
+	restarter *restarter
+	// secondAgents is nil in a scenario of planned work.
 	secondAgents *secondAgents
 	random       *rand.Rand
-	endings      endings
-	standstill   *standstill
+	finalStates  finalStates
+	stalls       *stallMonitor
 	violations   []string
 }
 
-// playDay plays one day.
-func playDay(ctx context.Context, s settings, seed uint64, logs string) (report, error) {
+// runScenario runs the scenario of one seed and writes the logs of the processes to a directory.
+func runScenario(ctx context.Context, s settings, seed uint64, logs string) (report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	c, err := newCluster(ctx, s, seed, logs)
@@ -71,51 +71,51 @@
 	if err != nil {
 		return report{}, err
 	}
-	planned, still := seed%4 == 0, &standstill{}
-	d := &day{
-		settings: s, cluster: c, random: rand.New(rand.NewPCG(seed, 1)), endings: endings{}, standstill: still,
-		callers:  newCallers(c, rand.New(rand.NewPCG(seed, 2)), planned, still),
+	planned, monitor := seed%4 == 0, &stallMonitor{}
+	sc := &scenario{
+		settings: s, cluster: c, random: rand.New(rand.NewPCG(seed, 1)), finalStates: finalStates{}, stalls: monitor,
+		callers:  newCallers(c, rand.New(rand.NewPCG(seed, 2)), planned, monitor),
 		injector: &injector{cluster: c, random: rand.New(rand.NewPCG(seed, 3)), planned: planned},
 	}
 	if s.Troubled && !planned {
-		d.troubles = newTroubles(c, seed)
+		sc.extraFaults = newExtraFaults(c, seed)
 	}
 	if s.SameIDs && !planned {
-		d.restarts = newRestarts(c, seed)
+		sc.restarter = newRestarter(c, seed)
 	}
 	if !planned {
-		d.secondAgents = newSecondAgents(c, seed, d.injector.note)
+		sc.secondAgents = newSecondAgents(c, seed, sc.injector.record)
 	}
-	go d.standstill.watch(ctx)
-	if err := d.awaitService(ctx, startTimeout); err != nil {
+	go sc.stalls.measure(ctx)
+	if err := sc.awaitService(ctx, startTimeout); err != nil {
 		return report{}, err
 	}
-	d.play(ctx)
+	sc.runActivities(ctx)
 	if err := c.heal(); err != nil {
 		return report{}, err
 	}
-	d.settle(ctx)
-	d.check(ctx)
-	return d.report(), ctx.Err()
+	sc.awaitFinalStates(ctx)
+	sc.check(ctx)
+	return sc.report(), ctx.Err()
 }
 
-func (d *day) violate(format string, args ...any) {
-	d.violations = append(d.violations, fmt.Sprintf(format, args...))
+func (sc *scenario) violate(format string, args ...any) {
+	sc.violations = append(sc.violations, fmt.Sprintf(format, args...))
 }
 
-// play lets callers and faults go on, side by side, for the length of the day.
-func (d *day) play(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, d.settings.Length)
+// runActivities submits jobs and injects faults concurrently for the length of the scenario.
+func (sc *scenario) runActivities(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, sc.settings.Length)
 	defer cancel()
-	activities := []func(context.Context){d.submitJobs, d.disturb, d.revoke}
-	if d.troubles != nil {
-		activities = append(activities, d.troubles.resize)
+	activities := []func(context.Context){sc.submitJobs, sc.injectFaults, sc.revokeKey}
+	if sc.extraFaults != nil {
+		activities = append(activities, sc.extraFaults.resizeWorkers)
 	}
-	if d.restarts != nil {
-		activities = append(activities, d.restarts.run)
+	if sc.restarter != nil {
+		activities = append(activities, sc.restarter.run)
 	}
-	if d.secondAgents != nil {
-		activities = append(activities, d.secondAgents.run)
+	if sc.secondAgents != nil {
+		activities = append(activities, sc.secondAgents.run)
 	}
 	done := make(chan struct{}, len(activities))
 	begin := func(f func(context.Context)) {
@@ -130,102 +130,103 @@
 	for range cap(done) {
 		<-done
 	}
-	d.injector.wait.Wait()
+	sc.injector.pending.Wait()
 }
 
-// submitJobs submits jobs, each in a goroutine, and cancels some.
-func (d *day) submitJobs(ctx context.Context) {
+// submitJobs submits jobs, each in its own goroutine, and cancels some of them.
+func (sc *scenario) submitJobs(ctx context.Context) {
 	var open []chan struct{}
 	for ctx.Err() == nil {
-		j, queue := d.callers.drawJob()
-		if d.troubles != nil {
-			d.troubles.infect(j)
+		j, queue := sc.callers.newRandomJob()
+		if sc.extraFaults != nil {
+			sc.extraFaults.addCrashingTask(j)
 		}
-		first, cancelled := d.random.IntN(len(d.cluster.entries)), d.random.IntN(10) == 0
+		first, cancelled := sc.random.IntN(len(sc.cluster.entries)), sc.random.IntN(10) == 0
 		done := make(chan struct{})
 		open = append(open, done)
 		go func() {
 			defer close(done)
-			// A job that was begun is seen through even if the day's time is over.
-			whole := context.WithoutCancel(ctx)
-			d.callers.submit(whole, j, queue, first)
+			// A submission that has started is completed even if the scenario's time is over.
+			uncancelled := context.WithoutCancel(ctx)
+			sc.callers.submit(uncancelled, j, queue, first)
 			if cancelled {
-				d.callers.cancel(whole, j.ID, queue, first)
+				sc.callers.cancel(uncancelled, j.ID, queue, first)
 			}
 		}()
-		pause.For(ctx, time.Duration(d.random.Int64N(int64(jobPause))))
+		pause.For(ctx, time.Duration(sc.random.Int64N(int64(maxJobPause))))
 	}
 	for _, done := range open {
 		<-done
 	}
 }
 
-func (d *day) disturb(ctx context.Context) {
+func (sc *scenario) injectFaults(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause.For(ctx, time.Duration(d.injector.random.Int64N(int64(faultPause))))
+		pause.For(ctx, time.Duration(sc.injector.random.Int64N(int64(maxFaultPause))))
 		if ctx.Err() == nil {
-			d.injector.inject()
+			sc.injector.inject()
 		}
 	}
 }
 
-// revoke removes an API key early in the day, and tries it until the end.
-func (d *day) revoke(ctx context.Context) {
-	pause.For(ctx, d.settings.Length/8)
-	if err := d.cluster.platform.PutConfig(context.WithoutCancel(ctx), config(2, keptKey)); err != nil {
-		d.violate("the configuration is not taken: %v", err)
+// revokeKey revokes an API key early in the scenario, and uses it until the end to check that
+// entries refuse it.
+func (sc *scenario) revokeKey(ctx context.Context) {
+	pause.For(ctx, sc.settings.Length/8)
+	if err := sc.cluster.platform.PutConfig(context.WithoutCancel(ctx), config(2, validKey)); err != nil {
+		sc.violate("the configuration was not stored: %v", err)
 		return
 	}
 	acknowledged := time.Now()
 	for ctx.Err() == nil {
-		pause.For(ctx, keyPause)
-		for i := range d.cluster.entries {
+		pause.For(ctx, keyPollInterval)
+		for i := range sc.cluster.entries {
 			sent := time.Now()
-			_, a := d.callers.caller(i, takenKey).State(ctx, prefix(0), noJob)
-			// An unknown job is an answer under the key; an unknown key is another one.
-			under := a.Accepted() || a.Status == statusUnknownJob
-			if late := sent.Sub(acknowledged); under && late > revoke+revokeSlack {
-				d.violate("CONFIG: entry-%d takes a call under a key %v after it was taken away", i, late)
+			_, a := sc.callers.caller(i, revokedKey).State(ctx, prefix(0), unknownJob)
+			// An entry answers about an unknown job only if it accepts the key.
+			accepted := a.Accepted() || a.Status == statusUnknownJob
+			if late := sent.Sub(acknowledged); accepted && late > revocationLimit+revokeSlack {
+				sc.violate("CONFIG: entry-%d accepts a call with a key %v after the key was revoked", i, late)
 			}
 		}
 	}
 }
 
-// noJob is the ID of a job that nobody submits.
-const noJob = job.ID("ffffffffffffffff")
+// unknownJob is the ID of a job that is never submitted.
+const unknownJob = job.ID("ffffffffffffffff")
 
 // statusUnknownJob is the status of an answer about an unknown job.
 const statusUnknownJob = 410
 
-// settle waits until every entry says that all accepted jobs have ended. Time for which the machine
-// stands still does not count.
-func (d *day) settle(ctx context.Context) {
-	began, stood := time.Now(), d.standstill.length()
+// awaitFinalStates waits until every entry reports a final state for all accepted jobs. Time during
+// which the machine is stalled does not count towards the timeout.
+func (sc *scenario) awaitFinalStates(ctx context.Context) {
+	began, stalledBefore := time.Now(), sc.stalls.machineStall()
 	for ctx.Err() == nil {
-		if len(d.unsettled(ctx)) == 0 {
+		if len(sc.unfinishedJobs(ctx)) == 0 {
 			return
 		}
-		time.Sleep(pollPause)
-		if d.standstill.running(began, stood) >= settleTimeout {
+		time.Sleep(pollInterval)
+		if sc.stalls.runningTime(began, stalledBefore) >= settleTimeout {
 			return
 		}
 	}
 }
 
-// unsettled returns a violation for each accepted job that some entry doesn't say has ended. Once
-// callers may no longer ask for a job that has ended, entries may forget it.
-func (d *day) unsettled(ctx context.Context) []string {
+// unfinishedJobs returns a violation for each accepted job that an entry does not report as ended.
+// An entry may forget an ended job after the status retention.
+func (sc *scenario) unfinishedJobs(ctx context.Context) []string {
 	var open []string
-	for id := range d.callers.accepted {
-		for i := range d.cluster.entries {
-			state, a := d.callers.caller(i, keptKey).State(ctx, prefix(d.callers.queueOf[id]), id)
+	for id := range sc.callers.accepted {
+		for i := range sc.cluster.entries {
+			state, a := sc.callers.caller(i, validKey).State(ctx, prefix(sc.callers.queueOf[id]), id)
 			now := time.Now()
 			switch {
-			case ended(state):
-				d.endings.note(id, state, now)
-			case a.Status == statusUnknownJob && (d.endings.mayBeForgotten(id, now) || d.endedLongAgo(id, now)):
+			case isFinal(state):
+				sc.finalStates.record(id, state, now)
+			case a.Status == statusUnknownJob && (sc.finalStates.retentionOver(id, now) || sc.endedBeyondRetention(id, now)):
 			default:
-				open = append(open, fmt.Sprintf("LOST: entry-%d says of accepted job %s: %q (status %d, %v)",
+				open = append(open, fmt.Sprintf("LOST: entry-%d reports accepted job %s as %q (status %d, %v)",
 					i, id, state, a.Status, a.Err))
 			}
 		}
@@ -233,58 +234,60 @@
 	return open
 }
 
-func ended(state string) bool {
+func isFinal(state string) bool {
 	return state == "completed" || state == "failed" || state == "cancelled"
 }
 
-// check compares what callers were told with what the workers saw.
-func (d *day) check(ctx context.Context) {
-	d.violations = append(d.violations, d.unsettled(ctx)...)
-	workers := d.cluster.platform.Workers
-	d.violations = append(d.violations, workers.Report()...)
-	for id, surely := range d.callers.refused {
-		if surely && workers.EverRan(id) {
-			d.violate("REFUSED: %s ran, but every try to hand it in was refused", id)
+// check compares the answers to callers with the records of the workers.
+func (sc *scenario) check(ctx context.Context) {
+	sc.violations = append(sc.violations, sc.unfinishedJobs(ctx)...)
+	workers := sc.cluster.platform.Workers
+	sc.violations = append(sc.violations, workers.Report()...)
+	for id, certain := range sc.callers.refused {
+		if certain && workers.EverRan(id) {
+			sc.violate("REFUSED: job %s ran, but every attempt to submit it was refused", id)
 		}
 	}
-	for id := range d.callers.accepted {
-		d.checkEnd(ctx, id)
+	for id := range sc.callers.accepted {
+		sc.checkEnd(ctx, id)
 	}
 }
 
-func (d *day) checkEnd(ctx context.Context, id job.ID) {
-	workers := d.cluster.platform.Workers
-	state, a := d.callers.caller(0, keptKey).State(ctx, prefix(d.callers.queueOf[id]), id)
+func (sc *scenario) checkEnd(ctx context.Context, id job.ID) {
+	workers := sc.cluster.platform.Workers
+	state, a := sc.callers.caller(0, validKey).State(ctx, prefix(sc.callers.queueOf[id]), id)
 	if a.Status == statusUnknownJob {
-		state = d.endings[id].state
+		state = sc.finalStates[id].state
 	}
 	switch {
 	case state == "completed" && !workers.AllDone(id):
-		d.violate("MIXED: job %s is completed, and not all of its tasks have ended so", id)
+		sc.violate("MIXED: job %s is reported as completed, but not all of its tasks are completed", id)
 	case state == "failed" && !workers.MayFail(id):
-		d.violate("LOST: job %s is failed, and no task of it has failed too often or crashed workers", id)
-	case state == "cancelled" && !d.callers.cancelled[id]:
-		d.violate("LOST: job %s is cancelled, and nobody asked for it", id)
-	case ended(state) && !d.goneWithin(id, timeToStop(state)):
-		d.violate("MIXED: job %s is %s and still runs", id, state)
+		sc.violate("LOST: job %s is reported as failed, but none of its tasks failed too often or crashed workers", id)
+	case state == "cancelled" && !sc.callers.cancelled[id]:
+		sc.violate("LOST: job %s is reported as cancelled, but no caller cancelled it", id)
+	case isFinal(state) && !sc.stopsWithin(id, stopLimitFor(state)):
+		sc.violate("MIXED: job %s is reported as %s, but still runs", id, state)
 	}
 }
 
-// stopLimit is how long the runs of a job may take to stop after it was reported as failed or
-// cancelled: the agents are told after that is stored, and a stop takes 0.3 s.
+// stopLimit is how long the runs of a job may take to stop after the job was reported as failed or
+// cancelled: agents are notified after the state is stored, and a stop takes 0.3 s.
 const stopLimit = time.Second
 
-// timeToStop returns how long runs of a job in the state may go on. A completed job has none.
-func timeToStop(state string) time.Duration {
+// stopLimitFor returns how long the runs of a job in a final state may continue. A completed job
+// has no runs left.
+func stopLimitFor(state string) time.Duration {
 	if state == "completed" {
 		return 0
 	}
 	return stopLimit
 }
 
-// goneWithin waits until nothing of a job runs, for at most the limit.
-func (d *day) goneWithin(id job.ID, limit time.Duration) bool {
-	for began := time.Now(); d.cluster.platform.Workers.AnyRun(id); time.Sleep(pollPause) {
+// stopsWithin waits until no run of a job is left, and reports whether that happens within the
+// limit.
+func (sc *scenario) stopsWithin(id job.ID, limit time.Duration) bool {
+	for began := time.Now(); sc.cluster.platform.Workers.AnyRun(id); time.Sleep(pollInterval) {
 		if time.Since(began) >= limit {
 			return false
 		}
@@ -292,21 +295,21 @@
 	return true
 }
 
-func (d *day) report() report {
+func (sc *scenario) report() report {
 	r := report{
-		planned:  d.injector.planned,
-		accepted: len(d.callers.accepted),
-		starts:   d.cluster.platform.Workers.Starts,
-		injected: d.injector.injected,
+		planned:  sc.injector.planned,
+		accepted: len(sc.callers.accepted),
+		starts:   sc.cluster.platform.Workers.Starts,
+		injected: sc.injector.injected,
 	}
-	for _, surely := range d.callers.refused {
-		if surely {
+	for _, certain := range sc.callers.refused {
+		if certain {
 			r.refused++
 		} else {
-			r.doubted++
+			r.inDoubt++
 		}
 	}
-	r.lateReadings = d.callers.lateReadings
-	r.violations = slices.Concat(d.violations, d.injector.violations, d.callers.violations)
+	r.lateReadings = sc.callers.lateReadings
+	r.violations = slices.Concat(sc.violations, sc.injector.violations, sc.callers.violations)
 	return r
 }
--- a/cmd/soak/endings.go
+++ b/cmd/soak/endings.go
@@ -6,36 +6,36 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// statusRetention is how long after its end callers may ask for the state of a job. The settings
-// that the processes get name no other time.
+// statusRetention is how long callers may ask for the state of a job after it has ended. The
+// settings of the processes do not set another value.
 const statusRetention = 2 * time.Minute
 
-// ending is the final state of a job, with when an entry first told it.
-type ending struct {
+// finalState is the final state of a job, with the time at which an entry first reported it.
+type finalState struct {
 	state string
 	at    time.Time
 }
 
-// endings are the final states that entries have told.
-type endings map[job.ID]ending
+// finalStates are the final states that entries have reported, by job.
+type finalStates map[job.ID]finalState
 
-// note notes that an entry tells a final state.
-func (e endings) note(id job.ID, state string, now time.Time) {
+// record stores a final state, unless one is already recorded for the job.
+func (e finalStates) record(id job.ID, state string, now time.Time) {
 	if _, known := e[id]; !known {
-		e[id] = ending{state: state, at: now}
+		e[id] = finalState{state: state, at: now}
 	}
 }
 
-// endedLongAgo reports whether the workers' own record says that a job has ended, so long ago that
-// callers may no longer ask for it. The soak may have asked for the first time after that: it stands
-// still with its machine.
-func (d *day) endedLongAgo(id job.ID, now time.Time) bool {
-	workers := d.cluster.platform.Workers
+// endedBeyondRetention reports whether, by the workers' own records, a job ended so long ago that
+// entries may have forgotten it. This covers the case that the soak, stalled together with its
+// machine, asks for the first time only after the retention.
+func (sc *scenario) endedBeyondRetention(id job.ID, now time.Time) bool {
+	workers := sc.cluster.platform.Workers
 	at, ok := workers.EndedAt(id)
 	switch {
 	case ok && workers.AllDone(id), ok && workers.MayFail(id):
-	case !d.callers.cancelledAt[id].IsZero() && !workers.AnyRun(id):
-		if cancelled := d.callers.cancelledAt[id]; cancelled.After(at) {
+	case !sc.callers.cancelledAt[id].IsZero() && !workers.AnyRun(id):
+		if cancelled := sc.callers.cancelledAt[id]; cancelled.After(at) {
 			at = cancelled
 		}
 	default:
@@ -44,9 +44,10 @@
 	return now.Sub(at) >= statusRetention
 }
 
-// mayBeForgotten reports whether entries may say that they don't know a job: its end was told so
-// long ago. A day on which the machine stood still for minutes may last that long.
-func (e endings) mayBeForgotten(id job.ID, now time.Time) bool {
+// retentionOver reports whether entries may answer that they do not know a job, because its final
+// state was first reported at least statusRetention ago. A scenario lasts that long if the machine
+// stalls for minutes.
+func (e finalStates) retentionOver(id job.ID, now time.Time) bool {
 	end, known := e[id]
 	return known && now.Sub(end.at) >= statusRetention
 }
--- a/cmd/soak/endings_test.go
+++ b/cmd/soak/endings_test.go
@@ -16,14 +16,14 @@
 	"yarrowgrade.example/yarrowgrade/platform/standin"
 )
 
-// TestMayBeForgotten: a job that is not known counts as lost unless an entry has told its end, and
-// callers may no longer ask for it.
+// TestMayBeForgotten checks that an unknown job counts as lost unless an entry has reported its
+// final state and the status retention is over.
 func TestMayBeForgotten(t *testing.T) {
 	now := time.Now()
 	tests := []struct {
-		name string
-		told time.Duration
-		want bool
+		name     string
+		reported time.Duration
+		want     bool
 	}{
 		{"its end was never told", 0, false},
 		{"told a moment ago", time.Second, false},
@@ -31,23 +31,23 @@
 		{"told long ago", statusRetention, true},
 	}
 	for _, test := range tests {
-		e := endings{}
-		if test.told > 0 {
-			e.note("a", "completed", now.Add(-test.told))
-			e.note("a", "completed", now)
+		e := finalStates{}
+		if test.reported > 0 {
+			e.record("a", "completed", now.Add(-test.reported))
+			e.record("a", "completed", now)
 		}
-		if got := e.mayBeForgotten("a", now); got != test.want {
-			t.Errorf("%s: it may be forgotten: %v, want %v", test.name, got, test.want)
+		if got := e.retentionOver("a", now); got != test.want {
+			t.Errorf("%s: retention over: %v, want %v", test.name, got, test.want)
 		}
 	}
 }
 
-// said is what an entry says of each job: a state, or that it knows none.
-type said string
+// fixedState is the state that an entry answers for each job, or unknown.
+type fixedState string
 
-const unknown said = ""
+const unknown fixedState = ""
 
-func (s said) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (s fixedState) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	if s == unknown {
 		w.WriteHeader(statusUnknownJob)
 		return
@@ -55,23 +55,24 @@
 	fmt.Fprintf(w, `{"state": %q}`, string(s))
 }
 
-// TestRealLossesAreCaught: that an entry may forget a job whose end was told long ago hides no job
-// that it has forgotten too early, or never knew, or takes back.
+// TestRealLossesAreCaught guards against hidden losses: that entries may forget ended jobs after
+// the retention must not excuse an entry that forgets a job too early, never knew it, or reports an
+// earlier state again.
 func TestRealLossesAreCaught(t *testing.T) {
 	const id = job.ID("0000000000000001")
 	tests := []struct {
 		name string
-		// told is how long ago the end was told; zero if it was not.
-		told    time.Duration
-		entries []said
-		lost    int
+		// reported is how long ago the final state was reported; zero if it was not.
+		reported time.Duration
+		entries  []fixedState
+		lost     int
 	}{
-		{"forgotten everywhere before its end was told", 0, []said{unknown, unknown}, 2},
-		{"forgotten everywhere a second too early", statusRetention - time.Second, []said{unknown, unknown}, 2},
-		{"never known at one entry", 0, []said{"completed", unknown}, 1},
-		{"taken back long after its end was told", statusRetention, []said{"running", unknown}, 1},
-		{"queued for good", 0, []said{"queued", "queued"}, 2},
-		{"forgotten when it may be", statusRetention, []said{unknown, unknown}, 0},
+		{"forgotten everywhere before its end was told", 0, []fixedState{unknown, unknown}, 2},
+		{"forgotten everywhere a second too early", statusRetention - time.Second, []fixedState{unknown, unknown}, 2},
+		{"never known at one entry", 0, []fixedState{"completed", unknown}, 1},
+		{"taken back long after its end was told", statusRetention, []fixedState{"running", unknown}, 1},
+		{"queued for good", 0, []fixedState{"queued", "queued"}, 2},
+		{"forgotten when it may be", statusRetention, []fixedState{unknown, unknown}, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -80,31 +81,33 @@
 			for _, s := range test.entries {
 				server := httptest.NewServer(s)
 				defer server.Close()
-				c.entries = append(c.entries, &box{callers: server.Listener.Addr().String()})
+				c.entries = append(c.entries, &box{callerAddress: server.Listener.Addr().String()})
 			}
-			d := &day{cluster: c, callers: newCallers(c, nil, false, nil), endings: endings{}}
-			d.callers.accepted[id] = true
-			if test.told > 0 {
-				d.endings.note(id, "completed", time.Now().Add(-test.told))
+			sc := &scenario{cluster: c, callers: newCallers(c, nil, false, nil), finalStates: finalStates{}}
+			sc.callers.accepted[id] = true
+			if test.reported > 0 {
+				sc.finalStates.record(id, "completed", time.Now().Add(-test.reported))
 			}
-			if lost := d.unsettled(t.Context()); len(lost) != test.lost {
-				t.Errorf("%d lost, want %d: %v", len(lost), test.lost, lost)
+			if lost := sc.unfinishedJobs(t.Context()); len(lost) != test.lost {
+				t.Errorf("got %d lost jobs, want %d: %v", len(lost), test.lost, lost)
 			}
 		})
 	}
 }
 
-// TestForgottenBeforeAsked: a job that every entry has forgotten before its end was told counts as kept
-// only if the workers' own record says that it ended long enough ago.
+// TestForgottenBeforeAsked checks jobs that every entry has forgotten before it reported their
+// final state. They count as kept only if the workers' own records show that they ended long enough
+// ago.
 func TestForgottenBeforeAsked(t *testing.T) {
 	tests := []struct {
 		name string
-		// tasks is how many tasks the job has; runs is how many of them run on the worker.
+		// tasks is the number of tasks of the job, and runs the number of them that run on the
+		// worker.
 		tasks, runs int
 		fails       bool
 		cancelled   bool
 		since       time.Duration
-		kept        bool
+		expired     bool
 	}{
 		{"all tasks done long ago", 2, 2, false, false, statusRetention, true},
 		{"all tasks done a second too late", 2, 2, false, false, statusRetention - time.Second, false},
@@ -127,7 +130,7 @@
 				w := workers.Add("worker", service, "zone", "rack", capacity)
 				ctx, stop := context.WithCancel(t.Context())
 				go workers.Run(ctx)
-				d := &day{
+				sc := &scenario{
 					cluster: &cluster{platform: &standin.Platform{Workers: workers}},
 					callers: newCallers(&cluster{}, nil, false, nil),
 				}
@@ -142,13 +145,13 @@
 				ended, _ := workers.EndedAt(id)
 				if test.cancelled {
 					ended = time.Now()
-					d.callers.cancelledAt[id] = ended
+					sc.callers.cancelledAt[id] = ended
 				}
 				if ended.IsZero() {
 					ended = time.Now()
 				}
-				if kept := d.endedLongAgo(id, ended.Add(test.since)); kept != test.kept {
-					t.Errorf("it counts as kept: %v, want %v", kept, test.kept)
+				if expired := sc.endedBeyondRetention(id, ended.Add(test.since)); expired != test.expired {
+					t.Errorf("ended beyond the retention: %v, want %v", expired, test.expired)
 				}
 				stop()
 				time.Sleep(time.Second)
--- a/cmd/soak/faults.go
+++ b/cmd/soak/faults.go
@@ -12,43 +12,45 @@
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
-// injector draws faults and injects them into a cluster. Faults overlap; each ends by itself.
+// injector chooses faults at random and injects them into a cluster. Faults overlap, and each ends
+// after its own time.
 type injector struct {
 	cluster *cluster
 	random  *rand.Rand
-	// planned restricts the faults to what operators do on purpose.
+	// planned restricts the faults to intentional actions of operators.
 	planned bool
 
 	mu sync.Mutex
-	// injected describes the faults so far.
+	// injected describes the faults injected so far.
 	injected   []string
 	violations []string
-	wait       sync.WaitGroup
+	pending    sync.WaitGroup
 }
 
-// Times of a fault.
+// Timing of faults.
 const (
-	shortestFault = time.Second
-	longestFault  = 7 * time.Second
-	// bounceFor is the longest time for which a killed process stays away.
-	bounceFor = 2 * time.Second
+	minFaultLength = time.Second
+	maxFaultLength = 7 * time.Second
+	// maxDowntime is the longest time for which a killed process stays down.
+	maxDowntime = 2 * time.Second
 	// stopSlack is added to the time that a planned stop may take.
 	stopSlack = time.Second
-	// cordonFor is added to the time for which an availability zone is cordoned, so that the bound
-	// on starts there has passed for a while.
-	cordonFor = jobtest.CordonBound
-	// lateOrders is how long after a fault of a worker's link delayed orders may still arrive.
-	lateOrders = 3 * time.Second
+	// minCordon is added to the time for which an availability zone is cordoned, so that the zone
+	// stays cordoned for a while after the last start that is allowed in it.
+	minCordon = jobtest.CordonBound
+	// maxOrderDelay is how long after a fault of a worker's link, or a pause of its agent, delayed
+	// orders may still arrive.
+	maxOrderDelay = 3 * time.Second
 )
 
 // inject injects the next fault.
 func (s *injector) inject() {
-	length := shortestFault + time.Duration(s.random.Int64N(int64(longestFault-shortestFault)))
+	length := minFaultLength + time.Duration(s.random.Int64N(int64(maxFaultLength-minFaultLength)))
 	if s.planned {
 		s.injectPlanned(length)
 		return
 	}
-	b := s.anyBox()
+	b := s.randomBox()
 	switch s.random.IntN(14) {
 	case 0, 1:
 		s.linkFault(b, length)
@@ -61,7 +63,7 @@
 	case 6:
 		s.stopProcess(b)
 	case 7:
-		s.note("hangup of %s", b.name)
+		s.record("hangup of %s", b.name)
 		_ = b.process.Signal(syscall.SIGHUP)
 	case 8, 9:
 		s.workerFault(length)
@@ -70,34 +72,34 @@
 	case 11:
 		s.flap(b)
 	case 12, 13:
-		s.cordonZone(cordonFor + length)
+		s.cordonZone(minCordon + length)
 	}
 }
 
 // injectPlanned stops a process, reloads its settings, or cordons an availability zone.
 func (s *injector) injectPlanned(length time.Duration) {
-	b := s.anyBox()
+	b := s.randomBox()
 	if s.random.IntN(4) == 0 {
-		s.cordonZone(cordonFor + length)
+		s.cordonZone(minCordon + length)
 		return
 	}
 	if s.random.IntN(3) == 0 {
-		s.note("hangup of %s", b.name)
+		s.record("hangup of %s", b.name)
 		_ = b.process.Signal(syscall.SIGHUP)
 		return
 	}
 	s.stopProcess(b)
 }
 
-func (s *injector) anyBox() *box {
-	all := s.cluster.all()
+func (s *injector) randomBox() *box {
+	all := s.cluster.boxes()
 	if s.random.IntN(2) == 0 {
 		return s.cluster.entries[s.random.IntN(len(s.cluster.entries))]
 	}
 	return all[s.random.IntN(len(all))]
 }
 
-func (s *injector) note(format string, args ...any) {
+func (s *injector) record(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.injected = append(s.injected, fmt.Sprintf(format, args...))
@@ -109,11 +111,11 @@
 	s.violations = append(s.violations, fmt.Sprintf(format, args...))
 }
 
-// later ends a fault after its time. The day waits for it.
-func (s *injector) later(after time.Duration, end func()) {
-	s.wait.Add(1)
+// endAfter schedules the end of a fault. The scenario waits for it.
+func (s *injector) endAfter(after time.Duration, end func()) {
+	s.pending.Add(1)
 	time.AfterFunc(after, func() {
-		defer s.wait.Done()
+		defer s.pending.Done()
 		end()
 	})
 }
@@ -134,15 +136,15 @@
 		{"silent on its open connections", func(l *loopback.Link) { l.Silence() }},
 	}
 	kind := kinds[s.random.IntN(len(kinds))]
-	s.note("link of %s %s for %v", b.name, kind.name, length)
-	if l == b.worker {
-		b.beside.ExpectDelays(length + lateOrders)
+	s.record("link of %s %s for %v", b.name, kind.name, length)
+	if l == b.workerLink {
+		b.worker.ExpectDelays(length + maxOrderDelay)
 	}
 	kind.inject(l)
-	s.later(length, l.Heal)
+	s.endAfter(length, l.Heal)
 }
 
-// storeFault lets the store fail for everybody.
+// storeFault makes the store fail for all processes.
 func (s *injector) storeFault(length time.Duration) {
 	faults := []jobtest.Fault{
 		{Silent: true},
@@ -153,50 +155,51 @@
 		{Lost: 0.4, Late: true},
 	}
 	f := faults[s.random.IntN(len(faults))]
-	s.note("store %+v for %v", f, length)
+	s.record("store %+v for %v", f, length)
 	s.cluster.platform.SetFault(f)
-	s.later(length, func() { s.cluster.platform.SetFault(jobtest.Fault{}) })
+	s.endAfter(length, func() { s.cluster.platform.SetFault(jobtest.Fault{}) })
 }
 
 func (s *injector) pauseProcess(b *box, length time.Duration) {
-	s.note("%s paused for %v", b.name, length)
-	if b.beside != nil {
-		b.beside.ExpectDelays(length + lateOrders)
+	s.record("%s paused for %v", b.name, length)
+	if b.worker != nil {
+		b.worker.ExpectDelays(length + maxOrderDelay)
 	}
 	_ = b.process.Signal(syscall.SIGSTOP)
-	s.later(length, func() { _ = b.process.Signal(syscall.SIGCONT) })
+	s.endAfter(length, func() { _ = b.process.Signal(syscall.SIGCONT) })
 }
 
 // killProcess kills a process and restarts it later.
 func (s *injector) killProcess(b *box) {
-	away := time.Duration(s.random.Int64N(int64(bounceFor)))
-	s.note("%s killed, back after %v", b.name, away)
+	downtime := time.Duration(s.random.Int64N(int64(maxDowntime)))
+	s.record("%s killed, restarted after %v", b.name, downtime)
 	b.process.Kill()
-	s.later(away, func() { s.start(b) })
+	s.endAfter(downtime, func() { s.start(b) })
 }
 
-// start starts a process that has ended.
+// start starts a process that has exited.
 func (s *injector) start(b *box) {
 	if err := b.process.StartAgain(); err != nil {
-		s.violate("%s does not start: %v", b.name, err)
+		s.violate("%s failed to start: %v", b.name, err)
 	}
 }
 
-// stopProcess stops a process as planned and restarts it after it has ended. It must end in time.
+// stopProcess performs a planned stop of a process and restarts it after it has exited. In a
+// scenario of planned work it must exit in time.
 func (s *injector) stopProcess(b *box) {
-	s.note("%s stopped as planned", b.name)
+	s.record("%s stopped as planned", b.name)
 	_ = b.process.Signal(syscall.SIGCONT)
 	done := b.process.Done()
 	_ = b.process.Signal(syscall.SIGTERM)
-	s.wait.Add(1)
+	s.pending.Add(1)
 	go func() {
-		defer s.wait.Done()
+		defer s.pending.Done()
 		select {
 		case <-done:
 			s.start(b)
-		case <-time.After(grace + stopSlack):
+		case <-time.After(gracePeriod + stopSlack):
 			if s.planned {
-				s.violate("STOP: %s has not ended %v after SIGTERM", b.name, grace+stopSlack)
+				s.violate("STOP: %s has not exited %v after SIGTERM", b.name, gracePeriod+stopSlack)
 			}
 			b.process.Kill()
 			s.start(b)
@@ -204,12 +207,12 @@
 	}()
 }
 
-// flap kills a process three times in a row, as soon as it is up.
+// flap kills and restarts a process three times in a row, each time as soon as it is up.
 func (s *injector) flap(b *box) {
-	s.note("%s flaps", b.name)
-	s.wait.Add(1)
+	s.record("%s flaps", b.name)
+	s.pending.Add(1)
 	go func() {
-		defer s.wait.Done()
+		defer s.pending.Done()
 		for range 3 {
 			b.process.Kill()
 			s.start(b)
@@ -218,39 +221,39 @@
 	}()
 }
 
-// killAll kills all processes at once, like a loss of power.
+// killAll kills all processes at once, as a power failure does.
 func (s *injector) killAll() {
-	away := time.Duration(s.random.Int64N(int64(bounceFor)))
-	s.note("all processes killed, back after %v", away)
-	for _, b := range s.cluster.all() {
+	downtime := time.Duration(s.random.Int64N(int64(maxDowntime)))
+	s.record("all processes killed, restarted after %v", downtime)
+	for _, b := range s.cluster.boxes() {
 		done := b.process.Done()
 		_ = b.process.Signal(syscall.SIGKILL)
-		s.later(away, func() {
+		s.endAfter(downtime, func() {
 			<-done
 			s.start(b)
 		})
 	}
 }
 
-// cordonZone cordons the availability zone of one of the workers, and ends that later.
+// cordonZone cordons the availability zone of a random worker, and ends the cordon later.
 func (s *injector) cordonZone(length time.Duration) {
 	zone := zoneOf(s.random.IntN(len(s.cluster.workers)))
-	s.note("%s cordoned for %v", zone, length)
+	s.record("%s cordoned for %v", zone, length)
 	platform := s.cluster.platform
 	if err := platform.PutCordon(context.Background(), zone, true); err != nil {
-		s.violate("cordon of %s: %v", zone, err)
+		s.violate("cannot cordon %s: %v", zone, err)
 		return
 	}
 	platform.Workers.Cordon(zone)
-	s.later(length, func() {
+	s.endAfter(length, func() {
 		platform.Workers.Uncordon(zone)
 		if err := platform.PutCordon(context.Background(), zone, false); err != nil {
-			s.violate("cordon of %s is not taken away: %v", zone, err)
+			s.violate("cannot remove the cordon of %s: %v", zone, err)
 		}
 	})
 }
 
-// workerFault injects a fault of one of the workers.
+// workerFault injects a fault into a random worker.
 func (s *injector) workerFault(length time.Duration) {
 	n := s.random.IntN(len(s.cluster.workers))
 	w := s.cluster.workers[n]
@@ -262,14 +265,14 @@
 		{"leaves", func() { w.Leave(length) }},
 		{"is silent", func() {
 			w.SetUnreachable(true)
-			s.later(length, func() { w.SetUnreachable(false) })
+			s.endAfter(length, func() { w.SetUnreachable(false) })
 		}},
 		{"carries orders out late", func() {
 			w.SetLate(0.3)
-			s.later(length, func() { w.SetLate(0) })
+			s.endAfter(length, func() { w.SetLate(0) })
 		}},
 	}
 	kind := kinds[s.random.IntN(len(kinds))]
-	s.note("worker %d %s for %v", n, kind.name, length)
+	s.record("worker %d %s for %v", n, kind.name, length)
 	kind.inject()
 }
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,13 +1,14 @@
-// Command soak runs the real programs as separate processes on one machine under faults, while
-// callers submit jobs, and checks what callers and workers see.
+// Command soak runs the real programs as separate processes on one machine and injects faults while
+// callers submit jobs. It checks what callers and workers observe.
 //
 // Package platform/standin plays the users' platform in this process. All traffic of the programs
-// goes through links that are cut in one or both directions, slowed down and reset. Processes are
-// paused, killed, stopped and restarted. The store goes down, is slow, and loses answers. Workers
-// crash, drain, become unreachable and carry out orders late. A second process of an agent starts while
-// the first is paused, and both go on. Faults overlap. On every fourth day
-// (a run of one seed is called a day) only planned stops, reloads and cordons happen, and no call
-// may be cut or delayed by them.
+// passes through links that are cut in one or both directions, slowed down and reset. Processes are
+// paused, killed, stopped and restarted. The store fails, is slow, and loses answers. Workers
+// crash, drain, become unreachable and carry out orders late. A second process of an agent starts
+// while the first is paused, and then both run. Faults overlap.
+//
+// The run of one seed is called a scenario. A scenario whose seed is divisible by four has planned
+// work only: stops, reloads and cordons, which must not cut or delay any call.
 //
 // With --troubled some tasks also crash every worker that starts them, and the capacity of workers
 // changes. With --same-ids workers restart all the time, mostly under the ID that they had before.
@@ -18,12 +19,12 @@
 //	bin/soak --program bin/yarrowgraded --seeds 10 --parallel 3
 //	bin/soak --program bin/yarrowgraded --seeds 10 --parallel 3 --troubled
 //	bin/soak --program bin/yarrowgraded --seeds 10 --parallel 3 --same-ids
-//	bin/soak --program bin/yarrowgraded --seed 7            one day again, with its logs in --logs
+//	bin/soak --program bin/yarrowgraded --seed 7        repeat one scenario, with its logs in --logs
 //
-// It prints a line for each day, and a line for each violation, and for each call that was answered
-// late since this process itself did not run. The same seed draws the same jobs
-// and faults, but the machine schedules the processes, so a day doesn't repeat exactly. The exit
-// code is 1 if a day had a violation.
+// It prints a line for each scenario, for each violation, and for each call whose answer was read
+// late because this process itself was stalled. The same seed generates the same jobs and faults,
+// but the machine schedules the processes, so a scenario does not repeat exactly. The exit code is
+// 1 if a scenario had a violation.
 package main
 
 import (
@@ -48,7 +49,7 @@
   soak --program bin/yarrowgraded --seeds 10 --parallel 3
   soak --program bin/yarrowgraded --seed 7 --logs /tmp/seven`
 
-// settings are the flags.
+// settings are the command-line flags.
 type settings struct {
 	Program  string        `help:"Path of the daemon." default:"bin/yarrowgraded" type:"path"`
 	Seed     uint64        `help:"First seed." default:"1"`
@@ -64,24 +65,24 @@
 
 // Validate implements kong.Validatable.
 func (s *settings) Validate() error {
-	least := map[string]int{"seeds": s.Seeds, "parallel": s.Parallel, "entries": s.Entries, "workers": s.Workers}
-	for name, value := range least {
+	minimums := map[string]int{"seeds": s.Seeds, "parallel": s.Parallel, "entries": s.Entries, "workers": s.Workers}
+	for name, value := range minimums {
 		if value < 1 {
 			return fmt.Errorf("%s: want 1 or more, got %d", name, value)
 		}
 	}
 	if s.Entries+s.Workers > maxProcesses {
-		return fmt.Errorf("entries and workers: want at most %d processes in a day, got %d",
+		return fmt.Errorf("entries and workers: want at most %d processes in a scenario, got %d",
 			maxProcesses, s.Entries+s.Workers)
 	}
 	return nil
 }
 
-// maxProcesses bounds the processes of a day.
+// maxProcesses is the maximum number of processes in a scenario.
 const maxProcesses = 48
 
-// errViolations means that a day had a violation.
-var errViolations = errors.New("rules were violated")
+// errViolations means that a scenario had violations.
+var errViolations = errors.New("violations found")
 
 func main() {
 	var s settings
@@ -94,29 +95,29 @@
 	}
 }
 
-// run plays all days and prints their results.
+// run runs all scenarios and prints their results.
 func run(ctx context.Context, s settings) error {
-	days := pool.New().WithMaxGoroutines(s.Parallel).WithErrors()
+	scenarios := pool.New().WithMaxGoroutines(s.Parallel).WithErrors()
 	for n := range s.Seeds {
 		seed := s.Seed + uint64(n)
-		days.Go(func() error {
+		scenarios.Go(func() error {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			return playOne(ctx, s, seed)
+			return runSeed(ctx, s, seed)
 		})
 	}
-	return days.Wait()
+	return scenarios.Wait()
 }
 
-// playOne plays a day and keeps its logs if it had a violation.
-func playOne(ctx context.Context, s settings, seed uint64) error {
+// runSeed runs the scenario of a seed and keeps its logs if it had a violation.
+func runSeed(ctx context.Context, s settings, seed uint64) error {
 	logs := filepath.Join(s.Logs, fmt.Sprint(seed))
 	if err := os.MkdirAll(logs, 0o700); err != nil {
 		return err
 	}
 	began := time.Now()
-	report, err := playDay(ctx, s, seed, logs)
+	report, err := runScenario(ctx, s, seed, logs)
 	if err != nil {
 		return fmt.Errorf("seed %d: %w", seed, err)
 	}
--- a/cmd/soak/serving.go
+++ b/cmd/soak/serving.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// notServingError says what was seen of each entry, and of the store, when the system did not serve
-// in time after its start.
+// notServingError describes the last answers of the entries and the state of the store when the
+// system did not start to serve in time.
 type notServingError struct {
 	limit   time.Duration
 	entries []string
@@ -22,14 +22,14 @@
 		e.limit, strings.Join(e.entries, "; "), e.store)
 }
 
-// awaitService waits until all entries answer that they don't know some job. It returns a
-// notServingError if they don't within the limit.
-func (d *day) awaitService(ctx context.Context, limit time.Duration) error {
-	seen := make([]string, len(d.cluster.entries))
-	for began := time.Now(); time.Since(began) < limit && ctx.Err() == nil; time.Sleep(pollPause) {
+// awaitService waits until all entries answer that they do not know a job that was never submitted.
+// It returns a *notServingError if they do not within the limit.
+func (sc *scenario) awaitService(ctx context.Context, limit time.Duration) error {
+	seen := make([]string, len(sc.cluster.entries))
+	for began := time.Now(); time.Since(began) < limit && ctx.Err() == nil; time.Sleep(pollInterval) {
 		ready := true
-		for i, e := range d.cluster.entries {
-			_, a := d.callers.caller(i, keptKey).State(ctx, prefix(0), noJob)
+		for i, e := range sc.cluster.entries {
+			_, a := sc.callers.caller(i, validKey).State(ctx, prefix(0), unknownJob)
 			if a.Status < 400 || a.Status >= 500 {
 				ready = false
 			}
@@ -39,11 +39,11 @@
 			return nil
 		}
 	}
-	return &notServingError{limit: limit, entries: seen, store: d.cluster.storeState(ctx)}
+	return &notServingError{limit: limit, entries: seen, store: sc.cluster.storeState(ctx)}
 }
 
-// processState says whether the process of a box runs. One that can't listen on its address has
-// ended, and its log says so.
+// processState describes whether the process of a box runs. A process that cannot listen on its
+// address exits and logs the reason.
 func (b *box) processState() string {
 	select {
 	case <-b.process.Done():
@@ -53,18 +53,18 @@
 	}
 }
 
-// storeState says how soon the store answers, which is played by this process.
+// storeState describes the response time of the store, which this process serves.
 func (c *cluster) storeState(ctx context.Context) string {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.store, nil)
 	if err != nil {
-		return fmt.Sprintf("the store can't be asked: %v", err)
+		return fmt.Sprintf("cannot create a request for the store: %v", err)
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return fmt.Sprintf("the store gave no answer in %v: %v", time.Since(began), err)
+		return fmt.Sprintf("the store did not answer within %v: %v", time.Since(began), err)
 	}
 	response.Body.Close()
 	return fmt.Sprintf("the store answered in %v", time.Since(began))
--- a/cmd/soak/soak_test.go
+++ b/cmd/soak/soak_test.go
@@ -10,24 +10,24 @@
 	"yarrowgrade.example/yarrowgrade/internal/loopback/loopbacktest"
 )
 
-// binaries is where TestMain built the programs.
+// binaries is the directory in which TestMain built the programs.
 var binaries string
 
 func TestMain(m *testing.M) { os.Exit(loopbacktest.Run(m, &binaries)) }
 
-// small returns the settings of a short day.
-func small() settings {
+// shortSettings returns the settings of a short scenario.
+func shortSettings() settings {
 	return settings{Program: filepath.Join(binaries, "yarrowgraded"), Length: 8 * time.Second, Entries: 2, Workers: 3}
 }
 
-// TestSoak plays short days: one with faults and one of planned work. docs/OPERATIONS.md says how
-// to play longer ones.
+// TestSoak runs two short scenarios: one with faults and one of planned work. docs/OPERATIONS.md
+// describes how to run longer ones.
 func TestSoak(t *testing.T) {
 	for _, seed := range []uint64{1, 4} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			logs := logsOf(t)
-			report, err := playDay(t.Context(), small(), seed, logs)
+			logs := logDir(t)
+			report, err := runScenario(t.Context(), shortSettings(), seed, logs)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -36,15 +36,15 @@
 				t.Error(v)
 			}
 			if report.accepted < 3 || len(report.injected) < 3 {
-				t.Errorf("%d jobs were accepted and %d faults injected: the day proves nothing",
+				t.Errorf("%d jobs accepted and %d faults injected, want at least 3 of each",
 					report.accepted, len(report.injected))
 			}
 		})
 	}
 }
 
-// TestTroubledSoak plays a short day with tasks that crash their workers and changing capacities,
-// and one on which workers also restart under their IDs.
+// TestTroubledSoak runs a short scenario in which tasks crash their workers and capacities change,
+// and one in which workers also restart under the same IDs.
 func TestTroubledSoak(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -57,9 +57,9 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			logs, troubled := logsOf(t), small()
+			logs, troubled := logDir(t), shortSettings()
 			troubled.Troubled, troubled.SameIDs = true, test.sameIDs
-			report, err := playDay(t.Context(), troubled, test.seed, logs)
+			report, err := runScenario(t.Context(), troubled, test.seed, logs)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -71,9 +71,9 @@
 	}
 }
 
-// logsOf returns a directory for the logs of a day, which are printed if the test fails, also
-// where the day could not be played.
-func logsOf(t *testing.T) string {
+// logDir returns a directory for the logs of a scenario. The logs are printed if the test fails,
+// also if the scenario could not be run.
+func logDir(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	t.Cleanup(func() {
@@ -84,7 +84,7 @@
 	return dir
 }
 
-// printLogs logs the logs of all processes of a day.
+// printLogs prints the logs of all processes of a scenario.
 func printLogs(t *testing.T, dir string) {
 	files, _ := filepath.Glob(filepath.Join(dir, "*.log"))
 	for _, file := range files {
--- a/cmd/soak/standstill.go
+++ b/cmd/soak/standstill.go
@@ -6,97 +6,99 @@
 	"time"
 )
 
-// The machine, or this process alone, stands still while this process, which has next to nothing to
-// do, does not run.
+// This process is almost idle, so a late wake-up shows that the process, or the whole machine, was
+// stalled.
 const (
-	standstillPause = 100 * time.Millisecond
-	// standstillAfter is how late the process must be for the machine to have stood still; a busy
-	// machine is late by less.
-	standstillAfter = 5 * time.Second
-	// gapAfter is how late the process must be for a gap to be told from calls that the system holds.
-	gapAfter = time.Second
+	stallPollInterval = 100 * time.Millisecond
+	// minMachineStall is the delay of a wake-up from which the whole machine counts as stalled. The
+	// delays on a busy machine are shorter.
+	minMachineStall = 5 * time.Second
+	// minProcessStall is the delay of a wake-up that is recorded as a stall of this process, to
+	// tell it from a call that the system delays.
+	minProcessStall = time.Second
 )
 
-// standstill measures for how long the machine stood still, and when this process did. Nothing that
-// the programs promise within a time can come true while the machine stands still, and what this
-// process sees while it does not run is seen late.
-type standstill struct {
+// stallMonitor measures how long the machine was stalled, and when this process was. The programs
+// cannot keep their time limits while the machine is stalled, and this process observes events late
+// while it is stalled itself.
+type stallMonitor struct {
 	mu sync.Mutex
-	// total is how long the machine stood still.
+	// total is how long the machine was stalled.
 	total time.Duration
-	// gaps are the times in which this process did not run.
-	gaps []gap
-	// seen is until when the gaps are known.
-	seen time.Time
+	// stalls are the periods in which this process did not run.
+	stalls []stall
+	// measuredUntil is the time up to which all stalls are recorded.
+	measuredUntil time.Time
 }
 
-// gap is a time in which this process did not run.
-type gap struct{ from, to time.Time }
+// stall is a period in which this process did not run.
+type stall struct{ from, to time.Time }
 
-// within returns how much of the gap is between two times.
-func (g gap) within(from, to time.Time) time.Duration {
-	if g.from.After(from) {
-		from = g.from
+// overlap returns how much of the stall lies between two times.
+func (st stall) overlap(from, to time.Time) time.Duration {
+	if st.from.After(from) {
+		from = st.from
 	}
-	if g.to.Before(to) {
-		to = g.to
+	if st.to.Before(to) {
+		to = st.to
 	}
 	return max(to.Sub(from), 0)
 }
 
-// watch measures until ctx ends.
-func (s *standstill) watch(ctx context.Context) {
+// measure records stalls until ctx ends.
+func (s *stallMonitor) measure(ctx context.Context) {
 	for ctx.Err() == nil {
 		began := time.Now()
-		time.Sleep(standstillPause)
-		s.add(began.Add(standstillPause), time.Now())
+		time.Sleep(stallPollInterval)
+		s.recordWakeUp(began.Add(stallPollInterval), time.Now())
 	}
 }
 
-// add adds a time in which this process should have run, and did at its end only.
-func (s *standstill) add(due, woken time.Time) {
+// recordWakeUp records that this process was due to wake up at one time and woke up at another.
+func (s *stallMonitor) recordWakeUp(due, woken time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.seen = woken
+	s.measuredUntil = woken
 	late := woken.Sub(due)
-	if late >= gapAfter {
-		s.gaps = append(s.gaps, gap{from: due, to: woken})
+	if late >= minProcessStall {
+		s.stalls = append(s.stalls, stall{from: due, to: woken})
 	}
-	if late >= standstillAfter {
+	if late >= minMachineStall {
 		s.total += late
 	}
 }
 
-// running is how much of the time since a moment the machine ran; stood is length then.
-func (s *standstill) running(since time.Time, stood time.Duration) time.Duration {
-	return time.Since(since) - (s.length() - stood)
+// runningTime returns how long the machine has run since a time at which machineStall was
+// stalledBefore.
+func (s *stallMonitor) runningTime(since time.Time, stalledBefore time.Duration) time.Duration {
+	return time.Since(since) - (s.machineStall() - stalledBefore)
 }
 
-// length is how long the machine stood still in all.
-func (s *standstill) length() time.Duration {
+// machineStall returns how long the machine has been stalled in total.
+func (s *stallMonitor) machineStall() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.total
 }
 
-// between returns for how long this process stood still between two times that are over. It waits
-// until that is known: the goroutine that measures may be woken last.
-func (s *standstill) between(from, to time.Time) time.Duration {
-	for !s.knows(to) {
-		time.Sleep(standstillPause / 10)
+// stalledBetween returns how long this process was stalled between two times in the past. It waits
+// until the period is measured completely, since the measuring goroutine may wake up last.
+func (s *stallMonitor) stalledBetween(from, to time.Time) time.Duration {
+	for !s.hasMeasured(to) {
+		time.Sleep(stallPollInterval / 10)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var stood time.Duration
-	for _, g := range s.gaps {
-		stood += g.within(from, to)
+	var stalled time.Duration
+	for _, st := range s.stalls {
+		stalled += st.overlap(from, to)
 	}
-	return stood
+	return stalled
 }
 
-// knows reports whether all gaps before a time are known.
-func (s *standstill) knows(at time.Time) bool {
+// hasMeasured reports whether all stalls before a time are recorded.
+func (s *stallMonitor) hasMeasured(at time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.seen.Before(at)
+	return !s.measuredUntil.Before(at)
 }
--- a/cmd/soak/standstill_test.go
+++ b/cmd/soak/standstill_test.go
@@ -13,51 +13,52 @@
 	"yarrowgrade.example/yarrowgrade/platform/standin"
 )
 
-// TestStandstill: only a process that is late by seconds takes the machine for standing still, so
-// that a busy machine gets no more time than a free one.
+// TestStandstill checks that only wake-ups that are late by several seconds count as a stall of the
+// machine, so that a busy machine does not extend timeouts.
 func TestStandstill(t *testing.T) {
-	s := &standstill{}
-	for _, late := range []time.Duration{0, time.Second, standstillAfter - time.Millisecond} {
-		s.addLate(late)
+	s := &stallMonitor{}
+	for _, late := range []time.Duration{0, time.Second, minMachineStall - time.Millisecond} {
+		s.recordLateWakeUp(late)
 	}
-	if got := s.length(); got != 0 {
-		t.Errorf("on a busy machine it is %v, want none", got)
+	if got := s.machineStall(); got != 0 {
+		t.Errorf("machine stall on a busy machine: got %v, want none", got)
 	}
-	s.addLate(200 * time.Second)
-	s.addLate(20 * time.Second)
-	if got := s.length(); got != 220*time.Second {
-		t.Errorf("it is %v, want 3m40s", got)
+	s.recordLateWakeUp(200 * time.Second)
+	s.recordLateWakeUp(20 * time.Second)
+	if got := s.machineStall(); got != 220*time.Second {
+		t.Errorf("machine stall: got %v, want 3m40s", got)
 	}
 }
 
-// TestStandstillHidesNoLoss: a standstill gives jobs the time that it took and no more, so a job that
-// never ends still counts as lost.
+// TestStandstillHidesNoLoss checks that a stall extends the time for jobs by its own length only,
+// so that a job that never ends still counts as lost.
 func TestStandstillHidesNoLoss(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &standstill{}
-		s.addLate(time.Minute)
-		began, stood := time.Now(), s.length()
+		s := &stallMonitor{}
+		s.recordLateWakeUp(time.Minute)
+		began, stalledBefore := time.Now(), s.machineStall()
 		time.Sleep(200*time.Second + settleTimeout - time.Second)
-		s.addLate(200 * time.Second)
-		if running := s.running(began, stood); running >= settleTimeout {
-			t.Errorf("after a standstill of 200 s jobs had %v, and want %v", running, settleTimeout)
+		s.recordLateWakeUp(200 * time.Second)
+		if runningTime := s.runningTime(began, stalledBefore); runningTime >= settleTimeout {
+			t.Errorf("running time after a stall of 200 s: got %v, want less than %v", runningTime, settleTimeout)
 		}
 		time.Sleep(time.Second)
-		s.addLate(standstillAfter - time.Millisecond)
-		if running := s.running(began, stood); running < settleTimeout {
-			t.Errorf("they had %v, and would be waited for longer than %v", running, settleTimeout)
+		s.recordLateWakeUp(minMachineStall - time.Millisecond)
+		if runningTime := s.runningTime(began, stalledBefore); runningTime < settleTimeout {
+			t.Errorf("running time: got %v, want at least %v", runningTime, settleTimeout)
 		}
 	})
 }
 
-// addLate adds a wake-up that is late by a time, and happens now.
-func (s *standstill) addLate(late time.Duration) {
+// recordLateWakeUp records a wake-up that happens now and is late by the given time.
+func (s *stallMonitor) recordLateWakeUp(late time.Duration) {
 	now := time.Now()
-	s.add(now.Add(-late), now)
+	s.recordWakeUp(now.Add(-late), now)
 }
 
-// TestHeldCalls: a call that is answered late counts as held by the system, and one without an answer
-// as cut, unless this process itself stood still for so long; then it is told as that.
+// TestHeldCalls checks that a call that is answered late counts as held by the system, and a call
+// without an answer as cut. If this process itself was stalled for that long, the call is recorded
+// as a late reading instead.
 func TestHeldCalls(t *testing.T) {
 	answered := standin.Response{Status: http.StatusOK}
 	timedOut := standin.Response{Err: context.DeadlineExceeded}
@@ -66,17 +67,24 @@
 		name   string
 		answer standin.Response
 		took   time.Duration
-		// late is by how much this process was woken late, before is how long before the answer came.
+		// late is the delay with which this process woke up, and before the time from the wake-up
+		// to the answer.
 		late, before time.Duration
-		// want begins the lines that are told.
+		// want holds the first words of the recorded lines.
 		want []string
 	}{
-		{"answered in time", answered, answerLimit, 0, 0, nil},
+		{"answered in time", answered, maxAnswerTime, 0, 0, nil},
 		{"held by the system", answered, 3 * time.Second, 0, 0, []string{"HELD"}},
 		{"read late", answered, 3 * time.Second, 3 * time.Second, 0, []string{"late reading"}},
-		{"held while this process stood still for less than a second", answered, 3 * time.Second, gapAfter - time.Millisecond, 0, []string{"HELD"}},
+		{
+			"held while this process stood still for less than a second", answered,
+			3 * time.Second, minProcessStall - time.Millisecond, 0, []string{"HELD"},
+		},
 		{"held, and read late", answered, 6 * time.Second, 3 * time.Second, 0, []string{"HELD"}},
-		{"this process stood still before the call", answered, 3 * time.Second, 3 * time.Second, 4 * time.Second, []string{"HELD"}},
+		{
+			"this process stood still before the call", answered,
+			3 * time.Second, 3 * time.Second, 4 * time.Second, []string{"HELD"},
+		},
 		{"not answered", timedOut, 3 * time.Second, 0, 0, []string{"CUT", "HELD"}},
 		{"given up late", timedOut, 3 * time.Second, 3 * time.Second, 0, []string{"late reading"}},
 		{"broken off while this process stood still", brokenOff, 3 * time.Second, 3 * time.Second, 0, []string{"CUT"}},
@@ -85,20 +93,20 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := &standstill{}
+				s := &stallMonitor{}
 				woken := time.Now().Add(-test.before)
-				s.add(woken.Add(-test.late), woken)
-				// The goroutine that measures is woken after the answer was read.
-				time.AfterFunc(standstillPause, func() { s.addLate(0) })
+				s.recordWakeUp(woken.Add(-test.late), woken)
+				// The measuring goroutine wakes up after the answer was read.
+				time.AfterFunc(stallPollInterval, func() { s.recordLateWakeUp(0) })
 				cs := newCallers(&cluster{}, nil, true, s)
 				test.answer.Took = test.took
-				cs.judge("a call", test.answer, true)
-				told := slices.Concat(cs.lateReadings, cs.violations)
-				for i, line := range told {
-					told[i], _, _ = strings.Cut(line, ":")
+				cs.checkAnswer("a call", test.answer, true)
+				got := slices.Concat(cs.lateReadings, cs.violations)
+				for i, line := range got {
+					got[i], _, _ = strings.Cut(line, ":")
 				}
-				if !slices.Equal(told, test.want) {
-					t.Errorf("told %v, want %v", told, test.want)
+				if !slices.Equal(got, test.want) {
+					t.Errorf("recorded %v, want %v", got, test.want)
 				}
 				time.Sleep(time.Second)
 			})
--- a/cmd/soak/troubles.go
+++ b/cmd/soak/troubles.go
@@ -9,69 +9,69 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// Pace of a troubled day.
+// Timing and size of the faults of --troubled.
 const (
-	// crashEvery is how many jobs there are for each one with a task that crashes workers.
-	crashEvery = 6
-	// crashWithin bounds the time from a task's start to the crash. The worker is away for
-	// shortAway or for longAway, which is longer than a lease.
-	crashWithin = 700 * time.Millisecond
-	shortAway   = 3 * time.Second
-	longAway    = 8 * time.Second
-	// shrunkPart divides the capacity of a worker that shrinks. shrinkPause is the longest time
-	// between two changes.
-	shrunkPart  = 4
-	shrinkPause = 3 * time.Second
+	// jobsPerCrash is the number of jobs for each job with a task that crashes workers.
+	jobsPerCrash = 6
+	// maxCrashDelay is the longest time from a task's start to the crash. The worker is down for
+	// shortDowntime or for longDowntime, which is longer than a lease.
+	maxCrashDelay = 700 * time.Millisecond
+	shortDowntime = 3 * time.Second
+	longDowntime  = 8 * time.Second
+	// shrinkFactor divides the capacity of a worker that shrinks. maxResizePause is the longest
+	// time between two changes.
+	shrinkFactor   = 4
+	maxResizePause = 3 * time.Second
 )
 
-// troubles are the additional faults of a troubled day. They draw from a source of their own, so
-// that a seed has the same jobs and faults with and without them.
-type troubles struct {
+// extraFaults are the additional faults of --troubled. They have their own random source, so that a
+// seed generates the same jobs and faults with and without them.
+type extraFaults struct {
 	random  *rand.Rand
 	cluster *cluster
-	// jobs counts the jobs drawn so far.
+	// jobs counts the jobs generated so far.
 	jobs int
 }
 
-func newTroubles(c *cluster, seed uint64) *troubles {
-	return &troubles{random: rand.New(rand.NewPCG(seed, 4)), cluster: c}
+func newExtraFaults(c *cluster, seed uint64) *extraFaults {
+	return &extraFaults{random: rand.New(rand.NewPCG(seed, 4)), cluster: c}
 }
 
-// infect lets a task of some jobs crash the workers that start it. It must be called before the job
-// is submitted.
-func (ts *troubles) infect(j *job.Job) {
-	if ts.jobs++; ts.jobs%crashEvery != 0 {
+// addCrashingTask makes a task of some jobs crash each worker that starts it. It must be called
+// before the job is submitted.
+func (ef *extraFaults) addCrashingTask(j *job.Job) {
+	if ef.jobs++; ef.jobs%jobsPerCrash != 0 {
 		return
 	}
-	name := job.TaskName{Job: j.ID, Index: ts.random.IntN(j.Steps[0].Tasks)}
-	after, away := time.Duration(ts.random.Int64N(int64(crashWithin))), shortAway
-	if ts.random.IntN(2) == 0 {
-		away = longAway
+	name := job.TaskName{Job: j.ID, Index: ef.random.IntN(j.Steps[0].Tasks)}
+	after, downtime := time.Duration(ef.random.Int64N(int64(maxCrashDelay))), shortDowntime
+	if ef.random.IntN(2) == 0 {
+		downtime = longDowntime
 	}
-	ts.cluster.platform.Workers.CrashOn(name, after, away)
+	ef.cluster.platform.Workers.CrashOn(name, after, downtime)
 }
 
-// resize changes the capacity of workers until ctx ends, and then restores all. Every other worker
-// overcommits.
-func (ts *troubles) resize(ctx context.Context) {
-	for i, w := range ts.cluster.workers {
+// resizeWorkers changes the capacity of workers until ctx ends, and then restores the capacity of
+// all workers. Every other worker overcommits.
+func (ef *extraFaults) resizeWorkers(ctx context.Context) {
+	for i, w := range ef.cluster.workers {
 		if i%2 == 0 {
 			w.AllowOvercommit()
 		}
 	}
 	small := job.Resources{
-		CPU:          capacity.CPU / shrunkPart,
-		Memory:       capacity.Memory / shrunkPart,
-		Accelerators: capacity.Accelerators / shrunkPart,
+		CPU:          capacity.CPU / shrinkFactor,
+		Memory:       capacity.Memory / shrinkFactor,
+		Accelerators: capacity.Accelerators / shrinkFactor,
 	}
 	for ctx.Err() == nil {
-		w := ts.cluster.workers[ts.random.IntN(len(ts.cluster.workers))]
-		if w.SetCapacity(small); ts.random.IntN(2) == 0 {
+		w := ef.cluster.workers[ef.random.IntN(len(ef.cluster.workers))]
+		if w.SetCapacity(small); ef.random.IntN(2) == 0 {
 			w.SetCapacity(capacity)
 		}
-		pause.For(ctx, time.Duration(ts.random.Int64N(int64(shrinkPause))))
+		pause.For(ctx, time.Duration(ef.random.Int64N(int64(maxResizePause))))
 	}
-	for _, w := range ts.cluster.workers {
+	for _, w := range ef.cluster.workers {
 		w.SetCapacity(capacity)
 	}
 }
--- a/cmd/yarrowgrade/config.go
+++ b/cmd/yarrowgrade/config.go
@@ -81,7 +81,7 @@
 		return err
 	}
 	if !json.Valid(data) {
-		return fault.BadField("file", "%s is not JSON", c.File)
+		return fault.BadField("file", "%s is not valid JSON", c.File)
 	}
 	if c.Author == "" {
 		c.Author = userName()
--- a/cmd/yarrowgrade/golden_test.go
+++ b/cmd/yarrowgrade/golden_test.go
@@ -10,11 +10,11 @@
 	"yarrowgrade.example/yarrowgrade/internal/goldentest"
 )
 
-// goldenLogs are lines that an earlier version's leader and agents wrote: a wide job is stopped for
+// goldenLogs are logs that an earlier version's leader and agents wrote: a large job is stopped for
 // an urgent one.
 var goldenLogs = []string{filepath.Join("testdata", "entries.log"), filepath.Join("testdata", "agents.log")}
 
-// runGolden runs a command line and compares what it prints.
+// runGolden runs a command line and compares its output with a golden file.
 func runGolden(t *testing.T, name string, args ...string) {
 	t.Helper()
 	var out, errOut bytes.Buffer
@@ -33,11 +33,12 @@
 	runGolden(t, "trace.txt", append([]string{"trace", "0000000000000001.0.0.1"}, goldenLogs...)...)
 }
 
-// TestGoldenExplain: an earlier version's entry explains why a session waits.
+// TestGoldenExplain checks the output for an earlier version's answer that explains why a session
+// waits.
 func TestGoldenExplain(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodGet || r.URL.Path != "/v1/sessions/session-1/explain" {
-			t.Errorf("%s %s", r.Method, r.URL.Path)
+			t.Errorf("unexpected request: %s %s", r.Method, r.URL.Path)
 		}
 		_, _ = w.Write(goldentest.Read(t, "explanation.json"))
 	}))
--- a/cmd/yarrowgrade/job.go
+++ b/cmd/yarrowgrade/job.go
@@ -77,8 +77,8 @@
 	})
 }
 
-// crashText returns how many workers crashed under a task: surely, perhaps, and with no other task
-// on them.
+// crashText returns how many workers crashed while they ran a task: those that the task certainly
+// crashed, those that it may have crashed, and those on which no other task ran.
 func crashText(t *job.Task) string {
 	if t.Crashes+t.UncertainCrashes == 0 {
 		return "-"
@@ -86,14 +86,15 @@
 	return fmt.Sprintf("%d sure, %d doubtful, %d alone", t.Crashes, t.UncertainCrashes, t.SoleCrashes)
 }
 
-// printCordons prints a line for each cordoned zone.
+// printCordons prints a line for each cordoned availability zone.
 func printCordons(w io.Writer, cordons []catalog.Cordon) {
 	for _, c := range cordons {
 		fmt.Fprintf(w, "CORDONED\tzone %s, %s: nothing starts there\n", c.Zone, cordonText(&c))
 	}
 }
 
-// cordonText returns when and by which record an availability zone was cordoned; "-" if it is not.
+// cordonText returns when an availability zone was cordoned and the revision of the record that did
+// it, or "-" if the zone is not cordoned.
 func cordonText(c *catalog.Cordon) string {
 	if c == nil {
 		return "-"
@@ -116,7 +117,8 @@
 	})
 }
 
-// proofText returns the age of the read that showed that no newer configuration is in force.
+// proofText returns the age of the last read that confirmed that no newer configuration is in
+// force.
 func proofText(millis int64) string {
 	if millis < 0 {
 		return "none"
@@ -146,7 +148,8 @@
 	})
 }
 
-// startedText returns when an incarnation of a worker started; "-" if the worker doesn't report it.
+// startedText returns when an incarnation of a worker started, or "-" if the worker does not report
+// it.
 func startedText(id incarnation.ID) string {
 	if id.StartedAt().IsZero() {
 		return "-"
--- a/cmd/yarrowgrade/losses.go
+++ b/cmd/yarrowgrade/losses.go
@@ -30,7 +30,7 @@
 
 // Run implements the command.
 func (c *lossesCommand) Run(s *env) error {
-	a := newLossAccount()
+	a := newLossCounter()
 	for _, name := range c.Files {
 		if err := a.readFile(name); err != nil {
 			return err
@@ -40,14 +40,14 @@
 	return s.print(report, report.rows)
 }
 
-// lossAccount sums up the lines of one or more logs.
-type lossAccount struct {
+// lossCounter sums up the records of one or more logs.
+type lossCounter struct {
 	starts int
 	// causes holds the losses by cause.
 	causes map[string]*causeTotal
-	// stops counts the stops of a task, by its name.
+	// stops counts the stops of each task, by task name.
 	stops map[string]int
-	// preemptedFor holds, by task and run, the ID of the urgent job for which a run was stopped.
+	// preemptedFor holds the ID of the urgent job for which a run was stopped, by task and run.
 	preemptedFor map[string]string
 	// urgent holds the jobs of priority 0, by ID.
 	urgent map[string]*urgentJob
@@ -59,17 +59,17 @@
 	Lost float64 `json:"lost_core_s"`
 }
 
-// urgentJob is the outcome of a job of priority 0, and what it cost others.
+// urgentJob is the outcome of a job of priority 0, and the work that it cost other jobs.
 type urgentJob struct {
-	// victims is the number of runs stopped for it; lost is their lost work in core-seconds.
+	// victims is the number of runs stopped for the job, and lost their lost work in core-seconds.
 	victims   int
 	lost      float64
 	completed bool
 	inTime    bool
 }
 
-func newLossAccount() *lossAccount {
-	return &lossAccount{
+func newLossCounter() *lossCounter {
+	return &lossCounter{
 		causes:       map[string]*causeTotal{},
 		stops:        map[string]int{},
 		preemptedFor: map[string]string{},
@@ -77,7 +77,7 @@
 	}
 }
 
-func (a *lossAccount) readFile(name string) error {
+func (a *lossCounter) readFile(name string) error {
 	file, err := os.Open(name)
 	if err != nil {
 		return fmt.Errorf("losses: %w", err)
@@ -89,9 +89,9 @@
 	return nil
 }
 
-// read adds the lines of a log. Text before the time of a line is skipped, and so are lines without
-// a time.
-func (a *lossAccount) read(in io.Reader) error {
+// read adds the records of a log. It skips text before the time of a line, and lines without a
+// time.
+func (a *lossCounter) read(in io.Reader) error {
 	scanner := bufio.NewScanner(in)
 	scanner.Buffer(nil, maxLogLine)
 	for scanner.Scan() {
@@ -99,7 +99,7 @@
 		if !ok {
 			continue
 		}
-		l, err := parseLossLine(timeField + text)
+		l, err := parseLossRecord(timeField + text)
 		if err != nil {
 			return err
 		}
@@ -108,31 +108,31 @@
 	return scanner.Err()
 }
 
-func (a *lossAccount) add(l lossLine) {
+func (a *lossCounter) add(l lossRecord) {
 	run := fmt.Sprintf("%s/%d", l.task, l.run)
 	switch l.event {
 	case eventPlaced:
 		a.starts++
 		if l.priority == 0 {
-			a.urgentOf(jobOf(l.task))
+			a.urgentByID(jobID(l.task))
 		}
 	case eventStop:
 		a.stops[l.task]++
-		if task, ok := strings.CutPrefix(l.why, yieldsTo); ok {
-			a.preemptedFor[run] = jobOf(task)
-			a.urgentOf(jobOf(task)).victims++
+		if task, ok := strings.CutPrefix(l.why, yieldPrefix); ok {
+			a.preemptedFor[run] = jobID(task)
+			a.urgentByID(jobID(task)).victims++
 		}
 	case eventEnded:
 		a.addEnd(l, run)
 	case eventJob:
-		if u := a.urgent[l.job]; u != nil && l.phase == phaseDone {
+		if u := a.urgent[l.job]; u != nil && l.phase == phaseCompleted {
 			u.completed, u.inTime = true, !l.at.After(l.due)
 		}
 	}
 }
 
-// addEnd adds the end of a run as the leader logs it. Agents log it too, without a cause.
-func (a *lossAccount) addEnd(l lossLine, run string) {
+// addEnd adds the end of a run as the leader logs it. Agents also log it, but without a cause.
+func (a *lossCounter) addEnd(l lossRecord, run string) {
 	if l.cause == "" || l.cause == causeNone {
 		return
 	}
@@ -148,27 +148,27 @@
 	}
 }
 
-func (a *lossAccount) urgentOf(id string) *urgentJob {
+func (a *lossCounter) urgentByID(id string) *urgentJob {
 	if a.urgent[id] == nil {
 		a.urgent[id] = &urgentJob{}
 	}
 	return a.urgent[id]
 }
 
-// jobOf returns the job's ID from a task's name.
-func jobOf(task string) string {
+// jobID returns the job's ID from a task's name.
+func jobID(task string) string {
 	id, _, _ := strings.Cut(task, ".")
 	return id
 }
 
-// lossReport is the result of an account.
+// lossReport is the sum of all records.
 type lossReport struct {
 	Starts int                    `json:"starts"`
 	Causes map[string]*causeTotal `json:"causes"`
-	// Urgent has two totals of the jobs of priority 0: those for which no run was stopped, and the
-	// others.
+	// Urgent has two totals of the jobs of priority 0: first the jobs for which no run was stopped,
+	// then the others.
 	Urgent []urgentTotal `json:"urgent"`
-	// Stopped counts tasks by how often they were stopped.
+	// Stopped holds the number of tasks by how often they were stopped.
 	Stopped map[int]int `json:"stopped_times"`
 }
 
@@ -181,12 +181,12 @@
 	Open     int     `json:"not_completed"`
 	Victims  int     `json:"runs_stopped"`
 	Lost     float64 `json:"lost_core_s"`
-	// LostInVain is the work lost for jobs that were late or not completed all the same, in
-	// core-seconds.
-	LostInVain float64 `json:"lost_core_s_for_late_jobs"`
+	// LostForLate is the work in core-seconds that was lost for jobs that were nevertheless late or
+	// not completed.
+	LostForLate float64 `json:"lost_core_s_for_late_jobs"`
 }
 
-func (a *lossAccount) report() lossReport {
+func (a *lossCounter) report() lossReport {
 	r := lossReport{
 		Starts:  a.starts,
 		Causes:  a.causes,
@@ -219,7 +219,7 @@
 	default:
 		t.Open++
 	}
-	t.LostInVain += u.lost
+	t.LostForLate += u.lost
 }
 
 // rows prints the report as tables.
@@ -236,8 +236,8 @@
 		if t.Stopping {
 			name = "work stopped"
 		}
-		lost, inVain := fmt.Sprintf("%.0f", t.Lost), fmt.Sprintf("%.0f", t.LostInVain)
-		row(w, name, t.Jobs, t.InTime, t.Late, t.Open, t.Victims, lost, inVain)
+		lost, lostForLate := fmt.Sprintf("%.0f", t.Lost), fmt.Sprintf("%.0f", t.LostForLate)
+		row(w, name, t.Jobs, t.InTime, t.Late, t.Open, t.Victims, lost, lostForLate)
 	}
 	fmt.Fprintln(w)
 	row(w, "TOLD TO STOP", "TASKS")
--- a/cmd/yarrowgrade/lossline.go
+++ b/cmd/yarrowgrade/lossline.go
@@ -9,41 +9,41 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// timeField begins a line of a log.
+// timeField is the first field of a log line.
 const timeField = "time="
 
-// Events and values of fields in the leader's log, as package dispatch writes them.
+// Events and field values in the leader's log, as package dispatch writes them.
 const (
-	eventPlaced = "run is placed"
-	eventStop   = "run is to stop"
-	eventEnded  = "run ended"
-	eventJob    = "job ended"
-	yieldsTo    = "it yields to "
-	phaseDone   = "completed"
-	causeNone   = "none"
+	eventPlaced    = "run is placed"
+	eventStop      = "run is to stop"
+	eventEnded     = "run ended"
+	eventJob       = "job ended"
+	yieldPrefix    = "it yields to "
+	phaseCompleted = "completed"
+	causeNone      = "none"
 )
 
-// lossLine holds the fields of a line that losses depend on.
-type lossLine struct {
+// lossRecord holds the fields of a log line that are relevant for losses.
+type lossRecord struct {
 	at    time.Time
 	event string
-	// task and run name a run; job is the ID of the job that ended.
+	// task and run identify a run; job is the ID of the job that ended.
 	task string
 	run  int
 	job  string
-	// priority is that of the run's job; 0 is urgent.
+	// priority is the priority of the run's job; 0 is urgent.
 	priority int
-	// why says why a run is to stop; cause, why its work was lost.
+	// why is the reason why a run is stopped; cause is the reason why its work was lost.
 	why   string
 	cause string
 	// lost is the lost work in core-seconds.
 	lost float64
-	// phase is that of the job that ended; due, the time by which it was to be completed.
+	// phase is the phase of the job that ended; due is its deadline.
 	phase string
 	due   time.Time
 }
 
-func parseLossLine(text string) (l lossLine, err error) {
+func parseLossRecord(text string) (l lossRecord, err error) {
 	d := logfmt.NewDecoder(strings.NewReader(text))
 	for d.ScanRecord() {
 		for d.ScanKeyval() {
@@ -58,8 +58,8 @@
 	return l, nil
 }
 
-// set sets one field. Fields that no loss depends on are skipped.
-func (l *lossLine) set(key, value string) (err error) {
+// set sets one field. Fields that are not relevant for losses are ignored.
+func (l *lossRecord) set(key, value string) (err error) {
 	switch key {
 	case "time":
 		l.at, err = time.Parse(time.RFC3339Nano, value)
--- a/cmd/yarrowgrade/main.go
+++ b/cmd/yarrowgrade/main.go
@@ -1,4 +1,4 @@
-// Command yarrowgrade is the operators' client of yarrowgrade.
+// Command yarrowgrade is the command-line client of yarrowgrade for operators.
 //
 // # Usage
 //
@@ -8,9 +8,9 @@
 //
 // # Exit codes
 //
-//	0  done
-//	1  the entry refused, or could not be reached
-//	2  the command line or a field of the input is wrong
+//	0  success
+//	1  the entry refused the call or could not be reached
+//	2  the command line or a field of the input is invalid
 //	3  a request's outcome is not_run
 //	4  a request's outcome is unknown
 package main
@@ -34,10 +34,10 @@
 	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
 )
 
-// Exit codes, as in the package comment.
+// Exit codes; see the package comment.
 const (
 	exitFailed  = 1
-	exitBad     = 2
+	exitInvalid = 2
 	exitNotRun  = 3
 	exitUnknown = 4
 )
@@ -60,7 +60,7 @@
 	Losses  lossesCommand   `cmd:"" help:"Sum up from logs the work that was lost, why, and for whom."`
 }
 
-// env is what a command runs with.
+// env is the environment in which a command runs.
 type env struct {
 	ctx    context.Context
 	client *client.Client
@@ -68,7 +68,7 @@
 	json   bool
 }
 
-// exitError ends the program with a code and prints nothing.
+// exitError ends the program with an exit code, without an error message.
 type exitError struct{ code int }
 
 // Error implements error.
@@ -88,7 +88,7 @@
 	parsed, err := parser.Parse(args)
 	if err != nil {
 		fmt.Fprintf(errOut, "yarrowgrade: %v\n", err)
-		return exitBad
+		return exitInvalid
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -110,12 +110,12 @@
 	var field *fault.Field
 	var status *jsonhttp.StatusError
 	if errors.As(err, &field) || (errors.As(err, &status) && status.Status == http.StatusBadRequest) {
-		return exitBad
+		return exitInvalid
 	}
 	return exitFailed
 }
 
-// print prints a value as JSON, or the table that rows writes.
+// print prints a value as JSON, or as the table that rows writes.
 func (s *env) print(value any, rows func(w io.Writer)) error {
 	if s.json {
 		encoder := json.NewEncoder(s.out)
@@ -138,7 +138,7 @@
 	fmt.Fprintln(w)
 }
 
-// ago returns how long ago a time in milliseconds since 1970 was.
+// ago returns the time elapsed since a time in milliseconds since 1970.
 func ago(millis int64) string {
 	return time.Since(time.UnixMilli(millis)).Round(time.Second).String()
 }
--- a/cmd/yarrowgrade/session.go
+++ b/cmd/yarrowgrade/session.go
@@ -99,7 +99,7 @@
 		if v.Placement == nil {
 			return
 		}
-		fmt.Fprintf(w, "placement\t%d, %s, %s\n", v.Placement.Token, v.Placement.Phase, kind(v.Placement))
+		fmt.Fprintf(w, "placement\t%d, %s, %s\n", v.Placement.Token, v.Placement.Phase, kindText(v.Placement))
 		for _, m := range v.Placement.Members {
 			fmt.Fprintf(w, "member\t%s, accelerators %v\n", m.Worker, m.Accelerators)
 		}
@@ -128,7 +128,7 @@
 				phase = string(v.Placement.Phase)
 				where = workerNames(v.Placement.Members)
 			}
-			row(w, v.Name, v.Team, shapeText(v.Shape), phase, ago(v.Since), kind(v.Placement), where)
+			row(w, v.Name, v.Team, shapeText(v.Shape), phase, ago(v.Since), kindText(v.Placement), where)
 		}
 	})
 }
@@ -137,8 +137,9 @@
 	return fmt.Sprintf("%d in one %s", s.Accelerators, s.Adjacency)
 }
 
-// kind returns whether a placement uses a guarantee or is borrowed, and can be taken back.
-func kind(p *ledger.Placement) string {
+// kindText returns whether a placement uses a guarantee or is borrowed. Borrowed accelerators can
+// be reclaimed.
+func kindText(p *ledger.Placement) string {
 	switch {
 	case p == nil:
 		return "-"
--- a/cmd/yarrowgrade/status.go
+++ b/cmd/yarrowgrade/status.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// agents returns the newest status of each agent, by name. After an agent moved to another entry,
-// both report it.
+// agents returns the newest status of each agent, sorted by name. Two entries report an agent that
+// has just moved from one to the other.
 func agents(entries []membership.EntryStatus) []membership.AgentStatus {
 	newest := make(map[string]membership.AgentStatus)
 	for _, e := range entries {
--- a/cmd/yarrowgrade/tables_test.go
+++ b/cmd/yarrowgrade/tables_test.go
@@ -12,19 +12,19 @@
 	"yarrowgrade.example/yarrowgrade/internal/goldentest"
 )
 
-// age is the time since something, which differs from run to run, and so does the width of its
-// column.
+// age matches elapsed times, which differ from run to run, and spaces the padding of columns, whose
+// width depends on them.
 var (
 	age    = regexp.MustCompile(`\d+h\d+m\d+s`)
 	spaces = regexp.MustCompile(` {2,}`)
 )
 
-// TestGoldenTables: the tables that operators read, for answers that earlier versions gave.
+// TestGoldenTables checks the tables that operators read, printed for answers of earlier versions.
 func TestGoldenTables(t *testing.T) {
 	tests := []struct {
 		args []string
 		path string
-		// answer is a golden record, in an array if list is set.
+		// answer is the file of a golden record, which is wrapped in an array if list is set.
 		answer string
 		list   bool
 	}{
@@ -56,17 +56,17 @@
 			answer = fmt.Appendf(nil, "[%s]", answer)
 		}
 		fmt.Fprintf(&out, "$ %v\n", test.args)
-		out.Write(printed(t, test.path, answer, test.args))
+		out.Write(commandOutput(t, test.path, answer, test.args))
 	}
 	goldentest.Bytes(t, "tables.txt", out.Bytes())
 }
 
-// printed runs a command against an entry that gives the answer at the path.
-func printed(t *testing.T, path string, answer []byte, args []string) []byte {
+// commandOutput runs a command against an entry that returns the answer at the path.
+func commandOutput(t *testing.T, path string, answer []byte, args []string) []byte {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != path {
-			t.Errorf("%v asks for %s, want %s", args, r.URL.Path, path)
+			t.Errorf("%v requests %s, want %s", args, r.URL.Path, path)
 		}
 		_, _ = w.Write(answer)
 	}))
--- a/cmd/yarrowgrade/trace.go
+++ b/cmd/yarrowgrade/trace.go
@@ -20,7 +20,7 @@
   yarrowgrade trace 7b1f7d2030478d63 entry-1.log entry-2.log worker-1.log
 `
 
-// maxLogLine bounds a line of a log, in bytes.
+// maxLogLine is the maximum length of a log line in bytes.
 const maxLogLine = 1 << 20
 
 type traceCommand struct {
@@ -31,7 +31,7 @@
 // Help implements kong.HelpProvider.
 func (*traceCommand) Help() string { return traceUsage }
 
-// logLine is a line with its time. A line without a time has that of the line before.
+// logLine is a line with its time. A line without a time gets the time of the previous line.
 type logLine struct {
 	at   time.Time
 	text string
@@ -41,7 +41,7 @@
 func (c *traceCommand) Run(s *env) error {
 	var lines []logLine
 	for _, name := range c.Files {
-		found, err := linesOf(name, c.ID)
+		found, err := matchingLines(name, c.ID)
 		if err != nil {
 			return err
 		}
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// linesOf returns the lines of a file that contain the id.
-func linesOf(name, id string) ([]logLine, error) {
+// matchingLines returns the lines of a file that contain the ID.
+func matchingLines(name, id string) ([]logLine, error) {
 	file, err := os.Open(name)
 	if err != nil {
 		return nil, fmt.Errorf("trace: %w", err)
@@ -67,7 +67,7 @@
 	scanner.Buffer(nil, maxLogLine)
 	for scanner.Scan() {
 		text := scanner.Text()
-		if t, ok := timeOf(text); ok {
+		if t, ok := lineTime(text); ok {
 			at = t
 		}
 		if strings.Contains(text, id) {
@@ -80,8 +80,8 @@
 	return lines, nil
 }
 
-// timeOf returns the time of a line, if it has one.
-func timeOf(text string) (time.Time, bool) {
+// lineTime returns the time of a line, if it has one.
+func lineTime(text string) (time.Time, bool) {
 	_, rest, ok := strings.Cut(text, "time=")
 	if !ok {
 		return time.Time{}, false
--- a/cmd/yarrowgraded/agent.go
+++ b/cmd/yarrowgraded/agent.go
@@ -33,7 +33,7 @@
       --platform http://127.0.0.1:7000 --entries http://127.0.0.1:7100,http://127.0.0.1:7101
 `
 
-// maxConnections bounds the connections to one target.
+// maxConnections is the maximum of the --connections flag.
 const maxConnections = 10_000
 
 type agentCommand struct {
@@ -91,11 +91,12 @@
 	if err := c.checkTarget(); err != nil {
 		return s, err
 	}
-	return s, asSetting(s.Validate())
+	return s, asFlagError(s.Validate())
 }
 
-// asSetting turns an error about a field of the worker into one about the flag.
-func asSetting(err error) error {
+// asFlagError returns an error about a field of the worker as one about the corresponding flag.
+// Other errors are returned unchanged.
+func asFlagError(err error) error {
 	var field *fault.Field
 	if !errors.As(err, &field) {
 		return err
--- a/cmd/yarrowgraded/client.go
+++ b/cmd/yarrowgraded/client.go
@@ -11,16 +11,17 @@
 )
 
 const (
-	// idlePerHost is how many idle connections a process keeps to each other one.
-	idlePerHost = 64
-	// clientIdleTimeout is shorter than serverIdleTimeout, so that no request meets a connection
-	// that is being closed.
+	// maxIdlePerHost is the number of idle connections that a process keeps open to each other
+	// process.
+	maxIdlePerHost = 64
+	// clientIdleTimeout is shorter than serverIdleTimeout, so that a request is not sent on a
+	// connection that the server is closing.
 	clientIdleTimeout = time.Minute
 	dialTimeout       = time.Second
 )
 
-// keepAlive lets the operating system find a connection that was lost without a reset, 4 s after
-// its last packet. A read that waits for news sends nothing by which it could be noticed.
+// keepAlive makes the operating system detect a connection that was lost without a reset, 4 s after
+// its last packet. A long-polling read sends nothing that could reveal the loss.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 2}
 
 // newClient returns the HTTP client for the system's own processes and the platform.
@@ -28,14 +29,14 @@
 	return &http.Client{Transport: t.Transport(newTransport())}
 }
 
-// transport closes all idle connections after a request that timed out. If one connection has gone
-// silent, others probably have too, and the next requests must not find that out one by one.
+// transport closes all idle connections after a request that timed out. If one connection no longer
+// responds, others probably do not either, and later requests must not time out on them one by one.
 type transport struct{ *http.Transport }
 
 func newTransport() *transport {
 	return &transport{&http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout, KeepAliveConfig: keepAlive}).DialContext,
-		MaxIdleConnsPerHost: idlePerHost,
+		MaxIdleConnsPerHost: maxIdlePerHost,
 		IdleConnTimeout:     clientIdleTimeout,
 	}}
 }
--- a/cmd/yarrowgraded/dev.go
+++ b/cmd/yarrowgraded/dev.go
@@ -51,7 +51,7 @@
 // Help implements kong.HelpProvider.
 func (*devCommand) Help() string { return devUsage }
 
-// dev is what the entries and agents of the process share.
+// dev holds what the entries and agents of the process share.
 type dev struct {
 	platform  *standin.Platform
 	telemetry *telemetry.Telemetry
@@ -78,15 +78,15 @@
 			return err
 		}
 	}
-	if err := d.seed(ctx); err != nil {
+	if err := d.declareTeams(ctx); err != nil {
 		return err
 	}
-	d.greet()
+	d.printUsage()
 	<-ctx.Done()
 	return nil
 }
 
-// startEntries starts two entries; the first listens where the client calls by default.
+// startEntries starts two entries. The first listens on the client's default address.
 func (d *dev) startEntries(ctx context.Context, wg *conc.WaitGroup) error {
 	var listeners []net.Listener
 	for _, address := range []string{client.DefaultAddress, "127.0.0.1:0"} {
@@ -149,8 +149,9 @@
 	return nil
 }
 
-// echo is the target of dev: it answers with the body that it gets. It reads the whole body before
-// it writes, because net/http may stop reading a request once its handler has written.
+// echo is the handler of the targets of dev: it answers with the body of the request. It reads the
+// whole body before it writes, because net/http may stop reading a request after its handler has
+// written.
 func echo(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(request.IDHeader, r.Header.Get(request.IDHeader))
 	body, err := io.ReadAll(io.LimitReader(r.Body, request.MaxBody))
@@ -161,7 +162,7 @@
 	_, _ = w.Write(body)
 }
 
-// serveUntil serves until ctx ends.
+// serveUntil serves requests until ctx ends.
 func (d *dev) serveUntil(ctx context.Context, wg *conc.WaitGroup, l net.Listener, h http.Handler) {
 	log := d.telemetry.Log
 	server := newServer(h)
@@ -176,8 +177,8 @@
 	})
 }
 
-// seed declares two teams, so that sessions and requests can be tried at once.
-func (d *dev) seed(ctx context.Context) error {
+// declareTeams declares two teams, so that sessions and requests can be created immediately.
+func (d *dev) declareTeams(ctx context.Context) error {
 	c := client.New(d.entries[0], d.client)
 	guarantee := func(accelerators int, a placement.Adjacency) []placement.Guarantee {
 		return []placement.Guarantee{{Shape: placement.Shape{Accelerators: accelerators, Adjacency: a}, Count: 1}}
@@ -194,7 +195,7 @@
 	return nil
 }
 
-func (d *dev) greet() {
+func (d *dev) printUsage() {
 	fmt.Printf(`yarrowgrade runs in this process: %d agents with %d accelerators each, and entries at
   %s
   %s
--- a/cmd/yarrowgraded/dev_test.go
+++ b/cmd/yarrowgraded/dev_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestEcho: the stand-in target of dev sends each body back whole. It once wrote while it read, and
-// bodies of some sizes came back cut at 512 bytes (73 of 200).
+// TestEcho checks that the echo target returns each body completely. If the handler writes while it
+// still reads, bodies of some sizes (73 of 200) come back truncated to 512 bytes.
 func TestEcho(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(echo))
 	defer server.Close()
@@ -23,7 +23,7 @@
 			got, err := io.ReadAll(response.Body)
 			response.Body.Close()
 			if err != nil || !bytes.Equal(got, body) {
-				t.Fatalf("of %d bytes %d came back, %v", size, len(got), err)
+				t.Fatalf("sent %d bytes, got %d back, error %v", size, len(got), err)
 			}
 		}
 	}
--- a/cmd/yarrowgraded/hangup_test.go
+++ b/cmd/yarrowgraded/hangup_test.go
@@ -29,8 +29,8 @@
 	return b.buf.String()
 }
 
-// TestHangup: SIGHUP does not end the process, and the result of reading the settings again is
-// logged.
+// TestHangup checks that SIGHUP does not end the process, and that the result of reloading the
+// settings is logged.
 func TestHangup(t *testing.T) {
 	var out safeBuffer
 	ready := make(chan struct{})
@@ -39,7 +39,7 @@
 	deadline := time.Now().Add(5 * time.Second)
 	for !strings.Contains(out.String(), "settings read again") {
 		if time.Now().After(deadline) {
-			t.Fatalf("no line is logged: %q", out.String())
+			t.Fatalf("reload is not logged: %q", out.String())
 		}
 		time.Sleep(time.Millisecond)
 		if err := syscall.Kill(syscall.Getpid(), syscall.SIGHUP); err != nil {
--- a/cmd/yarrowgraded/imports_test.go
+++ b/cmd/yarrowgraded/imports_test.go
@@ -8,13 +8,14 @@
 
 const module = "yarrowgrade.example/yarrowgrade/"
 
-// Formats of go list: what a package imports, without and with its tests.
+// Formats of go list for the imports of a package, without and with those of its tests.
 const (
-	ofPackage  = `{{.ImportPath}}: {{join .Imports " "}}`
-	ofItsTests = `{{.ImportPath}}: {{join .Imports " "}} {{join .TestImports " "}} {{join .XTestImports " "}}`
+	importsFormat    = `{{.ImportPath}}: {{join .Imports " "}}`
+	allImportsFormat = `{{.ImportPath}}: {{join .Imports " "}} {{join .TestImports " "}} {{join .XTestImports " "}}`
 )
 
-// imports returns the imports of each package of the module, as the format of go list says.
+// imports returns the imports of each package of the module. The format of go list selects the
+// imports.
 func imports(t *testing.T, format string) map[string][]string {
 	t.Helper()
 	out, err := exec.Command("go", "list", "-f", format, module+"...").Output()
@@ -29,49 +30,52 @@
 	return found
 }
 
-// TestImports: only commands import the adapter to the users' platform, and the two schedulers
-// share internal packages only, also in their tests.
+// TestImports checks that only commands import the adapter to the users' platform, and that the two
+// schedulers share only internal packages, also in their tests.
 func TestImports(t *testing.T) {
 	tests := []struct {
 		folder string
-		// users are the folders that may import it.
-		users  []string
-		format string
+		// importers are the folders that may import it.
+		importers []string
+		format    string
 	}{
-		{"platform", []string{"platform", "cmd"}, ofPackage},
-		{"jobs", []string{"jobs", "platform", "client", "cmd"}, ofItsTests},
-		{"sessions", []string{"sessions", "client", "cmd", "e2e"}, ofItsTests},
-		{"client", []string{"cmd", "e2e", "sessions/oracle"}, ofItsTests},
-		{"cmd", []string{}, ofItsTests},
+		{"platform", []string{"platform", "cmd"}, importsFormat},
+		{"jobs", []string{"jobs", "platform", "client", "cmd"}, allImportsFormat},
+		{"sessions", []string{"sessions", "client", "cmd", "e2e"}, allImportsFormat},
+		{"client", []string{"cmd", "e2e", "sessions/oracle"}, allImportsFormat},
+		{"cmd", []string{}, allImportsFormat},
+	}
+	all := map[string]map[string][]string{
+		importsFormat:    imports(t, importsFormat),
+		allImportsFormat: imports(t, allImportsFormat),
 	}
-	all := map[string]map[string][]string{ofPackage: imports(t, ofPackage), ofItsTests: imports(t, ofItsTests)}
 	for _, test := range tests {
 		seen := false
 		for name, list := range all[test.format] {
 			for _, i := range list {
-				if !in(test.folder, strings.TrimPrefix(i, module)) {
+				if !inFolder(test.folder, strings.TrimPrefix(i, module)) {
 					continue
 				}
 				seen = true
-				if !inAny(test.users, name) {
+				if !inAnyFolder(test.importers, name) {
 					t.Errorf("%s imports %s", name, i)
 				}
 			}
 		}
-		if !seen && len(test.users) > 0 {
-			t.Errorf("nobody imports %s: the check looks in the wrong place", test.folder)
+		if !seen && len(test.importers) > 0 {
+			t.Errorf("no package imports %s: the test uses a wrong folder name", test.folder)
 		}
 	}
 }
 
-// in reports whether a package, named from the module's root, is in a folder.
-func in(folder, name string) bool {
+// inFolder reports whether a package, given by its path in the module, is in a folder.
+func inFolder(folder, name string) bool {
 	return name == folder || strings.HasPrefix(name, folder+"/")
 }
 
-func inAny(folders []string, name string) bool {
+func inAnyFolder(folders []string, name string) bool {
 	for _, f := range folders {
-		if in(f, name) {
+		if inFolder(f, name) {
 			return true
 		}
 	}
--- a/cmd/yarrowgraded/jobagent.go
+++ b/cmd/yarrowgraded/jobagent.go
@@ -30,12 +30,12 @@
   yarrowgraded job-agent
 `
 
-// agentGCPercent lets the heap grow by this many percent between collections. There is an agent
-// beside each worker, so memory counts for more than the processor time that frequent collections
-// take.
+// agentGCPercent is the heap growth in percent between garbage collections. There is an agent
+// beside each worker, so low memory use is more important than the processor time of frequent
+// collections.
 const agentGCPercent = 20
 
-// workerDrift is how much slower than real time a worker's clock may run, as a share.
+// workerDrift is the share by which a worker's clock may run slower than real time.
 const workerDrift = 0.03
 
 type jobAgentCommand struct {
--- a/cmd/yarrowgraded/jobentry.go
+++ b/cmd/yarrowgraded/jobentry.go
@@ -42,15 +42,15 @@
 // processes.
 const internalPort = 0
 
-// drainFor is how long an entry still serves after it has reported not ready. The platform checks
-// readiness every second and needs two checks to stop sending callers here.
-const drainFor = 2500 * time.Millisecond
+// drainTime is how long an entry continues to serve after it has reported not ready. The platform
+// checks readiness every second and stops sending callers after two failed checks.
+const drainTime = 2500 * time.Millisecond
 
-// shutdownMargin is the part of the platform's grace period that is kept for ending the process
-// itself.
+// shutdownMargin is the part of the platform's grace period that is reserved for the exit of the
+// process.
 const shutdownMargin = time.Second
 
-// statusMargin is added to the time for which the platform wants the state of ended jobs.
+// statusMargin is added to the time for which the platform requires the state of ended jobs.
 const statusMargin = time.Minute
 
 type jobEntryCommand struct {
@@ -88,10 +88,11 @@
 	return newJobEntry(s, t, address, policy).run(ctx)
 }
 
-// jobEntry is the process of an entry for jobs: it owns the goroutines and listeners of its parts.
+// jobEntry is the process of an entry for jobs. It owns the goroutines and listeners of its
+// components.
 type jobEntry struct {
 	settings *platform.Settings
-	// address is where agents and other entries reach this one.
+	// address is the address at which agents and other entries reach this entry.
 	address      string
 	telemetry    *telemetry.Telemetry
 	directoryLog topic.Log
@@ -127,8 +128,8 @@
 	e.catalog = catalog.NewFollower(operatorLog, platform.OperatorFormat(s.ZoneNames()), t.Log).
 		WithSuspension(suspension).
 		WithReaders(e.directory.Count, e.replica.Leading)
-	// The writer shares the latency of the replica's reads, which notice a slow log before the
-	// first append does.
+	// The writer shares the latency of the replica's reads, which detect a slow log before the
+	// first append.
 	e.writer = jobstore.NewWriter(
 		jobsLog, e.replica.Latency(), e.replica, e.directory.Addresses, address, client, t.Log)
 	e.admission = admission.New(admission.Settings{MaxConfigAge: s.ConfigMaxAge()}, admission.Dependencies{
@@ -160,8 +161,8 @@
 	})
 }
 
-// leaderSettings returns the settings of an entry's candidacy, under a new incarnation of the
-// entry.
+// leaderSettings returns the settings with which an entry is a candidate for leader, with a new
+// incarnation of the entry.
 func leaderSettings(s *platform.Settings, address string, policy dispatch.Policy) leader.Settings {
 	decisions := dispatch.DefaultSettings()
 	decisions.EndedRetention = s.StatusRetention() + statusMargin
@@ -176,8 +177,8 @@
 	}
 }
 
-// relayAddresses returns the entries that relay operators' records to this one. The leader and its
-// standbys read the platform's log themselves, so for them there are none.
+// relayAddresses returns the addresses of the entries that relay operators' records to this one. It
+// returns none for the leader and its standbys, which read the platform's log themselves.
 func (e *jobEntry) relayAddresses() []string {
 	if e.directory.IsStandby(e.settings.Node) || e.replica.Leading() {
 		return nil
@@ -185,7 +186,7 @@
 	return e.directory.StandbyAddresses()
 }
 
-// run serves until ctx ends, and then stops as planned.
+// run serves until ctx ends, and then performs a planned stop.
 func (e *jobEntry) run(ctx context.Context) error {
 	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -212,19 +213,19 @@
 	return nil
 }
 
-// drain reports not ready, resigns, and returns when no request is in flight or the platform's
-// grace period ends.
+// drain reports not ready, resigns as leader, and returns when all requests in flight have ended or
+// the platform's grace period is over.
 func (e *jobEntry) drain(ctx context.Context, servers []*http.Server) {
 	log := e.telemetry.Log
 	log.Info().Str("step", "stop").Msg("entry leaves")
 	close(e.draining)
 	e.candidate.Resign()
-	pause.For(ctx, drainFor)
-	ctx, cancel := context.WithTimeout(ctx, e.settings.ShutdownGrace()-drainFor-shutdownMargin)
+	pause.For(ctx, drainTime)
+	ctx, cancel := context.WithTimeout(ctx, e.settings.ShutdownGrace()-drainTime-shutdownMargin)
 	defer cancel()
 	for _, server := range servers {
 		if err := server.Shutdown(ctx); err != nil {
-			log.Warn().Str("step", "stop").Err(err).Msg("requests in flight are cut")
+			log.Warn().Str("step", "stop").Err(err).Msg("shutdown incomplete; requests in flight are aborted")
 		}
 	}
 }
--- a/cmd/yarrowgraded/main.go
+++ b/cmd/yarrowgraded/main.go
@@ -2,14 +2,14 @@
 //
 // # Usage
 //
-//	yarrowgraded dev          a whole system for sessions in one process, on a laptop
+//	yarrowgraded dev          a complete system for sessions in one process, for a laptop
 //	yarrowgraded entry        the process on an entry box
 //	yarrowgraded agent        the process beside a target
 //	yarrowgraded job-entry    the process on an entry box of the users' platform
 //	yarrowgraded job-agent    the process beside a worker of the users' platform
 //
 // Every flag can be set by an environment variable, YARROWGRADE_ and the flag's name. SIGTERM and
-// SIGINT are planned stops: requests in flight are finished.
+// SIGINT start a planned stop, which finishes the requests in flight.
 //
 // entry and agent are the programs of the scheduler for sessions (folder sessions/); job-entry and
 // job-agent are those of the scheduler for jobs on the users' platform (jobs/ and platform/).
@@ -28,8 +28,8 @@
 	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
-// exitBadSettings is the exit code for invalid settings; all other failures exit with 1.
-const exitBadSettings = 2
+// exitInvalidSettings is the exit code for invalid settings. All other failures exit with 1.
+const exitInvalidSettings = 2
 
 type commands struct {
 	Dev   devCommand   `cmd:"" help:"Run a whole system for sessions in this process, for a first look."`
@@ -51,7 +51,7 @@
 	parsed, err := parser.Parse(os.Args[1:])
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "yarrowgraded: %v\n", err)
-		os.Exit(exitBadSettings)
+		os.Exit(exitInvalidSettings)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -65,7 +65,7 @@
 func exitCode(err error) int {
 	var setting *fault.Field
 	if errors.As(err, &setting) {
-		return exitBadSettings
+		return exitInvalidSettings
 	}
 	return 1
 }
--- a/cmd/yarrowgraded/metrics_test.go
+++ b/cmd/yarrowgraded/metrics_test.go
@@ -15,8 +15,8 @@
 	"yarrowgrade.example/yarrowgrade/platform"
 )
 
-// registered returns the names of all metrics that a process for jobs registers.
-func registered(t *testing.T, start func(s *platform.Settings, t *telemetry.Telemetry)) []string {
+// registeredMetrics returns the names of all metrics that a process for jobs registers.
+func registeredMetrics(t *testing.T, start func(s *platform.Settings, t *telemetry.Telemetry)) []string {
 	t.Helper()
 	const settings = `{"node":"n","ip":"127.0.0.1","portRange":[7000,7015],"platform":{"address":"127.0.0.1:1"}}`
 	s, err := platform.DecodeSettings([]byte(settings))
@@ -42,14 +42,14 @@
 	return slices.Compact(names)
 }
 
-// TestMetricsAreDocumented compares the table in docs/OPERATIONS.md with what is registered.
+// TestMetricsAreDocumented compares the table in docs/OPERATIONS.md with the registered metrics.
 func TestMetricsAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	documented := map[string][]string{}
-	// A row is: | `name{label}` | entry | ...
+	// Rows have the form | `name{label}` | entry | ...
 	rows := regexp.MustCompile("(?m)^\\| `(\\w+)(?:\\{\\w+\\})?` \\| (entry|agent|both) \\|")
 	for _, row := range rows.FindAllStringSubmatch(string(page), -1) {
 		for _, role := range []string{"entry", "agent"} {
@@ -66,7 +66,7 @@
 	}
 	for role, start := range starts {
 		t.Run(role, func(t *testing.T) {
-			names := registered(t, start)
+			names := registeredMetrics(t, start)
 			slices.Sort(documented[role])
 			if !slices.Equal(names, documented[role]) {
 				t.Errorf("registered: %v\nin the table: %v", names, documented[role])
--- a/cmd/yarrowgraded/reload.go
+++ b/cmd/yarrowgraded/reload.go
@@ -12,8 +12,8 @@
 )
 
 // reloadOnHangup reads the settings again at each SIGHUP until ctx ends, and logs whether they are
-// valid. None of them takes effect in a running process: a change is for the next start. ready is
-// closed once signals are caught.
+// valid. Changed settings do not affect the running process; they take effect at its next start.
+// ready is closed when the signal handler is installed.
 func reloadOnHangup(ctx context.Context, log zerolog.Logger, ready chan<- struct{}) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
--- a/cmd/yarrowgraded/role.go
+++ b/cmd/yarrowgraded/role.go
@@ -10,13 +10,13 @@
 	"yarrowgrade.example/yarrowgrade/internal/telemetry"
 )
 
-// commonSettings are the flags of the entry and the agent for sessions.
+// commonSettings are the flags that the entry and the agent for sessions have in common.
 type commonSettings struct {
 	LogLevel     string `help:"Lowest level that is logged: trace, debug, info, warn or error." default:"info"`
 	TraceAddress string `help:"Base URL of an OTLP/HTTP collector, such as http://127.0.0.1:4318. Empty for none."`
 }
 
-// telemetry returns the telemetry of a process, which logs to its standard error.
+// telemetry returns the telemetry of a process. It logs to standard error.
 func (c *commonSettings) telemetry(ctx context.Context, role, name string) (*telemetry.Telemetry, error) {
 	return telemetry.New(ctx, telemetry.Settings{
 		Role:         role,
@@ -27,23 +27,23 @@
 	})
 }
 
-// role is what the entry and the agent for sessions have in common: they run, serve, and drain on
-// SIGTERM.
+// role is what the entry and the agent for sessions have in common: they run, serve requests, and
+// drain on SIGTERM.
 type role struct {
 	name    string
 	listen  string
 	address string
 	handler http.Handler
-	// run works until its context ends.
+	// run runs until its context ends.
 	run func(ctx context.Context)
-	// drain takes no new work and returns when other processes have stopped sending any.
+	// drain accepts no new work, and returns when other processes no longer send any.
 	drain       func(ctx context.Context) error
 	stopTimeout time.Duration
 	telemetry   *telemetry.Telemetry
 }
 
-// serve runs the role until ctx ends and then stops it as planned: it drains, finishes what is in
-// flight, and returns.
+// serve runs the role until ctx ends and then performs a planned stop: it drains, finishes the
+// requests in flight, and returns.
 func (r role) serve(ctx context.Context) error {
 	l, err := listen("listen", r.listen)
 	if err != nil {
--- a/cmd/yarrowgraded/serve.go
+++ b/cmd/yarrowgraded/serve.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a request's headers.
+	// headerTimeout is the time limit for reading the headers of a request.
 	headerTimeout = 5 * time.Second
-	// serverIdleTimeout ends connections without requests.
+	// serverIdleTimeout is the time after which connections without requests are closed.
 	serverIdleTimeout = 2 * time.Minute
-	// logCloseTimeout bounds the writing of the last log lines when a process ends.
+	// logCloseTimeout is the time limit for writing the last log lines when a process exits.
 	logCloseTimeout = time.Second
 )
 
@@ -35,17 +35,17 @@
 	return &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: serverIdleTimeout}
 }
 
-// listen opens a listener. Its error names the setting.
+// listen opens a listener. Its error contains the name of the setting.
 func listen(name, address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAliveConfig: keepAlive}
 	l, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("%s: can't listen on %s: %w", name, address, err)
+		return nil, fmt.Errorf("%s: cannot listen on %s: %w", name, address, err)
 	}
 	return l, nil
 }
 
-// serve runs the server until Shutdown or Close.
+// serve runs the server until Shutdown or Close is called.
 func serve(s *http.Server, l net.Listener) error {
 	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return fault.New("serve", l.Addr().String(), err)
@@ -75,8 +75,9 @@
 	return servers, nil
 }
 
-// closeWhenDraining ends each connection after its next response once the process drains. Idle
-// connections stay open until then: closing them at once would cut requests that are on their way.
+// closeWhenDraining makes each connection close after its next response once the process drains.
+// Idle connections stay open until then, because closing them immediately would abort requests that
+// are already on their way.
 func closeWhenDraining(h http.Handler, draining <-chan struct{}) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
--- a/cmd/yarrowgraded/serve_test.go
+++ b/cmd/yarrowgraded/serve_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestCloseWhenLeaving: a connection that is idle when the drain begins serves one more request and
-// is closed.
+// TestCloseWhenLeaving checks that a connection that is idle when the drain begins serves one more
+// request and is then closed.
 func TestCloseWhenLeaving(t *testing.T) {
 	draining := make(chan struct{})
 	handler := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {})
@@ -23,10 +23,10 @@
 		return response
 	}
 	if call().Close {
-		t.Error("a connection is closed before the drain")
+		t.Error("connection closed before the drain")
 	}
 	close(draining)
 	if !call().Close {
-		t.Error("a connection stays open in the drain")
+		t.Error("connection still open during the drain")
 	}
 }
--- a/cmd/yarrowgraded/silent_test.go
+++ b/cmd/yarrowgraded/silent_test.go
@@ -15,9 +15,9 @@
 	"yarrowgrade.example/yarrowgrade/internal/loopback"
 )
 
-// newTogether returns a server that answers requests for /together once n of them are open, so that
-// they need n connections. It answers all others at once.
-func newTogether(n int64) *httptest.Server {
+// newBarrierServer returns a server that answers requests for /together only after n of them are
+// open, so that they need n connections. It answers all other requests immediately.
+func newBarrierServer(n int64) *httptest.Server {
 	var arrived atomic.Int64
 	all := make(chan struct{})
 	return httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -47,11 +47,11 @@
 	return err
 }
 
-// TestSilentConnections: when several idle connections have gone silent, the first request on one
-// of them times out, and the next one is answered, on a new connection.
+// TestSilentConnections checks that after several idle connections have stopped responding, only
+// the first request times out, and the next one is answered on a new connection.
 func TestSilentConnections(t *testing.T) {
 	const idle, short, long = 5, 100 * time.Millisecond, 10 * time.Second
-	server := newTogether(idle)
+	server := newBarrierServer(idle)
 	defer server.Close()
 	link, err := loopback.NewLink()
 	if err != nil {
@@ -73,12 +73,12 @@
 		t.Fatalf("%d connections, want %d", n, idle)
 	}
 	if err := get(t.Context(), client, link.URL(), short); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("on a silent connection: %v, want no answer in time", err)
+		t.Errorf("request on a silent connection: got %v, want a timeout", err)
 	}
 	if err := get(t.Context(), client, link.URL(), long); err != nil {
-		t.Errorf("after it: %v", err)
+		t.Errorf("request after the timeout: %v", err)
 	}
 	if n := link.Silence(); n != idle+1 {
-		t.Errorf("%d connections were made, want one more than before", n)
+		t.Errorf("got %d connections, want one more than before", n)
 	}
 }
