--- a/cmd/yarrowgraded/agent.go
+++ b/cmd/yarrowgraded/agent.go
@@ -79,10 +79,10 @@
 		},
 		Entries: c.Entries,
 		Timing: gang.Timing{
-			Beat:       c.GangBeat,
-			Fresh:      c.GangFresh,
-			Lease:      c.GangLease,
-			Checkpoint: c.GangCheckpoint,
+			HeartbeatInterval:  c.GangBeat,
+			HeartbeatTimeout:   c.GangFresh,
+			LeaseDuration:      c.GangLease,
+			CheckpointInterval: c.GangCheckpoint,
 		},
 	}
 	if err := checkListen("listen", c.Listen); err != nil {
--- a/e2e/swarm_test.go
+++ b/e2e/swarm_test.go
@@ -263,7 +263,7 @@
 	spec := ledger.SessionSpec{
 		Name:   name,
 		Team:   "wards",
-		Shape:  placement.Shape{Accelerators: 1, Adjacency: placement.AnyPlace},
+		Shape:  placement.Shape{Accelerators: 1, Adjacency: placement.SameRegion},
 		Urgent: true,
 	}
 	if _, err := s.client.CreateSession(context.Background(), spec); err != nil {
--- a/sessions/agent/agent.go
+++ b/sessions/agent/agent.go
@@ -107,7 +107,7 @@
 	a.config.Store(newConfig())
 	a.gangs.Store(&gangs{})
 	a.admission = request.NewAdmission(s.Worker.Slots, ledger.DefaultLimits().QueueLength, a.share)
-	a.server = request.NewServer(s.Worker.Name, s.Worker.Incarnation, p.Target, a.admission, request.NewMemory())
+	a.server = request.NewServer(s.Worker.Name, s.Worker.Incarnation, p.Target, a.admission, request.NewDedupTable())
 	return a
 }
 
--- a/sessions/agent/control.go
+++ b/sessions/agent/control.go
@@ -27,15 +27,15 @@
 func (g *gangs) empty() bool { return len(g.assigned) == 0 }
 
 // reports returns the reports of the leaders and the assigned members that have stopped.
-func (g *gangs) reports() ([]gang.Report, []membership.Stopped) {
+func (g *gangs) reports() ([]gang.Report, []membership.StoppedMember) {
 	var list []gang.Report
 	for _, l := range g.leaders {
 		list = append(list, l.Report())
 	}
-	var stopped []membership.Stopped
+	var stopped []membership.StoppedMember
 	for token, m := range g.members {
 		if status, progress := m.Status(); status == gang.Stopped && g.assigned[token] {
-			stopped = append(stopped, membership.Stopped{Token: token, Progress: progress})
+			stopped = append(stopped, membership.StoppedMember{Token: token, Progress: progress})
 		}
 	}
 	return list, stopped
--- a/sessions/agent/fuzz_test.go
+++ b/sessions/agent/fuzz_test.go
@@ -24,7 +24,7 @@
 // okTarget answers everything.
 type okTarget struct{}
 
-func (okTarget) Run(context.Context, request.Hop) (int, string, error) {
+func (okTarget) Run(context.Context, request.AgentRequest) (int, string, error) {
 	return http.StatusOK, "ok", nil
 }
 
@@ -66,7 +66,7 @@
 			var answer request.Answer
 			err := json.Unmarshal(w.Body.Bytes(), &answer)
 			known := answer.Outcome == request.Done || answer.Outcome == request.NotRun || answer.Outcome == request.Unknown
-			if err != nil || !known || !answer.Whole(answer.ID) {
+			if err != nil || !known || !answer.Intact(answer.ID) {
 				t.Errorf("%q was answered with %s, %v", body, w.Body, err)
 			}
 		})
--- a/sessions/agent/handler.go
+++ b/sessions/agent/handler.go
@@ -26,7 +26,7 @@
 }
 
 func (a *Agent) serveRequest(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	var hop request.Hop
+	var hop request.AgentRequest
 	if err := jsonhttp.Read(w, r, &hop); err != nil {
 		jsonhttp.WriteError(w, err)
 		return
--- a/sessions/agent/poll.go
+++ b/sessions/agent/poll.go
@@ -13,7 +13,7 @@
 // Timeouts and pauses of the poll goroutine.
 const (
 	// pollTimeout limits a whole poll, which an entry holds open for up to membership.PollWait.
-	pollTimeout    = membership.PollWait + membership.PollIdle
+	pollTimeout    = membership.PollWait + membership.PollIdleTimeout
 	joinTimeout    = 10 * time.Second
 	leavingTimeout = 2 * time.Second
 	// firstBackoff and maxBackoff bound the pause after a failure. It doubles with each failure and
@@ -104,7 +104,7 @@
 	}()
 	var v membership.View
 	err := jsonhttp.CallIdle(
-		ctx, a.parts.Client, membership.PollIdle,
+		ctx, a.parts.Client, membership.PollIdleTimeout,
 		"agent.poll", http.MethodPost, p.entry, "/internal/poll", in, &v,
 	)
 	if err != nil {
--- a/sessions/entry/callers.go
+++ b/sessions/entry/callers.go
@@ -56,7 +56,7 @@
 	subject := policy.Subject{Kind: policy.RequestKind, Team: call.Team, Service: call.Service, Bytes: len(call.Body)}
 	set := e.policies.Load().set
 	if allowed, name := set.Allowed(subject); !allowed {
-		answerCall(w, http.StatusForbidden, request.Refusal("", "policy "+name+" does not allow it", 0))
+		answerCall(w, http.StatusForbidden, request.NotRunAnswer("", "policy "+name+" does not allow it", 0))
 		return
 	}
 	if once, name := set.NotRepeatable(subject); once && call.Key == "" {
--- a/sessions/entry/explain.go
+++ b/sessions/entry/explain.go
@@ -31,7 +31,7 @@
 
 func placeName(a placement.Adjacency) string {
 	switch a {
-	case placement.AnyPlace:
+	case placement.SameRegion:
 		return "region"
 	case placement.SameZone:
 		return "availability zone"
--- a/sessions/entry/peers.go
+++ b/sessions/entry/peers.go
@@ -137,7 +137,7 @@
 	for _, info := range ps.alive() {
 		names = append(names, info.Name)
 	}
-	for i, name := range membership.Order("control", names) {
+	for i, name := range membership.RendezvousOrder("control", names) {
 		if name == ps.settings.Name {
 			return i
 		}
--- a/sessions/entry/polls.go
+++ b/sessions/entry/polls.go
@@ -73,7 +73,7 @@
 		jsonhttp.WriteError(w, err)
 		return
 	}
-	stop := jsonhttp.KeepAlive(w, membership.KeepAlive)
+	stop := jsonhttp.KeepAlive(w, membership.KeepAliveInterval)
 	v := e.awaitView(r.Context(), in)
 	stop()
 	// KeepAlive has sent the status already, so an error can no longer be answered.
--- a/sessions/entry/router.go
+++ b/sessions/entry/router.go
@@ -146,17 +146,17 @@
 func (r *router) routeKey(ctx context.Context, id string, call request.Call) request.Answer {
 	key, err := request.ParseKey(call.Key)
 	if err != nil {
-		return request.Refusal(id, err.Error(), 0)
+		return request.NotRunAnswer(id, err.Error(), 0)
 	}
 	w, found := r.entry.replica.State().Worker(key.Worker)
 	if !found || w.Incarnation != key.Incarnation {
-		return request.Uncertain(id, "the agent that the key names has been replaced or is not known here", 0)
+		return request.UnknownAnswer(id, "the agent that the key names has been replaced or is not known here", 0)
 	}
 	answer, err := r.send(ctx, id, call, w)
 	if err != nil {
 		// The outcome is not NotRun even if the agent was not reached, because another entry may
 		// have sent the same key.
-		return request.Uncertain(id, err.Error(), noTargetRetry)
+		return request.UnknownAnswer(id, err.Error(), noTargetRetry)
 	}
 	return answer
 }
@@ -165,7 +165,7 @@
 // passes. The outcome is NotRun only if no attempt may have run.
 func (r *router) routeAnywhere(ctx context.Context, id string, call request.Call) request.Answer {
 	tried := make(map[string]bool)
-	last := request.Refusal(id, "no target of the service can take it", noTargetRetry)
+	last := request.NotRunAnswer(id, "no target of the service can take it", noTargetRetry)
 	ran := false
 	for {
 		w, found := r.pick(call.Service, call.Team, tried)
@@ -185,7 +185,7 @@
 		}
 	}
 	if ran && last.Outcome == request.NotRun {
-		return request.Uncertain(id, "an earlier attempt may have run; the last: "+last.Reason, noTargetRetry)
+		return request.UnknownAnswer(id, "an earlier attempt may have run; the last: "+last.Reason, noTargetRetry)
 	}
 	return last
 }
@@ -197,9 +197,9 @@
 	case err == nil:
 		return answer, answer.Outcome != request.NotRun
 	case fault.NotReached(err):
-		return request.Refusal(id, err.Error(), noTargetRetry), false
+		return request.NotRunAnswer(id, err.Error(), noTargetRetry), false
 	}
-	return request.Uncertain(id, err.Error(), noTargetRetry), true
+	return request.UnknownAnswer(id, err.Error(), noTargetRetry), true
 }
 
 // errBadAnswer means that an agent's answer belongs to another request or is corrupt.
@@ -212,7 +212,7 @@
 	deadline, _ := ctx.Deadline()
 	left := time.Until(deadline)
 	margin := min(maxMargin, left/10)
-	hop := request.Hop{
+	hop := request.AgentRequest{
 		ID:         id,
 		Service:    call.Service,
 		Team:       call.Team,
@@ -223,7 +223,7 @@
 	var answer request.Answer
 	client := r.entry.parts.Client
 	err := jsonhttp.Call(ctx, client, "entry.send", http.MethodPost, w.Address, "/internal/requests", hop, &answer)
-	if err == nil && !answer.Whole(id) {
+	if err == nil && !answer.Intact(id) {
 		err = errBadAnswer
 	}
 	r.recordOutcome(w, call.Team, answer, err)
--- a/sessions/entry/router_test.go
+++ b/sessions/entry/router_test.go
@@ -19,15 +19,19 @@
 )
 
 // agentFunc is a fake agent: it answers a hop, or says how the connection ends.
-type agentFunc func(hop request.Hop) (request.Answer, error)
+type agentFunc func(hop request.AgentRequest) (request.Answer, error)
 
-func done(hop request.Hop) (request.Answer, error) {
+func done(hop request.AgentRequest) (request.Answer, error) {
 	return request.Answer{ID: hop.ID, Outcome: request.Done, Body: "whole", Digest: request.DigestOf("whole")}, nil
 }
 
-func refuse(hop request.Hop) (request.Answer, error) { return request.Refusal(hop.ID, "full", 1), nil }
+func refuse(hop request.AgentRequest) (request.Answer, error) {
+	return request.NotRunAnswer(hop.ID, "full", 1), nil
+}
 
-func reset(request.Hop) (request.Answer, error) { return request.Answer{}, http.ErrAbortHandler }
+func reset(request.AgentRequest) (request.Answer, error) {
+	return request.Answer{}, http.ErrAbortHandler
+}
 
 // newRoutedEntry has one worker for each agent, in order; a nil agent listens nowhere. Requests
 // go to them in order too.
@@ -55,7 +59,7 @@
 			mu.Lock()
 			calls[i]++
 			mu.Unlock()
-			var hop request.Hop
+			var hop request.AgentRequest
 			if err := jsonhttp.Read(w, r, &hop); err != nil {
 				t.Error(err)
 			}
@@ -85,16 +89,16 @@
 }
 
 func TestRouter(t *testing.T) {
-	crossed := func(hop request.Hop) (request.Answer, error) {
+	crossed := func(hop request.AgentRequest) (request.Answer, error) {
 		hop.ID = "another"
 		return done(hop)
 	}
-	cut := func(hop request.Hop) (request.Answer, error) {
+	cut := func(hop request.AgentRequest) (request.Answer, error) {
 		a, _ := done(hop)
 		a.Body = "whol"
 		return a, nil
 	}
-	leaving := func(hop request.Hop) (request.Answer, error) {
+	leaving := func(hop request.AgentRequest) (request.Answer, error) {
 		a, _ := refuse(hop)
 		a.Leaving = true
 		return a, nil
@@ -153,8 +157,8 @@
 // TestSlowTarget has a target that does not answer in time. After the first request that it
 // costs, the others go elsewhere; where all are like that, they still get what comes.
 func TestSlowTarget(t *testing.T) {
-	late := func(hop request.Hop) (request.Answer, error) {
-		return request.Uncertain(hop.ID, "no answer in time", 0), nil
+	late := func(hop request.AgentRequest) (request.Answer, error) {
+		return request.UnknownAnswer(hop.ID, "no answer in time", 0), nil
 	}
 	send := func(e *Entry, n int) {
 		for range n {
@@ -176,7 +180,7 @@
 // TestLeavingAgent has an agent that answers that it leaves. It gets no further request from
 // this entry.
 func TestLeavingAgent(t *testing.T) {
-	leaving := func(hop request.Hop) (request.Answer, error) {
+	leaving := func(hop request.AgentRequest) (request.Answer, error) {
 		return request.Answer{ID: hop.ID, Outcome: request.NotRun, Leaving: true}, nil
 	}
 	e, called := newRoutedEntry(t, leaving, done)
@@ -218,7 +222,9 @@
 // requests.
 func TestRetryBudget(t *testing.T) {
 	// No time to come back is named, so that the agents are not left alone in between.
-	refuseNow := func(hop request.Hop) (request.Answer, error) { return request.Refusal(hop.ID, "full", 0), nil }
+	refuseNow := func(hop request.AgentRequest) (request.Answer, error) {
+		return request.NotRunAnswer(hop.ID, "full", 0), nil
+	}
 	e, called := newRoutedEntry(t, refuseNow, refuseNow)
 	const requests = 1000
 	for range requests {
--- a/sessions/gang/gang.go
+++ b/sessions/gang/gang.go
@@ -1,28 +1,29 @@
-// Package gang makes sure that either all members of a placement run or none does.
+// Package gang ensures that either all members of a placement run or none of them does.
 //
 // # Protocol
 //
-// The first member of a placement is its leader. Every member sends the leader a Heartbeat with
-// its status and receives a Grant. The leader grants leases only while the ledger says that the
-// gang runs, the newest heartbeat of each member is fresh, and no member has failed. A member runs
-// its task only under a lease. The lease starts when the member sent the heartbeat, measured by
-// the member's monotonic clock.
+// The first member of a placement is its leader. Every member sends the leader a Heartbeat with its
+// status and receives a Grant. The leader grants leases only while the ledger says that the gang
+// runs, the newest heartbeat of each member is no older than Timing.HeartbeatTimeout, and no member
+// has failed. A member runs its task only under a lease. The lease starts at the time when the
+// member sent the heartbeat, measured by the member's monotonic clock.
 //
-// Neither entries nor the log are involved while a gang runs, so it survives their outages. If a
-// member is lost at time t, the leader grants no lease after t+Fresh, so the others stop by
-// t+Fresh+Lease. The worker of the lost member holds a lease on the task that is no longer than
-// the rest of the member's own, so the task ends by t+2·Lease even if the agent froze in a renewal.
-// Timing.Bound is the larger of the two.
+// Neither entries nor the log are involved while a gang runs, so the gang survives their outages.
+// If a member is lost at time t, the leader grants no lease after t+HeartbeatTimeout, so the others
+// stop by t+HeartbeatTimeout+LeaseDuration. The worker of the lost member holds a lease on the task
+// that is no longer than the remaining part of the member's own, so the task ends by
+// t+2·LeaseDuration even if the agent froze during a renewal. Timing.MaxStopDelay is the larger of
+// the two delays.
 //
 // # State
 //
-// A Leader owns the newest state of all members, a Member the stage of one. Both live in memory in
-// the agents of the gang; a member that is lost with its agent is not recovered.
+// A Leader owns the newest state of all members, a Member the stage of one. Both are kept in memory
+// by the agents of the gang; a member that is lost with its agent is not recovered.
 //
 // # Dependencies
 //
-// hosting.Workers runs the tasks. The ledger's phase of the placement arrives through the agent,
-// which calls Leader.SetRunning and Member.Stop.
+// hosting.Workers runs the tasks. The agent reads the phase of the placement from the ledger and
+// calls Leader.SetRunning and Member.Stop.
 //
 // # Usage
 //
@@ -37,44 +38,50 @@
 	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
-// Timing has the periods and timeouts of a gang.
+// Timing holds the periods and timeouts of a gang.
 type Timing struct {
-	// Beat is the heartbeat period.
-	Beat time.Duration
-	// Fresh is the maximum age of each member's newest heartbeat when the leader grants a lease.
-	Fresh time.Duration
-	// Lease is how long a grant is valid.
-	Lease time.Duration
-	// Checkpoint is the checkpoint period of a running member.
-	Checkpoint time.Duration
+	// HeartbeatInterval is the heartbeat period.
+	HeartbeatInterval time.Duration
+	// HeartbeatTimeout is the maximum age of each member's newest heartbeat when the leader grants
+	// a lease.
+	HeartbeatTimeout time.Duration
+	// LeaseDuration is the time for which a grant is valid.
+	LeaseDuration time.Duration
+	// CheckpointInterval is the checkpoint period of a running member.
+	CheckpointInterval time.Duration
 }
 
 // DefaultTiming returns the default periods. The leader of 64 members handles 32 heartbeats/s.
 func DefaultTiming() Timing {
 	return Timing{
-		Beat:       2 * time.Second,
-		Fresh:      5 * time.Second,
-		Lease:      5 * time.Second,
-		Checkpoint: 10 * time.Minute,
+		HeartbeatInterval:  2 * time.Second,
+		HeartbeatTimeout:   5 * time.Second,
+		LeaseDuration:      5 * time.Second,
+		CheckpointInterval: 10 * time.Minute,
 	}
 }
 
-// Bound returns how long other members can run at most after one was lost.
-func (t Timing) Bound() time.Duration { return max(t.Fresh+t.Lease, 2*t.Lease) }
+// MaxStopDelay returns the maximum time that other members can run after one is lost.
+func (t Timing) MaxStopDelay() time.Duration {
+	return max(t.HeartbeatTimeout+t.LeaseDuration, 2*t.LeaseDuration)
+}
 
-// Validate returns a *fault.Field if healthy gangs would stop with these periods.
+// Validate returns a *fault.Field if healthy gangs would stop because of these periods.
 func (t Timing) Validate() error {
-	if t.Beat <= 0 {
-		return fault.BadField("gang-beat", "want more than 0, got %v", t.Beat)
+	if t.HeartbeatInterval <= 0 {
+		return fault.BadField("gang-beat", "want more than 0, got %v", t.HeartbeatInterval)
 	}
-	if t.Fresh < 2*t.Beat {
-		return fault.BadField("gang-fresh", "want at least twice the beat of %v, got %v", t.Beat, t.Fresh)
+	if t.HeartbeatTimeout < 2*t.HeartbeatInterval {
+		return fault.BadField("gang-fresh",
+			"want at least twice the beat of %v, got %v", t.HeartbeatInterval, t.HeartbeatTimeout)
 	}
-	if t.Lease < 2*t.Beat {
-		return fault.BadField("gang-lease", "want at least twice the beat of %v, got %v", t.Beat, t.Lease)
+	if t.LeaseDuration < 2*t.HeartbeatInterval {
+		return fault.BadField("gang-lease",
+			"want at least twice the beat of %v, got %v", t.HeartbeatInterval, t.LeaseDuration)
 	}
-	if t.Checkpoint < t.Lease {
-		return fault.BadField("gang-checkpoint", "want at least the lease of %v, got %v", t.Lease, t.Checkpoint)
+	if t.CheckpointInterval < t.LeaseDuration {
+		return fault.BadField("gang-checkpoint",
+			"want at least the lease of %v, got %v", t.LeaseDuration, t.CheckpointInterval)
 	}
 	return nil
 }
@@ -84,14 +91,14 @@
 
 // The stages of a member, in order. Every member ends as Stopped.
 const (
-	// Preparing members wait until their accelerators are free.
+	// Preparing members wait for their accelerators to become free.
 	Preparing Status = "preparing"
 	// Ready members have their accelerators and wait for the first grant.
 	Ready   Status = "ready"
 	Running Status = "running"
-	// Finished members have done their work; others may still be running.
+	// Finished members have completed their work; others may still be running.
 	Finished Status = "finished"
-	// Failed members can't go on and are being stopped.
+	// Failed members cannot continue and are being stopped.
 	Failed Status = "failed"
 	// Stopped members never run again.
 	Stopped Status = "stopped"
@@ -102,27 +109,28 @@
 	Token  int64  `json:"t"`
 	Worker string `json:"w"`
 	Status Status `json:"s"`
-	// Progress is the work saved by the member's last checkpoint, in ns.
+	// Progress is the amount of work saved by the member's last checkpoint, in ns.
 	Progress time.Duration `json:"p,omitempty"`
 }
 
 // Grant is the leader's answer to a heartbeat. The zero Grant asks the member to wait.
 type Grant struct {
-	// Run grants a lease that starts when the member sent the heartbeat.
+	// Run grants a lease that starts at the time when the member sent the heartbeat.
 	Run bool `json:"r,omitempty"`
-	// Stop means that the gang has failed. The member stops now instead of at the end of its lease.
+	// Stop means that the gang has failed. The member stops at once instead of at the end of its
+	// lease.
 	Stop bool `json:"x,omitempty"`
 }
 
 // Report is the state of a gang that its leader reports to an entry.
 type Report struct {
 	Token int64 `json:"token"`
-	// Ready means that all members are ready or further.
+	// Ready means that all members have reached the stage Ready.
 	Ready bool `json:"ready,omitempty"`
-	// Finished means that all members have done their work.
+	// Finished means that all members have completed their work.
 	Finished bool `json:"finished,omitempty"`
-	// Progress is the least work saved by a member, in ns.
+	// Progress is the smallest amount of work saved by any member, in ns.
 	Progress time.Duration `json:"progress_ns,omitempty"`
-	// Failed is the reason why the gang must stop, or empty.
+	// Failed is the reason why the gang must stop; empty if it need not.
 	Failed string `json:"failed,omitempty"`
 }
--- a/sessions/gang/gang_test.go
+++ b/sessions/gang/gang_test.go
@@ -15,7 +15,7 @@
 
 const testToken = 7
 
-// testGang is a gang of three members with one leader, on the stand-in's workers.
+// testGang is a gang of three members with one leader, on the workers of the stand-in platform.
 type testGang struct {
 	platform *standin.Platform
 	leader   *Leader
@@ -24,28 +24,28 @@
 	frozen   []*frozenWorkers
 }
 
-// testLink reaches the leader unless it is cut.
+// testLink calls the leader directly unless the link is cut.
 type testLink struct {
 	leader *Leader
 	mu     sync.Mutex
 	cut    bool
-	// deaf loses every answer.
-	deaf bool
+	// losesAnswers drops every answer of the leader.
+	losesAnswers bool
 }
 
-func (l *testLink) setDeaf() {
+func (l *testLink) loseAnswers() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.deaf = true
+	l.losesAnswers = true
 }
 
-func (l *testLink) isDeaf() bool {
+func (l *testLink) isLosingAnswers() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.deaf
+	return l.losesAnswers
 }
 
-func (l *testLink) set(cut bool) {
+func (l *testLink) setCut(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = cut
@@ -63,13 +63,14 @@
 		return Grant{}, ctx.Err()
 	}
 	g := l.leader.Heartbeat(ctx, b)
-	if l.isCut() || l.isDeaf() {
-		return Grant{}, errors.New("the answer was lost")
+	if l.isCut() || l.isLosingAnswers() {
+		return Grant{}, errors.New("answer lost")
 	}
 	return g, nil
 }
 
-// frozenWorkers delays every call of one member while it is frozen, as a stopped process would.
+// frozenWorkers blocks every call of one member while it is frozen, like a suspended process. While
+// it is down, every call fails.
 type frozenWorkers struct {
 	hosting.Workers
 	mu     sync.Mutex
@@ -77,8 +78,8 @@
 	down   bool
 }
 
-// errDown is the answer of a platform that refuses every call.
-var errDown = errors.New("the platform is down")
+// errDown is returned by a platform that refuses every call.
+var errDown = errors.New("platform is down")
 
 func (f *frozenWorkers) setDown() {
 	f.mu.Lock()
@@ -149,7 +150,7 @@
 	return g
 }
 
-// start lets the gang run once all members are ready, as the ledger does.
+// start waits until all members are ready and starts the gang, as the ledger does.
 func (g *testGang) start() {
 	for !g.leader.Report().Ready {
 		time.Sleep(10 * time.Millisecond)
@@ -157,7 +158,7 @@
 	g.leader.SetRunning()
 }
 
-// running counts the members whose task runs at the worker.
+// running returns the number of members whose task is running on the worker.
 func (g *testGang) running() int {
 	n := 0
 	for i := range g.members {
@@ -171,7 +172,7 @@
 	return n
 }
 
-// partial advances the clock and returns for how long only a part of the gang ran.
+// partial advances the clock by d and returns the time during which only some members ran.
 func (g *testGang) partial(d time.Duration) time.Duration {
 	const tick = 50 * time.Millisecond
 	sum := time.Duration(0)
@@ -191,12 +192,12 @@
 		g := newTestGang(ctx, &wg, 0)
 		time.Sleep(10 * time.Second)
 		if r := g.leader.Report(); !r.Ready || g.running() != 0 {
-			t.Errorf("ready %v with %d running, want ready with none", r.Ready, g.running())
+			t.Errorf("ready is %v with %d members running, want true with none", r.Ready, g.running())
 		}
 		g.leader.SetRunning()
 		time.Sleep(500 * time.Millisecond)
 		if n := g.running(); n != 3 {
-			t.Errorf("%d run half a second after the start, want all 3", n)
+			t.Errorf("%d members run 500 ms after the start, want all 3", n)
 		}
 		if p := g.partial(5 * time.Minute); p != 0 {
 			t.Errorf("a healthy gang ran partially for %v", p)
@@ -206,21 +207,21 @@
 	})
 }
 
-// TestMemberIsLost loses a member in every way. The rest stops within the bound, and nothing
-// runs after.
+// TestMemberIsLost checks that the other members stop within MaxStopDelay after one member is lost,
+// whatever the cause, and that none of them starts again.
 func TestMemberIsLost(t *testing.T) {
 	tests := []struct {
 		name string
 		lose func(g *testGang)
 	}{
-		{"cut off", func(g *testGang) { g.links[1].set(true) }},
+		{"cut off", func(g *testGang) { g.links[1].setCut(true) }},
 		{"cut off for less than its lease", func(g *testGang) {
-			g.links[1].set(true)
-			time.AfterFunc(4*time.Second, func() { g.links[1].set(false) })
+			g.links[1].setCut(true)
+			time.AfterFunc(4*time.Second, func() { g.links[1].setCut(false) })
 		}},
 		{"the leader is cut off from all", func(g *testGang) {
-			g.links[1].set(true)
-			g.links[2].set(true)
+			g.links[1].setCut(true)
+			g.links[2].setCut(true)
 		}},
 		{"its worker is gone", func(g *testGang) { g.platform.LoseWorker(workerName(1)) }},
 		{"its platform refuses to renew", func(g *testGang) { g.frozen[1].setDown() }},
@@ -243,16 +244,16 @@
 				g.start()
 				time.Sleep(time.Minute)
 				if g.running() != 3 {
-					t.Fatalf("%d run, want 3", g.running())
+					t.Fatalf("%d members run, want 3", g.running())
 				}
 				tt.lose(g)
 				partial := g.partial(3 * time.Minute)
-				t.Logf("ran partially for %v; the bound is %v", partial, DefaultTiming().Bound())
-				if partial > DefaultTiming().Bound() {
-					t.Errorf("ran partially for %v, over the bound of %v", partial, DefaultTiming().Bound())
+				t.Logf("ran partially for %v; the maximum is %v", partial, DefaultTiming().MaxStopDelay())
+				if partial > DefaultTiming().MaxStopDelay() {
+					t.Errorf("ran partially for %v, want at most %v", partial, DefaultTiming().MaxStopDelay())
 				}
 				if n := g.running(); n != 0 && n != 3 {
-					t.Errorf("%d members still run", n)
+					t.Errorf("%d members are still running", n)
 				}
 				cancel()
 				wg.Wait()
@@ -261,28 +262,29 @@
 	}
 }
 
-// TestGrantsNeverArrive loses all answers to one member from the start, while its beats arrive.
-// The leader hears it well and ready all the time; the others must not run without it for
-// longer than the bound.
+// TestGrantsNeverArrive drops all answers to one member from the start, while its heartbeats arrive
+// and report that it is ready. The other members must not run without it for longer than
+// MaxStopDelay.
 func TestGrantsNeverArrive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
 		ctx, cancel := context.WithCancel(t.Context())
 		g := newTestGang(ctx, &wg, 0)
-		g.links[1].setDeaf()
+		g.links[1].loseAnswers()
 		g.start()
-		if partial := g.partial(time.Minute); partial > DefaultTiming().Bound() {
-			t.Errorf("ran partially for %v, over the bound of %v", partial, DefaultTiming().Bound())
+		if partial := g.partial(time.Minute); partial > DefaultTiming().MaxStopDelay() {
+			t.Errorf("ran partially for %v, want at most %v", partial, DefaultTiming().MaxStopDelay())
 		}
 		if r := g.leader.Report(); r.Failed == "" || g.running() != 0 {
-			t.Errorf("%d members run, report %+v; want none, and a failure", g.running(), r)
+			t.Errorf("%d members run, report %+v; want none running and a failure", g.running(), r)
 		}
 		cancel()
 		wg.Wait()
 	})
 }
 
-// TestFinish lets the work of the gang end. All members keep the lease until all are done.
+// TestFinish checks that a gang whose work ends is reported as finished, and that all members keep
+// their leases until then.
 func TestFinish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
@@ -299,15 +301,15 @@
 		wg.Wait()
 		for i, m := range g.members {
 			if s, progress := m.Status(); s != Stopped || progress != time.Minute {
-				t.Errorf("member %d is %s with %v", i, s, progress)
+				t.Errorf("member %d is %s with progress %v", i, s, progress)
 			}
 		}
 		cancel()
 	})
 }
 
-// TestLateStart delivers a start after the token was stopped, as a network may. The worker
-// refuses it.
+// TestLateStart checks that a worker refuses a start that arrives after the token was stopped,
+// which a slow network can cause.
 func TestLateStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := standin.New()
@@ -316,7 +318,7 @@
 			t.Fatal(err)
 		}
 		if err := p.StartTask(t.Context(), spec); !errors.Is(err, hosting.ErrFenced) {
-			t.Errorf("a start after the stop: %v, want fenced", err)
+			t.Errorf("start after the stop: got %v, want ErrFenced", err)
 		}
 		spec.Token = 9
 		if err := p.StartTask(t.Context(), spec); err != nil {
@@ -327,13 +329,13 @@
 		}
 		spec.Token = 8
 		if err := p.StartTask(t.Context(), spec); !errors.Is(err, hosting.ErrFenced) {
-			t.Errorf("a start with an older token: %v, want fenced", err)
+			t.Errorf("start with an older token: got %v, want ErrFenced", err)
 		}
 	})
 }
 
-// TestCheckpoints lets a gang run for a while. The leader knows of the work that all members
-// have saved, and a slow checkpoint delays no heartbeat.
+// TestCheckpoints checks that members save checkpoints while the gang runs and before they stop,
+// and that the leader reports the work that all members have saved.
 func TestCheckpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
@@ -347,13 +349,13 @@
 		time.Sleep(2 * time.Minute)
 		r := g.leader.Report()
 		if r.Progress < 10*time.Minute || r.Progress > 11*time.Minute {
-			t.Errorf("progress %v after 11 minutes, want that of the checkpoint at 10", r.Progress)
+			t.Errorf("progress %v after 11 minutes, want that of the checkpoint after 10 minutes", r.Progress)
 		}
-		g.links[1].set(true)
+		g.links[1].setCut(true)
 		time.Sleep(time.Minute)
 		for i, m := range g.members {
 			if s, progress := m.Status(); s != Stopped || progress < r.Progress {
-				t.Errorf("member %d is %s with %v, want stopped with %v at least", i, s, progress, r.Progress)
+				t.Errorf("member %d is %s with progress %v, want stopped with at least %v", i, s, progress, r.Progress)
 			}
 		}
 		cancel()
--- a/sessions/gang/golden_test.go
+++ b/sessions/gang/golden_test.go
@@ -13,7 +13,7 @@
 	goldentest.JSON(t, "report", Report{Token: 7, Ready: true, Finished: true, Progress: time.Minute, Failed: "why"})
 }
 
-// TestGoldenStatus: the words for a member's stage stand in beats.
+// TestGoldenStatus checks the values of Status, which heartbeats contain.
 func TestGoldenStatus(t *testing.T) {
 	goldentest.JSON(t, "statuses", []Status{Preparing, Ready, Running, Finished, Failed, Stopped})
 }
--- a/sessions/gang/leader.go
+++ b/sessions/gang/leader.go
@@ -11,8 +11,8 @@
 type memberState struct {
 	status   Status
 	progress time.Duration
-	// at is when the heartbeat arrived; zero before the first.
-	at time.Time
+	// receivedAt is the time when the heartbeat arrived; zero before the first one.
+	receivedAt time.Time
 }
 
 // Leader grants leases to the members of one placement.
@@ -21,12 +21,12 @@
 	timing Timing
 
 	mu sync.Mutex
-	// members has all members by worker, including those that sent no heartbeat yet.
+	// members contains all members by worker, including those that have sent no heartbeat yet.
 	members map[string]memberState
-	// running is set once the ledger says that the gang runs; since is when that was.
-	running bool
-	since   time.Time
-	// failed is the reason why the gang must stop. Once set, it stays.
+	// running is set at runningSince, when the ledger has recorded the start of the gang.
+	running      bool
+	runningSince time.Time
+	// failed is the reason why the gang must stop. It is never cleared.
 	failed string
 	// changed is closed and replaced when the report may have changed.
 	changed chan struct{}
@@ -51,12 +51,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.running {
-		l.running, l.since = true, time.Now()
+		l.running, l.runningSince = true, time.Now()
 		l.notify()
 	}
 }
 
-// notify wakes the waiting heartbeats and the watchers of Changed. The caller holds the lock.
+// notify wakes up waiting heartbeats and the readers of Changed. The caller must hold l.mu.
 func (l *Leader) notify() {
 	close(l.changed)
 	l.changed = make(chan struct{})
@@ -70,13 +70,13 @@
 }
 
 // Heartbeat records a heartbeat and returns the grant. The answer to a ready member waits up to one
-// heartbeat period for the gang to run; the start would otherwise be late by a period.
+// heartbeat period for the gang to run; otherwise the start could be delayed by a period.
 func (l *Leader) Heartbeat(ctx context.Context, h Heartbeat) Grant {
 	grant, changed := l.record(h)
 	if h.Status != Ready || grant.Run || grant.Stop {
 		return grant
 	}
-	timer := time.NewTimer(l.timing.Beat)
+	timer := time.NewTimer(l.timing.HeartbeatInterval)
 	defer timer.Stop()
 	for !grant.Run && !grant.Stop {
 		select {
@@ -98,7 +98,7 @@
 	if !found || h.Token != l.token {
 		return Grant{Stop: true}, l.changed
 	}
-	l.members[h.Worker] = memberState{status: h.Status, progress: h.Progress, at: time.Now()}
+	l.members[h.Worker] = memberState{status: h.Status, progress: h.Progress, receivedAt: time.Now()}
 	if l.failed == "" && (h.Status == Failed || h.Status == Stopped) {
 		l.failed = "member " + h.Worker + " " + string(h.Status)
 	}
@@ -114,8 +114,8 @@
 	return l.grant(), l.changed
 }
 
-// grant returns the grant for any member. It lets the gang run only while all members are known to
-// be well, and otherwise sets failed. The caller holds the lock.
+// grant returns the grant, which is the same for all members. It lets the gang run only while all
+// members are known to be healthy, and otherwise sets failed. The caller must hold l.mu.
 func (l *Leader) grant() Grant {
 	if l.failed != "" {
 		return Grant{Stop: true}
@@ -125,14 +125,16 @@
 	}
 	now := time.Now()
 	for name, m := range l.members {
-		if m.status == Ready && now.Sub(l.since) > l.timing.Fresh {
-			// Its heartbeats arrive, but grants may not reach it. The others would run without it.
+		if m.status == Ready && now.Sub(l.runningSince) > l.timing.HeartbeatTimeout {
+			// The member's heartbeats arrive, but grants may not reach it. The others would run
+			// without it.
 			l.failed = "member " + name + " did not start in time"
 			l.notify()
 			return Grant{Stop: true}
 		}
-		if m.at.IsZero() || now.Sub(m.at) > l.timing.Fresh {
-			// Its lease is over or about to end, so the gang cannot become complete again.
+		if m.receivedAt.IsZero() || now.Sub(m.receivedAt) > l.timing.HeartbeatTimeout {
+			// The member's lease has ended or is about to end, so the gang cannot become complete
+			// again.
 			l.failed = "member " + name + " is silent"
 			l.notify()
 			return Grant{Stop: true}
--- a/sessions/gang/member.go
+++ b/sessions/gang/member.go
@@ -11,19 +11,19 @@
 	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 )
 
-// Pauses between attempts.
+// Delays between retries.
 const (
 	prepareRetry = 100 * time.Millisecond
-	// firstRetry and maxRetry bound the pause before the next heartbeat while no lease is granted;
-	// it doubles each time. The first pause is short, because the first heartbeat often arrives
-	// just before the leader learns of the gang.
-	firstRetry = 10 * time.Millisecond
-	maxRetry   = 200 * time.Millisecond
-	stopRetry  = 300 * time.Millisecond
+	// initialBackoff and maxBackoff bound the delay before the next heartbeat while no lease is
+	// granted. The delay doubles each time. The first one is short, because the first heartbeat
+	// often arrives just before the leader learns of the gang.
+	initialBackoff = 10 * time.Millisecond
+	maxBackoff     = 200 * time.Millisecond
+	stopRetry      = 300 * time.Millisecond
 )
 
-// finalCheckpointTimeout limits the checkpoint before a stop, which is attempted once: another
-// session is waiting for the accelerators.
+// finalCheckpointTimeout limits the checkpoint before a stop. This checkpoint is attempted only
+// once, because another session is waiting for the accelerators.
 const finalCheckpointTimeout = 2 * time.Second
 
 // Link sends heartbeats to the leader, which is in the same agent or in another one.
@@ -31,27 +31,27 @@
 	Heartbeat(ctx context.Context, h Heartbeat) (Grant, error)
 }
 
-// Member runs the part of a placement that is on one worker.
+// Member runs the part of a placement on one worker.
 type Member struct {
 	spec    hosting.TaskSpec
 	link    Link
 	workers hosting.Workers
 	timing  Timing
 
-	// checkpointedAt is when the last checkpoint began. Only Run's goroutine uses it.
-	// checkpointing is set while one is in progress.
+	// checkpointedAt is the time when the last checkpoint began. It is used only by the goroutine
+	// of Run. checkpointing is set while a checkpoint is in progress.
 	checkpointedAt time.Time
 	checkpointing  atomic.Bool
-	// heldUntil is when the worker's lease on the task ends, as of the last renewal that succeeded.
-	// Only Run's goroutine uses it.
-	heldUntil time.Time
+	// taskLeaseEnd is when the worker's lease on the task ends, as of the last successful renewal.
+	// It is used only by the goroutine of Run.
+	taskLeaseEnd time.Time
 
-	// stopRequested is closed when the placement is to stop.
+	// stopRequested is closed by Stop.
 	stopRequested chan struct{}
 	stopOnce      sync.Once
 
-	// inTrace puts the calls that prepare and start the task into the trace of the session's
-	// creation. Renewals, which go on for hours, stay out of it.
+	// inTrace adds the trace of the session's creation to the context of the calls that prepare and
+	// start the task. Renewals are left out of the trace, because they continue for hours.
 	inTrace func(context.Context) context.Context
 
 	mu       sync.Mutex
@@ -61,8 +61,8 @@
 }
 
 // NewMember returns a member that runs the task described by spec, whose Lease is ignored. changed
-// is called after each change of status and must not block. inTrace returns a context within the
-// trace of the session's creation.
+// is called after each change of status and must not block. inTrace adds the trace of the session's
+// creation to a context.
 func NewMember(
 	spec hosting.TaskSpec,
 	link Link,
@@ -110,7 +110,7 @@
 }
 
 // Run runs the member from Preparing to Stopped. It returns when the worker has confirmed the end
-// of the task, or when ctx ends; then the task ends with its lease.
+// of the task or when ctx is done. In the latter case the task ends with its lease.
 func (m *Member) Run(ctx context.Context) {
 	running, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -134,17 +134,17 @@
 	<-reported
 }
 
-// reportFailure tells the leader once that this member stops, so that the others need not wait for
-// its heartbeats to become stale.
+// reportFailure sends one heartbeat with the status Failed to the leader, so that the other members
+// need not run until this member's heartbeats are stale.
 func (m *Member) reportFailure(ctx context.Context) {
-	bounded, cancel := context.WithTimeout(ctx, m.timing.Beat)
+	bounded, cancel := context.WithTimeout(ctx, m.timing.HeartbeatInterval)
 	defer cancel()
-	// If this heartbeat is lost, the leader notices that the previous one is stale.
+	// If this heartbeat is lost, the leader detects the failure when the previous one is stale.
 	_, _ = m.link.Heartbeat(bounded, Heartbeat{Token: m.spec.Token, Worker: m.spec.Worker, Status: Failed})
 }
 
-// prepare waits until no running task holds one of the accelerators. It reports false if ctx ends
-// first.
+// prepare waits until no running task holds one of the member's accelerators. It reports false if
+// ctx is done first.
 func (m *Member) prepare(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		tasks, err := m.workers.Tasks(m.inTrace(ctx), m.spec.Worker)
@@ -158,16 +158,16 @@
 }
 
 func (m *Member) overlaps(tasks []hosting.Task) bool {
-	mine := make(map[int]bool)
+	own := make(map[int]bool)
 	for _, a := range m.spec.Accelerators {
-		mine[a] = true
+		own[a] = true
 	}
 	for _, t := range tasks {
 		if t.State != hosting.TaskRunning {
 			continue
 		}
 		for _, a := range t.Accelerators {
-			if mine[a] {
+			if own[a] {
 				return true
 			}
 		}
@@ -175,12 +175,12 @@
 	return false
 }
 
-// keepRunning sends heartbeats until the gang stops, the lease ends, or ctx ends.
+// keepRunning sends heartbeats until the gang stops, the lease ends, or ctx is done.
 func (m *Member) keepRunning(ctx context.Context) {
 	var expires time.Time
-	retry := firstRetry
+	backoff := initialBackoff
 	for ctx.Err() == nil {
-		if m.lapsed(expires) {
+		if m.leaseExpired(expires) {
 			return
 		}
 		grant, sent, err := m.sendHeartbeat(ctx, expires)
@@ -188,28 +188,28 @@
 			return
 		}
 		if err != nil || !grant.Run {
-			m.pauseWithin(ctx, retry, expires)
-			retry = min(2*retry, maxRetry)
+			m.pauseWithin(ctx, backoff, expires)
+			backoff = min(2*backoff, maxBackoff)
 			continue
 		}
-		retry = firstRetry
-		expires = sent.Add(m.timing.Lease)
+		backoff = initialBackoff
+		expires = sent.Add(m.timing.LeaseDuration)
 		if !m.startOrRenew(ctx, expires) {
 			return
 		}
-		m.pauseWithin(ctx, m.timing.Beat, expires)
+		m.pauseWithin(ctx, m.timing.HeartbeatInterval, expires)
 	}
 }
 
-// lapsed reports whether a lease was granted and has ended.
-func (m *Member) lapsed(expires time.Time) bool {
+// leaseExpired reports whether a lease was granted and has ended.
+func (m *Member) leaseExpired(expires time.Time) bool {
 	return !expires.IsZero() && !time.Now().Before(expires)
 }
 
-// sendHeartbeat sends a heartbeat, which may take as long as the lease lasts, and returns when it
-// was sent.
+// sendHeartbeat sends a heartbeat and returns the grant and the time of sending. The call may take
+// as long as the lease lasts.
 func (m *Member) sendHeartbeat(ctx context.Context, expires time.Time) (Grant, time.Time, error) {
-	limit := m.timing.Lease
+	limit := m.timing.LeaseDuration
 	if !expires.IsZero() {
 		limit = min(limit, time.Until(expires))
 	}
@@ -226,8 +226,8 @@
 	return grant, sent, err
 }
 
-// startOrRenew starts or renews the task and reports whether the member goes on. It checks the
-// lease again, because the process may have been paused since the grant arrived.
+// startOrRenew starts or renews the task and reports whether the member continues. It checks the
+// lease again, because the process may have been paused after the grant arrived.
 func (m *Member) startOrRenew(ctx context.Context, expires time.Time) bool {
 	left := time.Until(expires)
 	if left <= 0 {
@@ -246,59 +246,59 @@
 	return true
 }
 
-// checkpointIfDue starts a checkpoint in a goroutine of its own, so that a slow one does not delay
-// the heartbeats.
+// checkpointIfDue starts a checkpoint in a separate goroutine, so that a slow checkpoint does not
+// delay the heartbeats.
 func (m *Member) checkpointIfDue(ctx context.Context) {
-	if time.Since(m.checkpointedAt) < m.timing.Checkpoint || !m.checkpointing.CompareAndSwap(false, true) {
+	if time.Since(m.checkpointedAt) < m.timing.CheckpointInterval || !m.checkpointing.CompareAndSwap(false, true) {
 		return
 	}
 	m.checkpointedAt = time.Now()
 	go func() {
 		defer m.checkpointing.Store(false)
-		m.checkpoint(ctx, m.timing.Checkpoint)
+		m.checkpoint(ctx, m.timing.CheckpointInterval)
 	}()
 }
 
 func (m *Member) startTask(ctx context.Context, left time.Duration) bool {
-	spec, asked := m.spec, time.Now()
+	spec, sentAt := m.spec, time.Now()
 	spec.Lease = left
 	if err := m.workers.StartTask(m.inTrace(ctx), spec); err != nil {
-		// If only the answer was lost, the task is running. The caller stops it.
+		// If only the response was lost, the task is running. The caller stops it.
 		return false
 	}
 	m.checkpointedAt = time.Now()
-	m.heldUntil = asked.Add(left)
+	m.taskLeaseEnd = sentAt.Add(left)
 	m.setStatus(Running)
 	return true
 }
 
-// renewTask renews the worker's lease on the task and reports whether the member goes on. A failed
-// call is retried with the next heartbeat, but only while the worker's lease lasts. After that the
-// task has ended, and the others must stop even if the worker does not answer.
+// renewTask renews the worker's lease on the task and reports whether the member continues. A
+// failed call is retried with the next heartbeat, but only while the worker's lease lasts. After
+// that the task has ended, and the other members must stop even if the worker does not respond.
 func (m *Member) renewTask(ctx context.Context, left time.Duration) bool {
-	asked := time.Now()
+	sentAt := time.Now()
 	err := m.workers.RenewTask(ctx, m.spec.Worker, m.spec.Token, left)
 	switch {
 	case err == nil:
-		m.heldUntil = asked.Add(left)
+		m.taskLeaseEnd = sentAt.Add(left)
 		return true
 	case errors.Is(err, hosting.ErrGone):
 		return false
 	case errors.Is(err, hosting.ErrNoTask):
 		return m.isFinished(ctx)
 	}
-	return m.leaseHeld()
+	return m.taskLeaseValid()
 }
 
-// leaseHeld reports whether the last renewal known to have succeeded is still valid.
-func (m *Member) leaseHeld() bool { return time.Now().Before(m.heldUntil) }
+// taskLeaseValid reports whether the lease of the last successful renewal is still valid.
+func (m *Member) taskLeaseValid() bool { return time.Now().Before(m.taskLeaseEnd) }
 
-// isFinished asks the worker how a task ended that no longer runs. It reports true if the task has
-// finished, or if the worker does not answer and its lease still lasts.
+// isFinished asks the worker how the task, which no longer runs, has ended. It reports true if the
+// task has finished, or if the worker does not respond and its lease on the task is still valid.
 func (m *Member) isFinished(ctx context.Context) bool {
 	tasks, err := m.workers.Tasks(ctx, m.spec.Worker)
 	if err != nil {
-		return m.leaseHeld()
+		return m.taskLeaseValid()
 	}
 	for _, t := range tasks {
 		if t.Token == m.spec.Token && t.State == hosting.TaskFinished {
@@ -311,7 +311,7 @@
 }
 
 // stop saves a checkpoint and ends the task. It retries until the worker confirms that the task has
-// ended and that this token can start no other.
+// ended and that no other task can be started with this token.
 func (m *Member) stop(ctx context.Context) {
 	m.checkpoint(ctx, finalCheckpointTimeout)
 	for ctx.Err() == nil {
@@ -324,8 +324,8 @@
 	}
 }
 
-// checkpoint saves the task's work. An error is ignored: the task may have ended, and the previous
-// checkpoint stays valid.
+// checkpoint saves the task's work. Errors are ignored: the task may have ended, and the previous
+// checkpoint remains valid.
 func (m *Member) checkpoint(ctx context.Context, limit time.Duration) {
 	bounded, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -334,7 +334,7 @@
 	}
 }
 
-// pauseWithin waits for d, but not beyond the end of the lease.
+// pauseWithin pauses for d, but not beyond the end of the lease.
 func (m *Member) pauseWithin(ctx context.Context, d time.Duration, expires time.Time) {
 	if !expires.IsZero() {
 		d = min(d, time.Until(expires))
--- a/sessions/ledger/bench_test.go
+++ b/sessions/ledger/bench_test.go
@@ -23,7 +23,7 @@
 	}
 	for i := range workers / 2 {
 		name := fmt.Sprintf("s%d", i)
-		h.add(create(name, fmt.Sprintf("t%d", i%(workers/8)), shape(1, placement.AnyPlace)))
+		h.add(create(name, fmt.Sprintf("t%d", i%(workers/8)), shape(1, placement.SameRegion)))
 		token := h.add(Record{Place: &Place{
 			Session:  name,
 			Members:  []placement.Member{on(fmt.Sprintf("w%d", i*2), 0)},
--- a/sessions/ledger/config.go
+++ b/sessions/ledger/config.go
@@ -66,7 +66,7 @@
 		t.Share = 1
 	}
 	for i := range t.Guarantees {
-		t.Guarantees[i].Shape = t.Guarantees[i].Shape.Defaults()
+		t.Guarantees[i].Shape = t.Guarantees[i].Shape.WithDefaults()
 		if t.Guarantees[i].Count == 0 {
 			t.Guarantees[i].Count = 1
 		}
--- a/sessions/ledger/golden_test.go
+++ b/sessions/ledger/golden_test.go
@@ -129,7 +129,7 @@
 	goldentest.Bytes(t, "team-short.json", []byte(`{"name":"plates","guarantees":[{"accelerators":8}]}`))
 	team, err := decodeTeam(goldentest.Read(t, "team-short.json"))
 	wantTeam := Team{Name: "plates", Share: 1, Guarantees: []placement.Guarantee{
-		{Shape: placement.Shape{Accelerators: 8, Adjacency: placement.AnyPlace}, Count: 1},
+		{Shape: placement.Shape{Accelerators: 8, Adjacency: placement.SameRegion}, Count: 1},
 	}}
 	if err != nil || !reflect.DeepEqual(team, wantTeam) {
 		t.Errorf("decoded %+v, %v", team, err)
--- a/sessions/ledger/placing.go
+++ b/sessions/ledger/placing.go
@@ -348,17 +348,17 @@
 		session, _ := s.sessions.Get(p.Session)
 		ran := Age(p.Since, now)
 		in.Running = append(in.Running, placement.Running{
-			Token:     p.Token,
-			Session:   p.Session,
-			Team:      p.Team,
-			Shape:     p.Shape,
-			Borrowed:  p.Borrowed,
-			Urgent:    session.Urgent,
-			Stopping:  p.Phase == Stopping,
-			For:       p.For,
-			YieldRank: yieldRank(p),
-			Unsaved:   ran,
-			Left:      max(0, session.workTime()-session.Progress-ran),
+			Token:        p.Token,
+			Session:      p.Session,
+			Team:         p.Team,
+			Shape:        p.Shape,
+			Borrowed:     p.Borrowed,
+			Urgent:       session.Urgent,
+			Stopping:     p.Phase == Stopping,
+			ReclaimedFor: p.For,
+			YieldRank:    yieldRank(p),
+			Unsaved:      ran,
+			Remaining:    max(0, session.workTime()-session.Progress-ran),
 		})
 	}
 	for _, session := range s.Waiting() {
--- a/sessions/ledger/proposer_test.go
+++ b/sessions/ledger/proposer_test.go
@@ -71,7 +71,7 @@
 				}
 				log.SetFaults(tt.faults)
 				bounded, stop := context.WithTimeout(ctx, 4*time.Second)
-				v, err := p.Propose(bounded, create("s", "guest", shape(1, placement.AnyPlace)))
+				v, err := p.Propose(bounded, create("s", "guest", shape(1, placement.SameRegion)))
 				stop()
 				if v.Status != tt.want || (err != nil) != tt.err {
 					t.Errorf("got %+v, %v", v, err)
@@ -146,13 +146,13 @@
 		blockedLog := &interruptibleLog{Log: log, down: true}
 		slow := follow(ctx, &wg, blockedLog, noPeers{})
 		for i := range 40 {
-			propose(create(fmt.Sprintf("s%d", i), "guest", shape(1, placement.AnyPlace)))
+			propose(create(fmt.Sprintf("s%d", i), "guest", shape(1, placement.SameRegion)))
 		}
 		if err := WriteSnapshot(ctx, log, "writer", fast.State()); err != nil {
 			t.Fatal(err)
 		}
 		log.SetFaults(standin.Faults{Retention: 10})
-		propose(create("last", "guest", shape(1, placement.AnyPlace)))
+		propose(create("last", "guest", shape(1, placement.SameRegion)))
 		blockedLog.setDown(false)
 		time.Sleep(time.Minute)
 		if !equalStates(fast.State(), slow.State()) {
--- a/sessions/ledger/replica_test.go
+++ b/sessions/ledger/replica_test.go
@@ -43,13 +43,13 @@
 	h := newHistory(t)
 	r := NewReplica()
 	r.Replace(h.state)
-	h.add(create("s", "guest", shape(1, placement.AnyPlace)))
+	h.add(create("s", "guest", shape(1, placement.SameRegion)))
 	for _, tt := range []struct {
 		name   string
 		record Record
 		woken  bool
 	}{
-		{"a session", create("t", "guest", shape(1, placement.AnyPlace)), false},
+		{"a session", create("t", "guest", shape(1, placement.SameRegion)), false},
 		{"a placement elsewhere", Record{Place: &Place{
 			Session:  "s",
 			Borrowed: true,
@@ -73,7 +73,7 @@
 		}
 	}
 	_, changed := r.WatchWorker("w0")
-	h.add(create("u", "guest", shape(1, placement.AnyPlace)))
+	h.add(create("u", "guest", shape(1, placement.SameRegion)))
 	if r.Replace(h.state); !woken(changed) {
 		t.Error("the replacement of the state did not wake the waiter")
 	}
--- a/sessions/ledger/session.go
+++ b/sessions/ledger/session.go
@@ -32,7 +32,7 @@
 
 // Defaults returns the spec with defaults for omitted fields.
 func (s SessionSpec) Defaults() SessionSpec {
-	s.Shape = s.Shape.Defaults()
+	s.Shape = s.Shape.WithDefaults()
 	return s
 }
 
--- a/sessions/ledger/state_test.go
+++ b/sessions/ledger/state_test.go
@@ -120,7 +120,7 @@
 				Address:      "http://127.0.0.1:1",
 				Incarnation:  "one",
 			}}},
-			create("a", "guest", shape(4, placement.AnyPlace)),
+			create("a", "guest", shape(4, placement.SameRegion)),
 			{Place: &Place{Session: "a", Members: []placement.Member{on("w0", 0, 1), on("far", 0, 1)}, Borrowed: true}},
 		}, Rejected, "are in 2 regions"},
 		{"held by a team without a guarantee", []Record{
@@ -167,7 +167,7 @@
 // delayed.
 func TestLostAnswers(t *testing.T) {
 	h := newHistory(t)
-	r := create("s", "guest", shape(1, placement.AnyPlace))
+	r := create("s", "guest", shape(1, placement.SameRegion))
 	r.ID, r.Base = "again", h.state.Revision()
 	if v := h.add(r); v.Status != Accepted {
 		t.Fatalf("first: %+v", v)
@@ -177,7 +177,7 @@
 		t.Errorf("the second append of an id: %+v, want duplicate", v)
 	}
 	h.add(Record{Void: &Void{ID: "late"}})
-	late := create("t", "guest", shape(1, placement.AnyPlace))
+	late := create("t", "guest", shape(1, placement.SameRegion))
 	late.ID, late.Base = "late", 1
 	if v := h.add(late); v.Status != Duplicate {
 		t.Errorf("a record after its void: %+v, want duplicate", v)
@@ -343,7 +343,7 @@
 		h := newHistory(t)
 		for i := range rapid.IntRange(0, 12).Draw(rt, "steps") {
 			name := fmt.Sprintf("s%d", i)
-			h.add(create(name, "guest", shape(2, placement.AnyPlace)))
+			h.add(create(name, "guest", shape(2, placement.SameRegion)))
 			h.add(Record{Place: &Place{Session: name, Members: drawMembers(rt, h.state, 2), Borrowed: true}})
 			if rapid.Bool().Draw(rt, "cancel") {
 				h.add(Record{Cancel: &CancelSession{Session: name}})
@@ -359,7 +359,7 @@
 		}
 		other := &history{t: t, state: loaded, number: h.number}
 		for _, x := range []*history{h, other} {
-			x.add(create("next", "guest", shape(1, placement.AnyPlace)))
+			x.add(create("next", "guest", shape(1, placement.SameRegion)))
 			x.add(Record{Void: &Void{ID: "r1"}})
 		}
 		if !equalStates(h.state, other.state) {
@@ -372,7 +372,7 @@
 func FuzzRecord(f *testing.F) {
 	for _, r := range []Record{
 		team("x"),
-		create("s", "guest", shape(1, placement.AnyPlace)),
+		create("s", "guest", shape(1, placement.SameRegion)),
 		{ID: "a", Void: &Void{ID: "b"}},
 		{Place: &Place{Session: "s", Members: []placement.Member{on("w0", 3, 1)}}},
 	} {
--- a/sessions/membership/golden_test.go
+++ b/sessions/membership/golden_test.go
@@ -10,7 +10,7 @@
 	"yarrowgrade.example/yarrowgrade/sessions/ledger"
 )
 
-// The golden values have every exported field set.
+// The golden values, with every exported field set.
 var (
 	goldenInfo  = EntryInfo{Name: "entry-1", Region: "region-1", Zone: "zone-1", Address: "http://10.1.0.9:7100"}
 	goldenAgent = AgentStatus{
@@ -23,7 +23,7 @@
 	goldentest.JSON(t, "poll-request", PollRequest{
 		Worker: "worker-1", Incarnation: "incarnation-1", Revision: 8, ConfigRevision: 4, Leaving: true,
 		Gangs:   []gang.Report{{Token: 7, Ready: true, Finished: true, Progress: time.Minute, Failed: "why"}},
-		Stopped: []Stopped{{Token: 6, Progress: 2 * time.Minute}},
+		Stopped: []StoppedMember{{Token: 6, Progress: 2 * time.Minute}},
 	})
 	goldentest.JSON(t, "view", View{
 		Revision: 9, ConfigRevision: 5,
--- a/sessions/membership/poll.go
+++ b/sessions/membership/poll.go
@@ -1,16 +1,18 @@
-// Package membership defines the messages between agents and entries, and between entries, about
-// who is present and what is in force, and the orders in which entries are preferred.
+// Package membership defines the messages that agents and entries, and entries among themselves,
+// exchange about membership, assignments, configuration and status. It also defines the orders of
+// preference among entries.
 //
-// An agent keeps one poll open at an entry. The poll has the revisions that the agent knows and the
-// state of its gangs; the answer has what is newer. Because both sides send revisions, a lost poll
-// or answer loses nothing, and an agent ignores views that are older than what it has.
+// An agent keeps one long poll open at an entry. The request contains the revisions that the agent
+// has and the state of its gangs; the response contains everything newer. Because both sides send
+// revisions, no information is lost with a request or a response, and an agent ignores views that
+// are older than its own.
 //
-// The package owns no state. It relies on package ledger for what a View contains.
+// The package owns no state. It reads the content of a View from the state in package ledger.
 //
 // # Usage
 //
-// The agent sends a PollRequest to POST /internal/poll and gets a View. An entry that has nothing
-// newer answers after PollWait with the same revisions:
+// The agent sends a PollRequest to POST /internal/poll and receives a View. An entry that has
+// nothing newer responds after PollWait with the same revisions:
 //
 //	view := membership.NewView(state, worker, poll.ConfigRevision, entries)
 package membership
@@ -23,40 +25,40 @@
 	"yarrowgrade.example/yarrowgrade/sessions/ledger"
 )
 
-// The timing of a poll. An entry with nothing newer holds the poll for PollWait and sends a newline
-// every KeepAlive, which costs less than a new poll. An agent that receives nothing for PollIdle
-// polls another entry. PollIdle is below the 7 s within which a change of the configuration must
-// take effect, also if the entry's box is lost without notice.
+// The timing of a poll. An entry that has nothing newer holds the poll for PollWait and sends a
+// newline every KeepAliveInterval, which costs less than a new poll. An agent that receives nothing
+// for PollIdleTimeout polls another entry. PollIdleTimeout is shorter than the 7 s within which a
+// configuration change must take effect, even if the entry's box is lost without notice.
 const (
-	PollWait  = 30 * time.Second
-	KeepAlive = 2500 * time.Millisecond
-	PollIdle  = 6 * time.Second
+	PollWait          = 30 * time.Second
+	KeepAliveInterval = 2500 * time.Millisecond
+	PollIdleTimeout   = 6 * time.Second
 )
 
-// Stopped reports that a member on the worker has stopped and will not run again.
-type Stopped struct {
+// StoppedMember reports that a member on the worker has stopped and will not run again.
+type StoppedMember struct {
 	Token int64 `json:"token"`
-	// Progress is the work that its last checkpoint holds.
+	// Progress is the amount of work saved by the member's last checkpoint.
 	Progress time.Duration `json:"progress_ns"`
 }
 
-// PollRequest is an agent's poll.
+// PollRequest is the body of an agent's poll.
 type PollRequest struct {
 	Worker      string `json:"worker"`
 	Incarnation string `json:"incarnation"`
-	// Revision is the revision of the last view, ConfigRevision that of the configuration the
-	// agent applies.
+	// Revision is the revision of the agent's last view. ConfigRevision is the revision of the
+	// configuration that the agent has applied.
 	Revision       int64 `json:"revision"`
 	ConfigRevision int64 `json:"config_revision"`
-	// Leaving means that the agent takes no new work.
-	Leaving bool          `json:"leaving,omitempty"`
-	Gangs   []gang.Report `json:"gangs,omitempty"`
-	Stopped []Stopped     `json:"stopped,omitempty"`
+	// Leaving means that the agent accepts no new work.
+	Leaving bool            `json:"leaving,omitempty"`
+	Gangs   []gang.Report   `json:"gangs,omitempty"`
+	Stopped []StoppedMember `json:"stopped,omitempty"`
 }
 
-// JoinAnswer is the answer to POST /internal/join.
+// JoinAnswer is the response to POST /internal/join.
 type JoinAnswer struct {
-	// Joined is the offset of the record by which the incarnation joined.
+	// Joined is the offset of the record with which the incarnation joined.
 	Joined int64 `json:"joined"`
 }
 
@@ -72,23 +74,23 @@
 	Session      string                `json:"session"`
 	Phase        ledger.PlacementPhase `json:"phase"`
 	Accelerators []int                 `json:"accelerators"`
-	// Members has all members. The first one is the leader.
+	// Members lists all members of the gang. The first one is the leader.
 	Members    []Peer        `json:"members"`
 	Work       time.Duration `json:"work_ns"`
 	Checkpoint time.Duration `json:"checkpoint_ns"`
-	// Trace is the W3C traceparent of the call that created the session; empty if it was not
+	// Trace is the W3C traceparent of the call that created the session; empty if the call was not
 	// traced.
 	Trace string `json:"trace,omitempty"`
 }
 
-// ConfigItem is an entry of the configuration without its history.
+// ConfigItem is a configuration item without its history.
 type ConfigItem struct {
 	Key      string          `json:"key"`
 	Revision int64           `json:"revision"`
 	Value    json.RawMessage `json:"value"`
 }
 
-// EntryInfo is the name, place and address of an entry.
+// EntryInfo is the name, location and address of an entry.
 type EntryInfo struct {
 	Name    string `json:"name"`
 	Region  string `json:"region,omitempty"`
@@ -96,27 +98,27 @@
 	Address string `json:"address"`
 }
 
-// PingAnswer is an entry's answer to the ping of another entry.
+// PingAnswer is an entry's response to a ping from another entry.
 type PingAnswer struct {
 	EntryInfo
-	// LogReachable means that its last read of the log succeeded.
+	// LogReachable means that the entry's last read of the log succeeded.
 	LogReachable bool `json:"log_reachable"`
 }
 
-// View is what an agent should apply.
+// View is the state that an agent applies.
 type View struct {
 	// Revision is the offset of the last record that changed something for the worker.
 	Revision       int64 `json:"revision"`
 	ConfigRevision int64 `json:"config_revision"`
-	// Config has the entries of the configuration that are newer than the poll's ConfigRevision.
+	// Config lists the configuration items that are newer than the poll's ConfigRevision.
 	Config []ConfigItem `json:"config,omitempty"`
-	// Assignments has all assignments of the worker.
+	// Assignments lists all assignments of the worker.
 	Assignments []Assignment `json:"assignments,omitempty"`
-	// Entries has the entries to poll.
+	// Entries lists the entries that the agent may poll.
 	Entries []EntryInfo `json:"entries,omitempty"`
 }
 
-// NewView returns the view of a worker, with the entries of the configuration that are newer than
+// NewView returns the view of a worker, with the configuration items that are newer than
 // configRevision.
 func NewView(s ledger.State, worker ledger.Worker, configRevision int64, entries []EntryInfo) View {
 	v := View{Revision: worker.Revision, ConfigRevision: s.ConfigRevision(), Entries: entries}
--- a/sessions/membership/status.go
+++ b/sessions/membership/status.go
@@ -2,27 +2,28 @@
 
 import "sort"
 
-// Health is the answer of the health and readiness endpoints.
+// Health is the response of the health and readiness endpoints.
 type Health struct {
 	Healthy bool `json:"healthy"`
 }
 
-// LeavingNotice tells an entry that an agent takes no new work.
+// LeavingNotice informs an entry that an agent accepts no new work.
 type LeavingNotice struct {
 	Worker      string `json:"worker"`
 	Incarnation string `json:"incarnation"`
 }
 
-// AgentStatus is the status of an agent, as reported by itself or as known to an entry.
+// AgentStatus is the status of an agent, as reported by the agent or as known to an entry.
 type AgentStatus struct {
 	Worker      string `json:"worker"`
 	Incarnation string `json:"incarnation"`
-	// ConfigRevision is the revision of the configuration that the agent applies.
+	// ConfigRevision is the revision of the configuration that the agent has applied.
 	ConfigRevision int64 `json:"config_revision"`
 	Leaving        bool  `json:"leaving"`
-	// SinceViewMillis is the time since the last poll or its answer, in ms.
+	// SinceViewMillis is the time since the last poll or the response to it, in ms.
 	SinceViewMillis int64 `json:"since_view_ms"`
-	// Running and Waiting are the numbers of requests. An entry does not know them.
+	// Running and Waiting are the numbers of running and queued requests. An entry does
+	// not know them and leaves them at 0.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 }
@@ -30,23 +31,23 @@
 // EntryStatus is the status of an entry.
 type EntryStatus struct {
 	EntryInfo
-	// Revision is the offset of the newest record applied.
+	// Revision is the offset of the newest applied record.
 	Revision       int64 `json:"revision"`
 	ConfigRevision int64 `json:"config_revision"`
 	// LogReachable means that the last read of the log succeeded.
 	LogReachable bool `json:"log_reachable"`
-	// SinceLogMillis is the time since the last read that succeeded, in ms.
+	// SinceLogMillis is the time since the last successful read of the log, in ms.
 	SinceLogMillis int64 `json:"since_log_ms"`
 	Leaving        bool  `json:"leaving"`
-	// Agents are the agents that poll this entry.
+	// Agents lists the agents that poll this entry.
 	Agents []AgentStatus `json:"agents"`
-	// Error says why the status could not be obtained; empty if it could.
+	// Error is the reason why the status could not be obtained; empty on success.
 	Error string `json:"error,omitempty"`
 }
 
-// EntryOrder sorts entries in a worker's order of preference: those of its zone first, then
-// those of its region, and within these groups by rendezvous hashing, so that agents are spread
-// over the entries.
+// EntryOrder sorts entries by a worker's preference: entries in its zone first, then entries in its
+// region, then all others. Within these groups the order is by rendezvous hashing, which spreads
+// the agents over the entries.
 func EntryOrder(worker, region, zone string, entries []EntryInfo) []EntryInfo {
 	distance := func(e EntryInfo) int {
 		switch {
--- a/sessions/oracle/plan_test.go
+++ b/sessions/oracle/plan_test.go
@@ -292,7 +292,7 @@
 }
 
 var shapes = []placement.Shape{
-	{Accelerators: 1, Adjacency: placement.AnyPlace},
+	{Accelerators: 1, Adjacency: placement.SameRegion},
 	{Accelerators: 2, Adjacency: placement.SameWorker},
 	{Accelerators: 4, Adjacency: placement.SameWorker},
 	{Accelerators: 6, Adjacency: placement.SameRack},
--- a/sessions/oracle/schemes_test.go
+++ b/sessions/oracle/schemes_test.go
@@ -63,7 +63,7 @@
 		for a := range agentCount {
 			names = append(names, workerName(a))
 		}
-		owner := membership.Order(fmt.Sprint(i), names)[0]
+		owner := membership.RendezvousOrder(fmt.Sprint(i), names)[0]
 		if owner == workerName(replaced) && sinceEvent >= 0 && sinceEvent < ownerGracePeriod {
 			return false
 		}
--- a/sessions/oracle/system_test.go
+++ b/sessions/oracle/system_test.go
@@ -156,10 +156,10 @@
 
 // timing has short intervals, so that a short plan reaches the time limits.
 var timing = gang.Timing{
-	Beat:       time.Second,
-	Fresh:      3 * time.Second,
-	Lease:      3 * time.Second,
-	Checkpoint: 10 * time.Second,
+	HeartbeatInterval:  time.Second,
+	HeartbeatTimeout:   3 * time.Second,
+	LeaseDuration:      3 * time.Second,
+	CheckpointInterval: 10 * time.Second,
 }
 
 func (s *system) startAgent(i int) {
--- a/sessions/oracle/target_test.go
+++ b/sessions/oracle/target_test.go
@@ -48,7 +48,7 @@
 var errCut = errors.New("cut")
 
 // Run implements request.Target.
-func (f *fakeTarget) Run(ctx context.Context, hop request.Hop) (int, string, error) {
+func (f *fakeTarget) Run(ctx context.Context, hop request.AgentRequest) (int, string, error) {
 	fault := f.currentFault()
 	if fault == faultRefuse {
 		return 0, "", &request.NotSentError{Err: errCut}
@@ -67,7 +67,7 @@
 	case faultCut:
 		return 0, "", errCut
 	case faultCrossed:
-		return 0, "", request.ErrCrossed
+		return 0, "", request.ErrIDMismatch
 	}
 	return 200, responseTo(hop.Body), nil
 }
--- a/sessions/oracle/watch_test.go
+++ b/sessions/oracle/watch_test.go
@@ -36,7 +36,7 @@
 			if since[token].IsZero() {
 				since[token] = time.Now()
 			}
-			if partial := time.Since(since[token]); partial > timing.Bound()+time.Second {
+			if partial := time.Since(since[token]); partial > timing.MaxStopDelay()+time.Second {
 				s.addViolation("gang %d has run with %d members for %v", token, n, partial)
 				delete(since, token)
 			}
--- a/sessions/placement/bench_test.go
+++ b/sessions/placement/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// benchInput is a system in which three quarters of the accelerators are held, half of that
-// borrowed.
+// benchInput returns a system in which three quarters of the accelerators are in use, half of them
+// by borrowed placements.
 func benchInput(workers, waiting, teams int) Input {
 	in := Input{Workers: grid(workers, 1)}
 	for i := range in.Workers {
@@ -17,12 +17,12 @@
 		}
 		in.Workers[i].Holders[0] = int64(i + 1)
 		in.Running = append(in.Running, Running{
-			Token:    int64(i + 1),
-			Session:  fmt.Sprintf("r%d", i),
-			Team:     "none",
-			Shape:    Shape{Accelerators: 1},
-			Borrowed: i%2 == 0,
-			Left:     time.Hour,
+			Token:     int64(i + 1),
+			Session:   fmt.Sprintf("r%d", i),
+			Team:      "none",
+			Shape:     Shape{Accelerators: 1},
+			Borrowed:  i%2 == 0,
+			Remaining: time.Hour,
 		})
 	}
 	for i := range teams {
@@ -32,7 +32,7 @@
 			Count: 1,
 		})
 	}
-	shapes := []Shape{{1, AnyPlace}, {3, SameRack}, {16, SameZone}, {64, SameZone}}
+	shapes := []Shape{{1, SameRegion}, {3, SameRack}, {16, SameZone}, {64, SameZone}}
 	for i := range waiting {
 		in.Waiting = append(in.Waiting, Waiting{
 			Session: fmt.Sprintf("s%d", i), Team: fmt.Sprintf("t%d", i%max(teams, 1)), Shape: shapes[i%len(shapes)],
@@ -42,8 +42,8 @@
 	return in
 }
 
-// BenchmarkDecide shows the cost of a decision against workers, waiting sessions and teams. The
-// last row is the size to design for.
+// BenchmarkDecide measures Decide for different numbers of workers, waiting sessions and teams. The
+// last case is the size that the scheduler is designed for.
 func BenchmarkDecide(b *testing.B) {
 	for _, size := range []struct{ workers, waiting, teams int }{
 		{14, 30, 4}, {140, 30, 17}, {1400, 30, 170}, {1400, 1, 170}, {1400, 100, 170}, {1400, 30, 17}, {1400, 300, 170},
--- a/sessions/placement/capacity.go
+++ b/sessions/placement/capacity.go
@@ -5,13 +5,13 @@
 // Capacity counts the usable accelerators of each domain of a topology.
 type Capacity struct {
 	topology *Topology
-	// free is the number of usable accelerators of each domain.
+	// free is the number of usable accelerators in each domain.
 	free []int
-	// size is the number of all accelerators of each domain.
+	// size is the total number of accelerators in each domain.
 	size []int
 }
 
-// NewCapacity returns the capacity in which an accelerator counts if usable accepts its holder.
+// NewCapacity counts the accelerators whose holder satisfies usable.
 func NewCapacity(t *Topology, workers []Worker, usable func(holder int64) bool) *Capacity {
 	c := &Capacity{topology: t, free: make([]int, len(t.nodes)), size: make([]int, len(t.nodes))}
 	for i, w := range workers {
@@ -39,21 +39,21 @@
 	return &Capacity{topology: c.topology, free: append([]int(nil), c.free...), size: c.size}
 }
 
-// share is a number of accelerators on one worker.
-type share struct {
+// allocation is a number of accelerators on one worker.
+type allocation struct {
 	worker int
 	count  int
 }
 
-// take marks the shares as used.
-func (c *Capacity) take(shares []share) {
-	for _, s := range shares {
+// allocate subtracts the allocations from the free accelerators.
+func (c *Capacity) allocate(allocations []allocation) {
+	for _, s := range allocations {
 		c.add(c.free, c.topology.leaf[s.worker], -s.count)
 	}
 }
 
-// Scorer rates the domains in which n accelerators could be placed. The domain with the lowest
-// cost is used, or the first of those.
+// Scorer assigns a cost to each domain in which n accelerators could be placed. The domain with the
+// lowest cost is used; ties go to the first one.
 type Scorer interface {
 	// Cost returns the cost of a domain with the given number of free accelerators, which is at
 	// least n.
@@ -72,14 +72,14 @@
 // Cost implements Scorer.
 func (BestFit) Cost(free, n int) int { return free - n }
 
-// findPlace returns shares for the shape, or nil if it does not fit anywhere.
-func findPlace[S Scorer](c *Capacity, scorer S, shape Shape) []share {
+// findPlace returns the allocations for the shape, or nil if it does not fit anywhere.
+func findPlace[S Scorer](c *Capacity, scorer S, shape Shape) []allocation {
 	at := cheapest(c, scorer, c.topology.domains(shape.Adjacency), shape.Accelerators)
 	if at < 0 {
 		return nil
 	}
-	var shares []share
-	return pack(c, scorer, at, shape.Accelerators, shares)
+	var allocations []allocation
+	return pack(c, scorer, at, shape.Accelerators, allocations)
 }
 
 // cheapest returns the node with the lowest cost among those with n free accelerators, or -1.
@@ -97,16 +97,17 @@
 	return found
 }
 
-// pack places n accelerators in a node that has as many free, using few of its children: a single
-// child if one has enough, otherwise all of the child with the most and the rest in the same way.
-func pack[S Scorer](c *Capacity, scorer S, at, n int, shares []share) []share {
+// pack allocates n accelerators in a node that has at least n free, on few of its children: on a
+// single child if one has enough free, otherwise all of the child with the most, and the rest in
+// the same way.
+func pack[S Scorer](c *Capacity, scorer S, at, n int, allocations []allocation) []allocation {
 	leaf := c.topology.nodes[at].worker
 	if leaf >= 0 {
-		return append(shares, share{worker: leaf, count: n})
+		return append(allocations, allocation{worker: leaf, count: n})
 	}
 	children := c.topology.nodes[at].children
 	if child := cheapest(c, scorer, children, n); child >= 0 {
-		return pack(c, scorer, child, n, shares)
+		return pack(c, scorer, child, n, allocations)
 	}
 	order := append([]int(nil), children...)
 	sort.SliceStable(order, func(i, j int) bool { return c.free[order[i]] > c.free[order[j]] })
@@ -115,20 +116,21 @@
 			break
 		}
 		if c.free[child] < n {
-			shares = pack(c, scorer, child, c.free[child], shares)
+			allocations = pack(c, scorer, child, c.free[child], allocations)
 			n -= c.free[child]
 			continue
 		}
 		last := cheapest(c, scorer, order[i:], n)
-		return pack(c, scorer, last, n, shares)
+		return pack(c, scorer, last, n, allocations)
 	}
-	return shares
+	return allocations
 }
 
-// members turns shares into the numbers of accelerators whose holder usable accepts.
-func members(workers []Worker, shares []share, usable func(holder int64) bool) []Member {
+// assignAccelerators picks the accelerators of each allocation among those whose holder satisfies
+// usable.
+func assignAccelerators(workers []Worker, allocations []allocation, usable func(holder int64) bool) []Member {
 	var list []Member
-	for _, s := range shares {
+	for _, s := range allocations {
 		m := Member{Worker: workers[s.worker].Name}
 		for i, h := range workers[s.worker].Holders {
 			if len(m.Accelerators) < s.count && usable(h) {
@@ -141,15 +143,15 @@
 }
 
 // Feasible reports whether all unused guarantees fit into the capacity at the same time. The
-// capacity must count free and borrowed accelerators. The search is greedy, the tightest and
-// largest shapes first: it may return false although a solution exists, but never true if none
-// does.
+// capacity must count free and borrowed accelerators. The search is greedy, with the tightest and
+// largest shapes first: it may return false although a solution exists, but never returns true if
+// none exists.
 func Feasible(c *Capacity, entitlements []Entitlement) bool {
 	return len(Shortfall(c, entitlements)) == 0
 }
 
 // Shortfall returns the entitlements whose unused guarantees do not all fit into the capacity; see
-// Feasible. They are in the order of the search.
+// Feasible. The entitlements are in search order.
 func Shortfall(c *Capacity, entitlements []Entitlement) []Entitlement {
 	order := append([]Entitlement(nil), entitlements...)
 	sort.SliceStable(order, func(i, j int) bool {
@@ -160,16 +162,16 @@
 		return a.Accelerators > b.Accelerators
 	})
 	rest := c.Clone()
-	var short []Entitlement
+	var missing []Entitlement
 	for _, e := range order {
 		for range e.Count - e.Used {
-			shares := findPlace(rest, BestFit{}, e.Shape)
-			if shares == nil {
-				short = append(short, e)
+			allocations := findPlace(rest, BestFit{}, e.Shape)
+			if allocations == nil {
+				missing = append(missing, e)
 				break
 			}
-			rest.take(shares)
+			rest.allocate(allocations)
 		}
 	}
-	return short
+	return missing
 }
--- a/sessions/placement/decide.go
+++ b/sessions/placement/decide.go
@@ -5,33 +5,35 @@
 	"time"
 )
 
-// Profile has the parameters that trade completion time against fragmentation.
+// Profile holds the parameters that trade completion time against fragmentation.
 type Profile struct {
 	// Reservations is the maximum number of waiting gangs with a reservation at the same time.
 	Reservations int `json:"reservations"`
 	// ReserveFrom is the smallest number of accelerators that gets a reservation.
 	ReserveFrom int `json:"reserve_from"`
-	// ShortFirst is the waiting time by which each hour of estimated run time sets a session back.
+	// ShortFirst is subtracted from a session's waiting time for each hour of its estimated run
+	// time.
 	ShortFirst time.Duration `json:"short_first_ns"`
-	// LargeShortFirst is used instead of ShortFirst for gangs of ReserveFrom accelerators and more.
+	// LargeShortFirst replaces ShortFirst for gangs of at least ReserveFrom accelerators.
 	LargeShortFirst time.Duration `json:"large_short_first_ns"`
-	// NoBackfill keeps other sessions out of reserved accelerators even if they would end in time.
+	// NoBackfill keeps other sessions off reserved accelerators even if they are expected to end
+	// before the reserved gang starts.
 	NoBackfill bool `json:"no_backfill"`
-	// Scoring chooses among the domains that fit; empty is ScoreBest.
+	// Scoring selects among the domains that fit; the default is ScoreBest.
 	Scoring Scoring `json:"scoring"`
 }
 
 // Scoring names a Scorer.
 type Scoring string
 
-// The scorings.
+// The available scorings.
 const (
 	ScoreFirst Scoring = "first"
 	ScoreBest  Scoring = "best"
 )
 
-// CompletionProfile favors completion time: short sessions go ahead, and one large gang at a
-// time has a reservation.
+// CompletionProfile favors short completion times: short sessions start first, and one large gang
+// at a time has a reservation.
 func CompletionProfile() Profile {
 	return Profile{
 		Reservations:    1,
@@ -41,8 +43,8 @@
 	}
 }
 
-// FragmentationProfile favors large gangs: their run time does not count against them, and two at a
-// time have a reservation.
+// FragmentationProfile favors large gangs: their run time does not lower their priority, and two at
+// a time have a reservation.
 func FragmentationProfile() Profile {
 	return Profile{
 		Reservations: 2,
@@ -58,30 +60,32 @@
 	topology     *Topology
 	running      map[int64]*Running
 	entitlements []Entitlement
-	// free has the free accelerators.
+	// free counts the free accelerators.
 	free *Capacity
-	// unheld is free without what is held for sessions whose victims are stopping.
-	unheld *Capacity
-	// reclaimable has the free accelerators and those of borrowed placements.
+	// available is free without the accelerators that are held for sessions whose victims are
+	// stopping.
+	available *Capacity
+	// reclaimable counts the free accelerators and those of borrowed placements.
 	reclaimable *Capacity
 	reserved    []reservation
 	decisions   []Decision
-	// awaiting has the sessions for which placements are stopping.
-	awaiting map[string]bool
-	// noFit has the searches that found no place since the free accelerators last changed. In a
-	// full system most waiting sessions have one of a few shapes, so the same search would be
-	// repeated.
-	noFit map[search]bool
+	// reclaimingFor is the set of sessions for which placements are stopping.
+	reclaimingFor map[string]bool
+	// failedSearches caches the searches that found no place since the free accelerators last
+	// changed. In a full system, most waiting sessions have one of a few shapes, so the same search
+	// would be repeated.
+	failedSearches map[search]bool
 }
 
-// search identifies a search by its shape and the reservations that it respects, one bit each.
+// search identifies a search by its shape and the reservations that it respects, one bit for each.
 type search struct {
 	shape    Shape
 	reserved uint64
 }
 
-// Decide returns what to do now. It starts sessions on free accelerators, reclaims borrowed
-// ones for guaranteed and urgent sessions, and reserves accelerators for large waiting gangs.
+// Decide returns the decisions for the input. It starts sessions on free accelerators, reclaims
+// borrowed accelerators for guaranteed and urgent sessions, and reserves accelerators for large
+// waiting gangs.
 func Decide(input Input, profile Profile) []Decision {
 	d := newDecider(input, profile)
 	for _, w := range d.order() {
@@ -92,13 +96,13 @@
 
 func newDecider(input Input, profile Profile) *decider {
 	d := &decider{
-		input:        input,
-		profile:      profile,
-		topology:     NewTopology(input.Workers),
-		running:      make(map[int64]*Running, len(input.Running)),
-		entitlements: append([]Entitlement(nil), input.Entitlements...),
-		awaiting:     make(map[string]bool),
-		noFit:        make(map[search]bool),
+		input:          input,
+		profile:        profile,
+		topology:       NewTopology(input.Workers),
+		running:        make(map[int64]*Running, len(input.Running)),
+		entitlements:   append([]Entitlement(nil), input.Entitlements...),
+		reclaimingFor:  make(map[string]bool),
+		failedSearches: make(map[search]bool),
 	}
 	d.input.Workers = cloneHolders(input.Workers)
 	d.input.Running = append([]Running(nil), input.Running...)
@@ -106,11 +110,11 @@
 		p := &d.input.Running[i]
 		d.running[p.Token] = p
 		if p.Stopping {
-			d.awaiting[p.For] = true
+			d.reclaimingFor[p.ReclaimedFor] = true
 		}
 	}
 	d.free = NewCapacity(d.topology, d.input.Workers, isFree)
-	d.unheld = d.free.Clone()
+	d.available = d.free.Clone()
 	d.reclaimable = NewCapacity(d.topology, d.input.Workers, d.isReclaimable)
 	return d
 }
@@ -133,10 +137,10 @@
 	return found && p.Borrowed
 }
 
-// order sorts the waiting sessions: first those with an unused guarantee, the urgent ones
-// ahead, then other urgent ones, then the rest. Within these classes the order is by priority.
-// Guarantees come before urgency, because urgent sessions of other teams could otherwise take
-// what was just reclaimed for an owner, again and again.
+// order sorts the waiting sessions into classes: urgent sessions with an unused guarantee, other
+// sessions with an unused guarantee, other urgent sessions, and the rest. Each class is sorted by
+// priority. Guarantees take precedence over urgency; otherwise urgent sessions of other teams could
+// repeatedly take the accelerators that were just reclaimed for the owner of a guarantee.
 func (d *decider) order() []Waiting {
 	list := append([]Waiting(nil), d.input.Waiting...)
 	class := func(w Waiting) int {
@@ -169,19 +173,19 @@
 	return list
 }
 
-// priority returns the waiting time less a malus for the estimated run time. The malus is
+// priority returns the waiting time minus a penalty for the estimated run time. The penalty is
 // smaller for gangs that can have a reservation, which would otherwise wait behind all short
 // sessions.
 func (d *decider) priority(w Waiting) time.Duration {
-	malus := d.profile.ShortFirst
+	penalty := d.profile.ShortFirst
 	if w.Shape.Accelerators >= d.profile.ReserveFrom {
-		malus = d.profile.LargeShortFirst
+		penalty = d.profile.LargeShortFirst
 	}
-	return w.Waited - time.Duration(w.Estimate.Hours()*float64(malus))
+	return w.Waited - time.Duration(w.Estimate.Hours()*float64(penalty))
 }
 
-// entitlement returns the index of the loosest unused guarantee of the session's team that
-// covers it, or -1.
+// entitlement returns the index of the loosest unused guarantee of the session's team that covers
+// the session, or -1.
 func (d *decider) entitlement(w Waiting) int {
 	return UnusedEntitlement(d.entitlements, w.Team, w.Shape)
 }
@@ -201,86 +205,88 @@
 	return found
 }
 
-// place decides about one session.
+// place makes the decision, if any, for one session.
 func (d *decider) place(w Waiting) {
-	held := d.entitlement(w)
-	if held >= 0 && d.startHeld(w, held) {
+	index := d.entitlement(w)
+	if index >= 0 && d.startGuaranteed(w, index) {
 		return
 	}
-	if held >= 0 {
-		// What is reclaimed for the owner must have the adjacency of the guarantee.
-		w.Shape = d.entitlements[held].Shape
+	if index >= 0 {
+		// Accelerators that are reclaimed for the owner must have the adjacency of the guarantee.
+		w.Shape = d.entitlements[index].Shape
 	}
 	if d.startBorrowed(w) {
 		return
 	}
-	if d.awaitVictims(w) {
+	if d.awaitReclaimed(w) {
 		return
 	}
-	if (held >= 0 || w.Urgent) && d.reclaim(w) {
+	if (index >= 0 || w.Urgent) && d.reclaim(w) {
 		return
 	}
 	d.reserve(w)
 }
 
-func (d *decider) findPlace(c *Capacity, shape Shape) []share {
+func (d *decider) findPlace(c *Capacity, shape Shape) []allocation {
 	if d.profile.Scoring == ScoreFirst {
 		return findPlace(c, FirstFit{}, shape)
 	}
 	return findPlace(c, BestFit{}, shape)
 }
 
-// startHeld starts the session under a guarantee if it fits and the other guarantees stay feasible.
-func (d *decider) startHeld(w Waiting, held int) bool {
-	shares := d.findPlace(d.unheld, d.entitlements[held].Shape)
-	if shares == nil {
+// startGuaranteed starts the session under a guarantee if it fits and the other guarantees stay
+// feasible.
+func (d *decider) startGuaranteed(w Waiting, index int) bool {
+	allocations := d.findPlace(d.available, d.entitlements[index].Shape)
+	if allocations == nil {
 		return false
 	}
 	after := append([]Entitlement(nil), d.entitlements...)
-	after[held].Used++
+	after[index].Used++
 	rest := d.reclaimable.Clone()
-	rest.take(shares)
+	rest.allocate(allocations)
 	if !Feasible(rest, after) {
 		return false
 	}
 	d.entitlements = after
 	d.reclaimable = rest
-	d.start(w, shares, false)
+	d.start(w, allocations, false)
 	return true
 }
 
-// startBorrowed starts the session without a guarantee if it fits beside the reservations.
+// startBorrowed starts the session without a guarantee if it fits without the reserved accelerators
+// that it must not use.
 func (d *decider) startBorrowed(w Waiting) bool {
 	s := search{shape: w.Shape, reserved: d.reservedFor(w)}
-	if d.noFit[s] {
+	if d.failedSearches[s] {
 		return false
 	}
-	shares := d.findPlace(d.unreserved(s.reserved), w.Shape)
-	if shares == nil {
-		d.noFit[s] = true
+	allocations := d.findPlace(d.unreserved(s.reserved), w.Shape)
+	if allocations == nil {
+		d.failedSearches[s] = true
 		return false
 	}
-	d.start(w, shares, true)
+	d.start(w, allocations, true)
 	return true
 }
 
-func (d *decider) start(w Waiting, shares []share, borrowed bool) {
-	list := members(d.input.Workers, shares, isFree)
-	d.free.take(shares)
-	d.unheld.take(shares)
-	clear(d.noFit)
-	d.markTaken(shares, list)
+func (d *decider) start(w Waiting, allocations []allocation, borrowed bool) {
+	list := assignAccelerators(d.input.Workers, allocations, isFree)
+	d.free.allocate(allocations)
+	d.available.allocate(allocations)
+	clear(d.failedSearches)
+	d.markAssigned(allocations, list)
 	d.decisions = append(d.decisions, Decision{Session: w.Session, Members: list, Borrowed: borrowed})
 }
 
-// takenHolder marks accelerators that were assigned in this call of Decide. They are neither
+// assignedHolder marks accelerators that were assigned in this call of Decide. They are neither
 // free nor reclaimable.
-const takenHolder = -1
+const assignedHolder = -1
 
-func (d *decider) markTaken(shares []share, list []Member) {
-	for i, s := range shares {
+func (d *decider) markAssigned(allocations []allocation, list []Member) {
+	for i, s := range allocations {
 		for _, a := range list[i].Accelerators {
-			d.input.Workers[s.worker].Holders[a] = takenHolder
+			d.input.Workers[s.worker].Holders[a] = assignedHolder
 		}
 	}
 }
--- a/sessions/placement/explain.go
+++ b/sessions/placement/explain.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// explainHolders is the maximum number of holders that an explanation lists.
-const explainHolders = 8
+// maxExplainedHolders is the maximum number of placements that an explanation lists.
+const maxExplainedHolders = 8
 
-// Explain returns lines that say why a waiting session does not start: where it would fit best, who
-// holds the accelerators there, and what it waits for.
+// Explain returns lines that describe why a waiting session does not start: where it would fit
+// best, which placements hold the accelerators there, and what the session is waiting for.
 func Explain(input Input, profile Profile, session string) []string {
 	d := newDecider(input, profile)
 	var w Waiting
@@ -20,14 +20,14 @@
 		}
 	}
 	if w.Session == "" {
-		return []string{"It does not wait."}
+		return []string{"The session is not waiting."}
 	}
 	lines := []string{d.explainGuarantee(w)}
 	at := d.mostReclaimable(w)
 	if at < 0 {
 		return append(lines, "No place in the system is large enough, even when empty.")
 	}
-	lines = append(lines, fmt.Sprintf("The best place is %s: %d of %d accelerators are free, %d could be taken back.",
+	lines = append(lines, fmt.Sprintf("The best place is %s: %d of %d accelerators are free, %d can be reclaimed.",
 		d.domainName(at), d.free.free[at], d.free.size[at], d.reclaimable.free[at]-d.free.free[at]))
 	lines = append(lines, d.explainHolders(at)...)
 	for _, decision := range Decide(input, profile) {
@@ -35,32 +35,36 @@
 			continue
 		}
 		if len(decision.Victims) > 0 {
-			return append(lines, fmt.Sprintf("It is about to take back placements %v.", decision.Victims))
+			return append(lines, fmt.Sprintf("The session is about to reclaim placements %v.", decision.Victims))
 		}
-		return append(lines, "It is about to start.")
+		return append(lines, "The session is about to start.")
 	}
-	if d.awaiting[session] {
+	if d.reclaimingFor[session] {
 		return append(lines, "Borrowed placements are being stopped for it.")
 	}
 	if d.free.free[at] >= w.Shape.Accelerators {
-		return append(lines, "The room is held back for a gang that has waited longer.")
+		return append(lines, "The free accelerators are held for a gang that has waited longer.")
 	}
-	return append(lines, "It starts when enough of these end.")
+	return append(lines, "The session starts when enough of these placements have ended.")
 }
 
 func (d *decider) explainGuarantee(w Waiting) string {
 	if i := d.entitlement(w); i >= 0 {
-		return fmt.Sprintf("Team %s has an unused guarantee for it, so borrowed room can be taken back.", w.Team)
+		return fmt.Sprintf(
+			"Team %s has an unused guarantee for this shape, so borrowed accelerators can be reclaimed.",
+			w.Team)
 	}
 	if w.Urgent {
-		return "It is urgent, so borrowed room can be taken back."
+		return "The session is urgent, so borrowed accelerators can be reclaimed."
 	}
-	return fmt.Sprintf("Team %s has no unused guarantee for this shape, so it waits for free room.", w.Team)
+	return fmt.Sprintf(
+		"Team %s has no unused guarantee for this shape, so the session waits for free accelerators.",
+		w.Team)
 }
 
-// mostReclaimable returns the domain large enough for the session with the most free
-// accelerators and, among those, the most borrowed ones. It returns -1 if no domain is large
-// enough.
+// mostReclaimable returns, among the domains that are large enough for the session, the one with
+// the most free accelerators. Ties go to the domain with the most borrowed ones. It returns -1 if
+// no domain is large enough.
 func (d *decider) mostReclaimable(w Waiting) int {
 	found := -1
 	for _, at := range d.topology.domains(w.Shape.Adjacency) {
@@ -75,7 +79,7 @@
 	return found
 }
 
-// domainName returns a description of a domain.
+// domainName returns the name of a domain for an explanation.
 func (d *decider) domainName(at int) string {
 	first := Worker{}
 	d.eachWorker(at, func(worker int) {
@@ -100,26 +104,26 @@
 }
 
 func (d *decider) explainHolders(at int) []string {
-	here := make(map[int64]int)
+	countByToken := make(map[int64]int)
 	d.eachWorker(at, func(worker int) {
 		for _, h := range d.input.Workers[worker].Holders {
 			if h > 0 {
-				here[h]++
+				countByToken[h]++
 			}
 		}
 	})
-	tokens := make([]int64, 0, len(here))
-	for token := range here {
+	tokens := make([]int64, 0, len(countByToken))
+	for token := range countByToken {
 		tokens = append(tokens, token)
 	}
-	sort.Slice(tokens, func(i, j int) bool { return here[tokens[i]] > here[tokens[j]] })
+	sort.Slice(tokens, func(i, j int) bool { return countByToken[tokens[i]] > countByToken[tokens[j]] })
 	var lines []string
 	for i, token := range tokens {
-		if i == explainHolders {
+		if i == maxExplainedHolders {
 			lines = append(lines, fmt.Sprintf("  and %d more placements", len(tokens)-i))
 			break
 		}
-		lines = append(lines, "  "+d.describe(token, here[token]))
+		lines = append(lines, "  "+d.describe(token, countByToken[token]))
 	}
 	return lines
 }
@@ -136,8 +140,8 @@
 	if p.Stopping {
 		notes = append(notes, "stopping")
 	}
-	if p.Left > 0 {
-		notes = append(notes, "ends in about "+p.Left.Round(1e9).String())
+	if p.Remaining > 0 {
+		notes = append(notes, "ends in about "+p.Remaining.Round(1e9).String())
 	}
 	return fmt.Sprintf("%d held by session %s of team %s (placement %d, %s)",
 		count, p.Session, p.Team, token, strings.Join(notes, ", "))
--- a/sessions/placement/placement.go
+++ b/sessions/placement/placement.go
@@ -8,12 +8,12 @@
 // # Terms
 //
 // A Shape is a number of accelerators with an adjacency. A Guarantee entitles a team to a number of
-// shapes at any time. A placement that uses a guarantee of its team is held; any other placement is
-// borrowed and can be reclaimed.
+// shapes at any time. A placement that uses a guarantee of its team cannot be reclaimed; any other
+// placement is borrowed and can be.
 //
 // # Usage
 //
-//	input := state.DecisionInput(now, yieldRank) // or a placement.Input of the caller's own
+//	input := state.DecisionInput(now, yieldRank) // or a placement.Input built by the caller
 //	decisions := placement.Decide(input, placement.CompletionProfile())
 package placement
 
@@ -26,10 +26,10 @@
 // Adjacency is the domain that all accelerators of a shape must share.
 type Adjacency string
 
-// The adjacencies, from the loosest to the tightest. AnyPlace means anywhere in one region, because
-// the connection between regions can be lost for minutes, which would stop a gang.
+// The adjacencies, from the loosest to the tightest. No gang spans regions, because the connection
+// between regions can be lost for minutes, which would stop the gang.
 const (
-	AnyPlace   Adjacency = "any"
+	SameRegion Adjacency = "any"
 	SameZone   Adjacency = "zone"
 	SameRack   Adjacency = "rack"
 	SameWorker Adjacency = "worker"
@@ -44,21 +44,22 @@
 	Adjacency    Adjacency `json:"adjacency"`
 }
 
-// Defaults returns the shape with AnyPlace if it has no adjacency.
-func (s Shape) Defaults() Shape {
+// WithDefaults returns the shape with the adjacency SameRegion if it has none.
+func (s Shape) WithDefaults() Shape {
 	if s.Adjacency == "" {
-		s.Adjacency = AnyPlace
+		s.Adjacency = SameRegion
 	}
 	return s
 }
 
-// Validate returns a *fault.Field for the first invalid field. Its name starts with the prefix.
+// Validate returns a *fault.Field for the first invalid field. The name of the field starts with
+// the prefix.
 func (s Shape) Validate(prefix string) error {
 	if s.Accelerators < 1 || s.Accelerators > MaxGang {
 		return fault.BadField(prefix+".accelerators", "want 1 to %d, got %d", MaxGang, s.Accelerators)
 	}
 	switch s.Adjacency {
-	case AnyPlace, SameZone, SameRack, SameWorker:
+	case SameRegion, SameZone, SameRack, SameWorker:
 		return nil
 	}
 	return fault.BadField(prefix+".adjacency", "want any, zone, rack or worker, got %q", s.Adjacency)
@@ -77,9 +78,9 @@
 	return regionLevel
 }
 
-// Covers reports whether a guarantee of shape s can be used by a session of the other shape, which
-// must have the same size and no tighter adjacency. The session is then placed with the shape s. A
-// smaller session is not covered, because the remaining accelerators of s could be taken by others.
+// Covers reports whether a session of the other shape can use a guarantee of shape s. The other
+// shape must have the same size and no tighter adjacency, and the session is placed with shape s. A
+// smaller session is not covered, because others could take the remaining accelerators of s.
 func (s Shape) Covers(other Shape) bool {
 	return s.Accelerators == other.Accelerators && s.Adjacency.tightness() >= other.Adjacency.tightness()
 }
@@ -87,7 +88,7 @@
 // Guarantee entitles a team to a number of placements of a shape.
 type Guarantee struct {
 	Shape
-	// Count is how many placements of the shape are guaranteed at the same time.
+	// Count is the number of placements of the shape that are guaranteed at the same time.
 	Count int `json:"count"`
 }
 
@@ -97,13 +98,13 @@
 	Accelerators []int  `json:"accelerators"`
 }
 
-// Worker is a machine and the use of its accelerators.
+// Worker is a box with the placements on its accelerators.
 type Worker struct {
 	Name   string
 	Rack   string
 	Zone   string
 	Region string
-	// Holders has the token of the placement on each accelerator; zero if it is free.
+	// Holders is the token of the placement on each accelerator; zero if the accelerator is free.
 	Holders []int64
 }
 
@@ -120,14 +121,14 @@
 	Urgent bool
 	// Stopping placements will release their accelerators.
 	Stopping bool
-	// For is the session for which a stopping placement was reclaimed.
-	For string
-	// YieldRank is the order of reclaiming, the lowest first.
+	// ReclaimedFor is the session for which a stopping placement was reclaimed.
+	ReclaimedFor string
+	// YieldRank determines the order of reclaiming; the lowest rank is reclaimed first.
 	YieldRank int
 	// Unsaved is the work lost if the placement stops now and its checkpoint fails.
 	Unsaved time.Duration
-	// Left is the expected time until the placement ends; zero if unknown.
-	Left time.Duration
+	// Remaining is the expected time until the placement ends; zero if unknown.
+	Remaining time.Duration
 }
 
 // Waiting is a session that waits to start.
@@ -136,13 +137,13 @@
 	Team    string
 	Shape   Shape
 	Urgent  bool
-	// Waited is the time for which it has been waiting.
+	// Waited is the time that the session has spent waiting.
 	Waited time.Duration
 	// Estimate is the expected run time; zero if unknown.
 	Estimate time.Duration
 }
 
-// Entitlement is a guarantee of a team and how many placements use it.
+// Entitlement is a guarantee of a team with the number of placements that use it.
 type Entitlement struct {
 	Team  string
 	Shape Shape
@@ -150,7 +151,7 @@
 	Used  int
 }
 
-// Input is everything that decisions depend on.
+// Input is the complete input of Decide.
 type Input struct {
 	Workers      []Worker
 	Running      []Running
@@ -164,7 +165,7 @@
 	Session string
 	// Members are the accelerators on which the session starts.
 	Members []Member
-	// Borrowed means that the session uses no guarantee.
+	// Borrowed means that the session starts without a guarantee.
 	Borrowed bool
 	// Victims are the tokens of the placements to reclaim for the session.
 	Victims []int64
--- a/sessions/placement/placement_test.go
+++ b/sessions/placement/placement_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// grid makes workers named w0, w1, ... with three to a rack and six to a zone.
+// grid returns workers named w000, w001, ... with three in each rack and six in each zone.
 func grid(workers, accelerators int) []Worker {
 	var list []Worker
 	for i := range workers {
@@ -22,8 +22,8 @@
 	return list
 }
 
-// hold puts a placement on the first n accelerators of a worker.
-func hold(in *Input, worker, n int, p Running) {
+// occupy puts a placement on the first n accelerators of a worker.
+func occupy(in *Input, worker, n int, p Running) {
 	for i := range n {
 		in.Workers[worker].Holders[i] = p.Token
 	}
@@ -33,7 +33,7 @@
 
 func TestDecide(t *testing.T) {
 	whole := Shape{Accelerators: 8, Adjacency: SameWorker}
-	one := Shape{Accelerators: 1, Adjacency: AnyPlace}
+	one := Shape{Accelerators: 1, Adjacency: SameRegion}
 	tests := []struct {
 		name string
 		in   func() Input
@@ -41,7 +41,7 @@
 	}{
 		{"a small job goes where it spoils least", func() Input {
 			in := Input{Workers: grid(3, 8), Waiting: []Waiting{{Session: "s", Shape: one}}}
-			hold(&in, 1, 5, Running{Token: 1, Borrowed: true})
+			occupy(&in, 1, 5, Running{Token: 1, Borrowed: true})
 			return in
 		}, "s on w001"},
 		{"a gang gets one rack, and whole workers first", func() Input {
@@ -49,9 +49,9 @@
 				Workers: grid(6, 8),
 				Waiting: []Waiting{{Session: "s", Shape: Shape{Accelerators: 16, Adjacency: SameRack}}},
 			}
-			hold(&in, 0, 4, Running{Token: 1, Borrowed: true})
-			hold(&in, 3, 8, Running{Token: 2, Borrowed: true})
-			hold(&in, 4, 1, Running{Token: 3, Borrowed: true})
+			occupy(&in, 0, 4, Running{Token: 1, Borrowed: true})
+			occupy(&in, 3, 8, Running{Token: 2, Borrowed: true})
+			occupy(&in, 4, 1, Running{Token: 3, Borrowed: true})
 			return in
 		}, "s on w001 w002"},
 		{"an owner takes borrowed room back, at the least lost work", func() Input {
@@ -60,8 +60,8 @@
 				Waiting:      []Waiting{{Session: "s", Team: "a", Shape: whole}},
 				Entitlements: []Entitlement{{Team: "a", Shape: whole, Count: 1}},
 			}
-			hold(&in, 0, 8, Running{Token: 1, Borrowed: true, Unsaved: time.Hour})
-			hold(&in, 1, 8, Running{Token: 2, Borrowed: true, Unsaved: time.Minute})
+			occupy(&in, 0, 8, Running{Token: 1, Borrowed: true, Unsaved: time.Hour})
+			occupy(&in, 1, 8, Running{Token: 2, Borrowed: true, Unsaved: time.Minute})
 			return in
 		}, "s takes 2"},
 		{"the policy's order goes before lost work", func() Input {
@@ -70,38 +70,38 @@
 				Waiting:      []Waiting{{Session: "s", Team: "a", Shape: whole}},
 				Entitlements: []Entitlement{{Team: "a", Shape: whole, Count: 1}},
 			}
-			hold(&in, 0, 8, Running{Token: 1, Borrowed: true, Unsaved: time.Hour})
-			hold(&in, 1, 8, Running{Token: 2, Borrowed: true, Unsaved: time.Minute, YieldRank: 50})
+			occupy(&in, 0, 8, Running{Token: 1, Borrowed: true, Unsaved: time.Hour})
+			occupy(&in, 1, 8, Running{Token: 2, Borrowed: true, Unsaved: time.Minute, YieldRank: 50})
 			return in
 		}, "s takes 1"},
 		{"what is held under a guarantee is never taken", func() Input {
 			in := Input{Workers: grid(1, 8), Waiting: []Waiting{{Session: "s", Team: "a", Shape: whole, Urgent: true}}}
-			hold(&in, 0, 8, Running{Token: 1})
+			occupy(&in, 0, 8, Running{Token: 1})
 			return in
 		}, ""},
 		{"urgent work does not take from urgent work", func() Input {
 			in := Input{Workers: grid(1, 8), Waiting: []Waiting{{Session: "s", Team: "a", Shape: whole, Urgent: true}}}
-			hold(&in, 0, 8, Running{Token: 1, Borrowed: true, Urgent: true})
+			occupy(&in, 0, 8, Running{Token: 1, Borrowed: true, Urgent: true})
 			return in
 		}, ""},
 		{"a gang does not span regions, which lose each other", func() Input {
 			in := Input{Workers: grid(2, 8), Waiting: []Waiting{
 				{
 					Session: "s",
-					Shape:   Shape{Accelerators: 9, Adjacency: AnyPlace},
-				}, {Session: "t", Shape: Shape{Accelerators: 8, Adjacency: AnyPlace}},
+					Shape:   Shape{Accelerators: 9, Adjacency: SameRegion},
+				}, {Session: "t", Shape: Shape{Accelerators: 8, Adjacency: SameRegion}},
 			}}
 			in.Workers[0].Region, in.Workers[1].Region = "north", "south"
 			return in
 		}, "t on w000"},
 		{"a team without a guarantee waits", func() Input {
 			in := Input{Workers: grid(1, 8), Waiting: []Waiting{{Session: "s", Team: "a", Shape: whole}}}
-			hold(&in, 0, 8, Running{Token: 1, Borrowed: true})
+			occupy(&in, 0, 8, Running{Token: 1, Borrowed: true})
 			return in
 		}, ""},
 		{"a start under a guarantee leaves room for the other guarantees", func() Input {
-			// Both fit only if the small one goes to the worker that is half used by what does
-			// not yield.
+			// Both guarantees fit only if the small session goes to the worker that is half
+			// occupied by a placement that cannot be reclaimed.
 			in := Input{
 				Workers: grid(2, 8), Waiting: []Waiting{{
 					Session: "s",
@@ -113,41 +113,41 @@
 					{Team: "b", Shape: Shape{Accelerators: 4, Adjacency: SameWorker}, Count: 1},
 				},
 			}
-			hold(&in, 0, 4, Running{Token: 1})
+			occupy(&in, 0, 4, Running{Token: 1})
 			return in
 		}, "s on w000"},
 		{"freed room is kept for the session that it was freed for", func() Input {
 			in := Input{Workers: grid(1, 8), Waiting: []Waiting{
 				{Session: "urgent", Shape: whole, Urgent: true}, {Session: "victim", Shape: one},
 			}}
-			hold(&in, 0, 3, Running{Token: 1, Borrowed: true, Stopping: true, For: "urgent"})
+			occupy(&in, 0, 3, Running{Token: 1, Borrowed: true, Stopping: true, ReclaimedFor: "urgent"})
 			return in
 		}, ""},
 		{"small work does not fill what a large gang waits for", func() Input {
 			in := Input{Workers: grid(1, 8), Waiting: []Waiting{
 				{Session: "large", Shape: whole, Waited: time.Hour}, {Session: "small", Shape: one, Estimate: 2 * time.Hour},
 			}}
-			hold(&in, 0, 7, Running{Token: 1, Borrowed: true, Left: time.Hour})
+			occupy(&in, 0, 7, Running{Token: 1, Borrowed: true, Remaining: time.Hour})
 			return in
 		}, ""},
 		{"small work that ends in time fills it", func() Input {
 			in := Input{Workers: grid(1, 8), Waiting: []Waiting{
 				{Session: "large", Shape: whole, Waited: time.Hour}, {Session: "small", Shape: one, Estimate: time.Minute},
 			}}
-			hold(&in, 0, 7, Running{Token: 1, Borrowed: true, Left: time.Hour})
+			occupy(&in, 0, 7, Running{Token: 1, Borrowed: true, Remaining: time.Hour})
 			return in
 		}, "small on w000"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if got := text(Decide(tt.in(), CompletionProfile())); got != tt.want {
+			if got := formatDecisions(Decide(tt.in(), CompletionProfile())); got != tt.want {
 				t.Errorf("got %q, want %q", got, tt.want)
 			}
 		})
 	}
 }
 
-func text(decisions []Decision) string {
+func formatDecisions(decisions []Decision) string {
 	var parts []string
 	for _, d := range decisions {
 		if len(d.Victims) > 0 {
@@ -163,21 +163,21 @@
 	return strings.ReplaceAll(strings.Join(parts, "; "), "[", "")
 }
 
-// sizes are few, so that guarantees and sessions often match.
+// sizes has few values so that guarantees and sessions often match.
 var sizes = []int{1, 2, 4, 8, 12}
 
-// drawInput draws a system with placements, guarantees and waiting sessions.
+// drawInput generates a system with placements, guarantees and waiting sessions.
 func drawInput(t *rapid.T) Input {
 	in := Input{Workers: grid(rapid.IntRange(1, 12).Draw(t, "workers"), rapid.IntRange(1, 8).Draw(t, "size"))}
-	adjacency := rapid.SampledFrom([]Adjacency{AnyPlace, SameZone, SameRack, SameWorker})
+	adjacency := rapid.SampledFrom([]Adjacency{SameRegion, SameZone, SameRack, SameWorker})
 	for i := range rapid.IntRange(0, 8).Draw(t, "placements") {
 		p := Running{
-			Token:    int64(i + 1),
-			Session:  fmt.Sprintf("r%d", i),
-			Team:     fmt.Sprintf("t%d", i%3),
-			Borrowed: rapid.Bool().Draw(t, "borrowed"),
-			Urgent:   rapid.Bool().Draw(t, "urgent"),
-			Left:     time.Duration(rapid.IntRange(0, 9).Draw(t, "left")) * time.Minute,
+			Token:     int64(i + 1),
+			Session:   fmt.Sprintf("r%d", i),
+			Team:      fmt.Sprintf("t%d", i%3),
+			Borrowed:  rapid.Bool().Draw(t, "borrowed"),
+			Urgent:    rapid.Bool().Draw(t, "urgent"),
+			Remaining: time.Duration(rapid.IntRange(0, 9).Draw(t, "left")) * time.Minute,
 		}
 		w := rapid.IntRange(0, len(in.Workers)-1).Draw(t, "on")
 		for a, h := range in.Workers[w].Holders {
@@ -210,7 +210,8 @@
 	return in
 }
 
-// TestDecisionsAreSound draws inputs and checks every decision against the input alone.
+// TestDecisionsAreSound checks every decision for random inputs. The checks use only the input, not
+// the decider's internal state.
 func TestDecisionsAreSound(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		in := drawInput(rt)
@@ -223,23 +224,23 @@
 		}).Draw(rt, "profile")
 		decisions := Decide(in, profile)
 		if fmt.Sprintf("%+v", in) != before {
-			rt.Fatal("the input was changed")
+			rt.Fatal("Decide modified its input")
 		}
 		if !reflect.DeepEqual(decisions, Decide(in, profile)) {
-			rt.Fatal("the same input gave other decisions")
+			rt.Fatal("the same input gave different decisions")
 		}
-		if plain := decideAnew(in, profile); !reflect.DeepEqual(decisions, plain) {
-			rt.Fatalf("remembered searches changed the decisions: %+v, not %+v", decisions, plain)
+		if plain := decideWithoutCache(in, profile); !reflect.DeepEqual(decisions, plain) {
+			rt.Fatalf("caching failed searches changed the decisions: got %+v, want %+v", decisions, plain)
 		}
 		checkDecisions(rt, in, decisions)
 	})
 }
 
-// decideAnew is Decide without remembered searches.
-func decideAnew(in Input, profile Profile) []Decision {
+// decideWithoutCache is Decide without the cache of failed searches.
+func decideWithoutCache(in Input, profile Profile) []Decision {
 	d := newDecider(in, profile)
 	for _, w := range d.order() {
-		clear(d.noFit)
+		clear(d.failedSearches)
 		d.place(w)
 	}
 	return d.decisions
@@ -268,7 +269,7 @@
 		for _, token := range d.Victims {
 			p := running[token]
 			if !p.Borrowed || p.Stopping || (p.Urgent && UnusedEntitlement(entitlements, w.Team, w.Shape) < 0) {
-				rt.Fatalf("%s takes %+v", d.Session, p)
+				rt.Fatalf("%s reclaims %+v, which is not allowed", d.Session, p)
 			}
 		}
 		if len(d.Members) == 0 {
@@ -280,7 +281,7 @@
 			for _, a := range m.Accelerators {
 				key := fmt.Sprintf("%s/%d", m.Worker, a)
 				if used[key] || place[m.Worker].Holders[a] != 0 {
-					rt.Fatalf("%s gets %s, which is not free", d.Session, key)
+					rt.Fatalf("%s is assigned %s, which is not free", d.Session, key)
 				}
 				used[key] = true
 				count++
@@ -292,19 +293,19 @@
 		a := w.Shape.Adjacency
 		if count != w.Shape.Accelerators || (a == SameZone && len(zones) > 1) || (a == SameRack && len(racks) > 1) ||
 			(a == SameWorker && len(d.Members) > 1) {
-			rt.Fatalf("%s asked for %v and gets %v", d.Session, w.Shape, d.Members)
+			rt.Fatalf("%s requested %v and is assigned %v", d.Session, w.Shape, d.Members)
 		}
 		if !d.Borrowed {
 			i := UnusedEntitlement(entitlements, w.Team, w.Shape)
 			if i < 0 {
-				rt.Fatalf("%s has no guarantee", d.Session)
+				rt.Fatalf("%s starts under a guarantee that it does not have", d.Session)
 			}
 			entitlements[i].Used++
 		}
 	}
 	usable := func(h int64) bool { return h == 0 || (h > 0 && running[h].Borrowed) }
 	if feasible && !Feasible(NewCapacity(NewTopology(taken), taken, usable), entitlements) {
-		rt.Fatalf("guarantees were feasible and are no more after %+v", decisions)
+		rt.Fatalf("guarantees were feasible, but are not after %+v", decisions)
 	}
 }
 
--- a/sessions/placement/reclaim.go
+++ b/sessions/placement/reclaim.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// reclaim decides to stop borrowed placements so that the session fits, in the domain with the
-// lowest cost. It reports false if there is no such domain.
+// reclaim decides to stop borrowed placements so that the session fits into a domain, and chooses
+// the domain where this costs least. It reports false if there is none.
 func (d *decider) reclaim(w Waiting) bool {
 	var victims []*Running
 	lowest, node := victimCost{}, -1
@@ -26,38 +26,40 @@
 	}
 	d.decisions = append(d.decisions, decision)
 	for _, p := range victims {
-		p.Stopping, p.For = true, w.Session
+		p.Stopping, p.ReclaimedFor = true, w.Session
 	}
-	d.awaiting[w.Session] = true
-	d.holdFree(w, node)
+	d.reclaimingFor[w.Session] = true
+	d.holdForSession(w, node)
 	return true
 }
 
-// awaitVictims holds the accelerators that are being reclaimed for the session. It reports false if
-// they will not be enough, or if none are being reclaimed.
-func (d *decider) awaitVictims(w Waiting) bool {
-	if !d.awaiting[w.Session] {
+// awaitReclaimed holds free accelerators in the domain where placements are being reclaimed for the
+// session. It reports false if there will not be enough accelerators, or if none are being
+// reclaimed.
+func (d *decider) awaitReclaimed(w Waiting) bool {
+	if !d.reclaimingFor[w.Session] {
 		return false
 	}
 	found, most := -1, 0
 	for _, at := range d.topology.domains(w.Shape.Adjacency) {
-		if coming := d.free.free[at] + d.comingFor(w.Session, at); coming > most {
-			found, most = at, coming
+		if expected := d.free.free[at] + d.countPending(w.Session, at); expected > most {
+			found, most = at, expected
 		}
 	}
 	if most < w.Shape.Accelerators {
 		return false
 	}
-	d.holdFree(w, found)
+	d.holdForSession(w, found)
 	return true
 }
 
-// comingFor counts the accelerators of the node that are being reclaimed for the session.
-func (d *decider) comingFor(session string, at int) int {
+// countPending returns the number of accelerators of the node that are being reclaimed for the
+// session.
+func (d *decider) countPending(session string, at int) int {
 	n := 0
 	d.eachWorker(at, func(worker int) {
 		for _, h := range d.input.Workers[worker].Holders {
-			if p, found := d.running[h]; found && p.Stopping && p.For == session {
+			if p, found := d.running[h]; found && p.Stopping && p.ReclaimedFor == session {
 				n++
 			}
 		}
@@ -65,16 +67,16 @@
 	return n
 }
 
-// holdFree holds the free accelerators that the session needs in addition to those still to be
-// released. The victims release them one by one; without this other sessions, the victims first of
-// all, would take them again.
-func (d *decider) holdFree(w Waiting, at int) {
-	clear(d.noFit)
-	d.withhold(d.unheld, at, max(0, w.Shape.Accelerators-d.comingFor(w.Session, at)))
+// holdForSession holds the free accelerators that the session needs in addition to those that are
+// still to be released. Victims release their accelerators one by one; if these were not held,
+// other sessions, and the victims themselves in particular, would take them again.
+func (d *decider) holdForSession(w Waiting, at int) {
+	clear(d.failedSearches)
+	d.subtract(d.available, at, max(0, w.Shape.Accelerators-d.countPending(w.Session, at)))
 }
 
-// victimCost is the cost of reclaiming a set of placements: their highest yield rank, then the work
-// lost, then their number.
+// victimCost is the cost of reclaiming a set of placements. It is compared by the highest yield
+// rank, then the work lost, then the number of placements.
 type victimCost struct {
 	rank  int
 	lost  time.Duration
@@ -91,51 +93,51 @@
 	return c.count < other.count
 }
 
-// victims returns borrowed placements whose end leaves n accelerators of the node free. Only
-// the owner of a guarantee may reclaim urgent placements.
+// victims returns borrowed placements that must stop so that n accelerators of the node are free.
+// Only the owner of a guarantee may reclaim urgent placements.
 func (d *decider) victims(at, n int, owner bool) ([]*Running, victimCost, bool) {
-	short := n - d.free.free[at]
+	missing := n - d.free.free[at]
 	if d.reclaimable.free[at] < n {
 		return nil, victimCost{}, false
 	}
-	here := make(map[int64]int)
+	countByToken := make(map[int64]int)
 	d.eachWorker(at, func(worker int) {
 		for _, h := range d.input.Workers[worker].Holders {
 			if p, found := d.running[h]; found && p.Borrowed && !p.Stopping && (owner || !p.Urgent) {
-				here[h]++
+				countByToken[h]++
 			}
 		}
 	})
-	candidates := make([]*Running, 0, len(here))
-	for token := range here {
+	candidates := make([]*Running, 0, len(countByToken))
+	for token := range countByToken {
 		candidates = append(candidates, d.running[token])
 	}
-	sort.Slice(candidates, func(i, j int) bool { return d.yieldsBefore(candidates[i], candidates[j], here) })
+	sort.Slice(candidates, func(i, j int) bool { return d.yieldsBefore(candidates[i], candidates[j], countByToken) })
 	var list []*Running
 	cost := victimCost{}
 	for _, p := range candidates {
-		if short <= 0 {
+		if missing <= 0 {
 			break
 		}
 		list = append(list, p)
-		short -= here[p.Token]
+		missing -= countByToken[p.Token]
 		cost = victimCost{
 			rank:  max(cost.rank, p.YieldRank),
 			lost:  cost.lost + p.Unsaved*time.Duration(p.Shape.Accelerators),
 			count: cost.count + 1,
 		}
 	}
-	return list, cost, short <= 0 && len(list) > 0
+	return list, cost, missing <= 0 && len(list) > 0
 }
 
-// yieldsBefore orders victims by yield rank, then by the work lost per accelerator freed in the
-// domain.
-func (d *decider) yieldsBefore(a, b *Running, here map[int64]int) bool {
+// yieldsBefore reports whether a is reclaimed before b. Victims are ordered by yield rank, then by
+// the work lost per accelerator that is freed in the domain.
+func (d *decider) yieldsBefore(a, b *Running, countByToken map[int64]int) bool {
 	if a.YieldRank != b.YieldRank {
 		return a.YieldRank < b.YieldRank
 	}
-	lostA := a.Unsaved * time.Duration(a.Shape.Accelerators) / time.Duration(here[a.Token])
-	lostB := b.Unsaved * time.Duration(b.Shape.Accelerators) / time.Duration(here[b.Token])
+	lostA := a.Unsaved * time.Duration(a.Shape.Accelerators) / time.Duration(countByToken[a.Token])
+	lostB := b.Unsaved * time.Duration(b.Shape.Accelerators) / time.Duration(countByToken[b.Token])
 	if lostA != lostB {
 		return lostA < lostB
 	}
--- a/sessions/placement/reclaim_test.go
+++ b/sessions/placement/reclaim_test.go
@@ -6,8 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestReclaimEnds plays an owner and an urgent session against borrowers that come back at
-// once. Each gets its room after a bounded number of rounds, in its shape.
+// TestReclaimEnds checks that reclaiming terminates: a session with an unused guarantee starts
+// within a bounded number of rounds, although urgent sessions compete for the accelerators and
+// reclaimed sessions are queued again at once.
 func TestReclaimEnds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		in := drawInput(rt)
@@ -35,26 +36,27 @@
 				in.Waiting[i].Team = "none" // another session of the team would use the guarantee first
 			}
 		}
-		sim := &rounds{in: in, token: 100}
+		sim := &simulation{in: in, token: 100}
 		sim.run(3)
 		sim.in.Waiting = append(sim.in.Waiting, late)
 		if !sim.run(12)[name] {
-			rt.Fatalf("%s has a guarantee and does not run: %+v", name, sim.in)
+			rt.Fatalf("%s has a guarantee but is not running: %+v", name, sim.in)
 		}
 	})
 }
 
-// rounds applies decisions round by round. What is taken back waits again; victims of one
-// decision are released one at a time, which is the hard case.
-type rounds struct {
-	in    Input
-	token int64
-	specs map[string]Waiting
+// simulation applies decisions in rounds. Reclaimed sessions are queued again. Victims of one
+// decision are released one at a time, because that gives other sessions the most opportunities to
+// take the accelerators.
+type simulation struct {
+	in               Input
+	token            int64
+	waitingBySession map[string]Waiting
 }
 
-func (r *rounds) run(n int) map[string]bool {
-	if r.specs == nil {
-		r.specs = map[string]Waiting{}
+func (r *simulation) run(n int) map[string]bool {
+	if r.waitingBySession == nil {
+		r.waitingBySession = map[string]Waiting{}
 	}
 	started := map[string]bool{}
 	for _, p := range r.in.Running {
@@ -62,7 +64,7 @@
 	}
 	for range n {
 		for _, w := range r.in.Waiting {
-			r.specs[w.Session] = w
+			r.waitingBySession[w.Session] = w
 		}
 		for _, d := range Decide(r.in, CompletionProfile()) {
 			r.apply(d, started)
@@ -72,11 +74,11 @@
 	return started
 }
 
-func (r *rounds) apply(d Decision, started map[string]bool) {
+func (r *simulation) apply(d Decision, started map[string]bool) {
 	for _, token := range d.Victims {
 		for i := range r.in.Running {
 			if r.in.Running[i].Token == token {
-				r.in.Running[i].Stopping, r.in.Running[i].For = true, d.Session
+				r.in.Running[i].Stopping, r.in.Running[i].ReclaimedFor = true, d.Session
 			}
 		}
 	}
@@ -85,7 +87,7 @@
 	}
 	r.token++
 	started[d.Session] = true
-	w := r.specs[d.Session]
+	w := r.waitingBySession[d.Session]
 	for _, m := range d.Members {
 		for _, a := range m.Accelerators {
 			r.in.Workers[workerIndex(r.in, m.Worker)].Holders[a] = r.token
@@ -110,7 +112,7 @@
 	}
 }
 
-func (r *rounds) releaseOne(started map[string]bool) {
+func (r *simulation) releaseOne(started map[string]bool) {
 	for i, p := range r.in.Running {
 		if !p.Stopping {
 			continue
@@ -124,7 +126,7 @@
 		}
 		started[p.Session] = false
 		r.in.Running = append(r.in.Running[:i:i], r.in.Running[i+1:]...)
-		r.in.Waiting = append(r.in.Waiting, r.specs[p.Session])
+		r.in.Waiting = append(r.in.Waiting, r.waitingBySession[p.Session])
 		return
 	}
 }
--- a/sessions/placement/reserve.go
+++ b/sessions/placement/reserve.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// unknownLeft is the assumed rest of the run time of a placement without an estimate.
-const unknownLeft = 24 * time.Hour
+// defaultRemaining is the assumed remaining run time of a placement without an estimate.
+const defaultRemaining = 24 * time.Hour
 
 // maxReservations is the number of bits for reservations in a search.
 const maxReservations = 64
 
-// reservation holds free accelerators of a domain for a gang that waits for placements there to
-// end.
+// reservation holds free accelerators of a domain for a gang that waits for other placements in the
+// domain to end.
 type reservation struct {
 	node int
-	// hold is how many of the domain's free accelerators are held.
-	hold int
-	// starts is the expected time until the gang can start. Sessions that end before then may use
+	// count is the number of the domain's free accelerators that are held.
+	count int
+	// startsIn is the expected time until the gang can start. Sessions that end before then may use
 	// the held accelerators.
-	starts time.Duration
+	startsIn time.Duration
 }
 
-// reserve reserves the domain in which the session is expected to be able to start first.
+// reserve reserves the domain in which the session is expected to start earliest.
 func (d *decider) reserve(w Waiting) {
 	if len(d.reserved) >= min(d.profile.Reservations, maxReservations) || w.Shape.Accelerators < d.profile.ReserveFrom {
 		return
@@ -34,8 +34,8 @@
 			continue
 		}
 		starts, ok := d.expectedStart(at, w.Shape.Accelerators)
-		if ok && (found.node < 0 || starts < found.starts) {
-			found = reservation{node: at, hold: w.Shape.Accelerators, starts: starts}
+		if ok && (found.node < 0 || starts < found.startsIn) {
+			found = reservation{node: at, count: w.Shape.Accelerators, startsIn: starts}
 		}
 	}
 	if found.node >= 0 {
@@ -53,11 +53,11 @@
 }
 
 // expectedStart returns the expected time until n accelerators of the node are free. It reports
-// false if the node has fewer.
+// false if the node has fewer than n.
 func (d *decider) expectedStart(at, n int) (time.Duration, bool) {
 	type ending struct {
-		left  time.Duration
-		count int
+		remaining time.Duration
+		count     int
 	}
 	if d.free.size[at] < n {
 		return 0, false
@@ -66,48 +66,48 @@
 	if free >= n {
 		return 0, true
 	}
-	here := make(map[int64]int)
+	countByToken := make(map[int64]int)
 	d.eachWorker(at, func(worker int) {
 		for _, h := range d.input.Workers[worker].Holders {
 			if h > 0 {
-				here[h]++
+				countByToken[h]++
 			}
 		}
 	})
-	endings := make([]ending, 0, len(here))
-	for token, count := range here {
-		endings = append(endings, ending{left: d.left(token), count: count})
+	endings := make([]ending, 0, len(countByToken))
+	for token, count := range countByToken {
+		endings = append(endings, ending{remaining: d.remaining(token), count: count})
 	}
-	sort.Slice(endings, func(i, j int) bool { return endings[i].left < endings[j].left })
+	sort.Slice(endings, func(i, j int) bool { return endings[i].remaining < endings[j].remaining })
 	for _, e := range endings {
 		free += e.count
 		if free >= n {
-			return e.left, true
+			return e.remaining, true
 		}
 	}
 	return 0, false
 }
 
-func (d *decider) left(token int64) time.Duration {
+func (d *decider) remaining(token int64) time.Duration {
 	p, found := d.running[token]
 	switch {
 	case !found:
-		return unknownLeft
+		return defaultRemaining
 	case p.Stopping:
 		return 0
-	case p.Left <= 0:
-		return unknownLeft
+	case p.Remaining <= 0:
+		return defaultRemaining
 	}
-	return p.Left
+	return p.Remaining
 }
 
-// reservedFor returns the reservations that the session must respect, one bit each. Urgent sessions
-// respect none, and a session that is expected to end before a reserved gang starts may use what is
-// held for it.
+// reservedFor returns the reservations that the session must respect, one bit for each. Urgent
+// sessions respect none, and a session that is expected to end before a reserved gang starts may
+// use the accelerators held for the gang.
 func (d *decider) reservedFor(w Waiting) uint64 {
 	var bits uint64
 	for i, r := range d.reserved {
-		mayUse := w.Urgent || (!d.profile.NoBackfill && w.Estimate > 0 && w.Estimate <= r.starts)
+		mayUse := w.Urgent || (!d.profile.NoBackfill && w.Estimate > 0 && w.Estimate <= r.startsIn)
 		if !mayUse {
 			bits |= 1 << i
 		}
@@ -115,23 +115,23 @@
 	return bits
 }
 
-// unreserved returns the free accelerators without those of the given reservations.
+// unreserved returns the available accelerators without those of the given reservations.
 func (d *decider) unreserved(reserved uint64) *Capacity {
 	if reserved == 0 {
-		return d.unheld
+		return d.available
 	}
-	rest := d.unheld.Clone()
+	rest := d.available.Clone()
 	for i, r := range d.reserved {
 		if reserved&(1<<i) != 0 {
-			d.withhold(rest, r.node, r.hold)
+			d.subtract(rest, r.node, r.count)
 		}
 	}
 	return rest
 }
 
-// withhold takes n accelerators of the node out of the capacity. It starts with the workers
-// that have the most, so that the fragments remain usable.
-func (d *decider) withhold(c *Capacity, node, n int) {
+// subtract removes n free accelerators of the node from the capacity. It starts with the workers
+// that have the most, so that smaller fragments remain usable.
+func (d *decider) subtract(c *Capacity, node, n int) {
 	var leaves []int
 	d.eachWorker(node, func(worker int) {
 		if leaf := d.topology.leaf[worker]; c.free[leaf] > 0 {
--- a/sessions/placement/topology.go
+++ b/sessions/placement/topology.go
@@ -13,13 +13,13 @@
 // Topology is the tree of regions, zones, racks and workers. It is immutable.
 type Topology struct {
 	nodes []node
-	// leaf has the node of each worker, by its index.
+	// leaf is the node of each worker, by worker index.
 	leaf []int
 	// levels lists the nodes of each level, from the root to the workers.
 	levels [workerLevel + 1][]int
 }
 
-// The levels of the tree.
+// Levels of the tree, from the root down.
 const (
 	rootLevel = iota
 	regionLevel
@@ -28,7 +28,7 @@
 	workerLevel
 )
 
-// NewTopology returns the tree of the workers, ordered by name at each level.
+// NewTopology returns the tree of the workers. Each level is ordered by name.
 func NewTopology(workers []Worker) *Topology {
 	t := &Topology{nodes: []node{{parent: -1, worker: -1}}, leaf: make([]int, len(workers))}
 	t.levels[rootLevel] = []int{0}
@@ -78,5 +78,5 @@
 	return n
 }
 
-// domains returns the domains that satisfy an adjacency.
+// domains returns the largest domains whose accelerators satisfy an adjacency.
 func (t *Topology) domains(a Adjacency) []int { return t.levels[a.tightness()] }
--- a/sessions/policy/golden_test.go
+++ b/sessions/policy/golden_test.go
@@ -12,7 +12,8 @@
 	goldentest.JSON(t, "questions", []Question{Allow, NotRepeatable, YieldRank})
 }
 
-// TestGoldenSubject: a stored policy that names every field of a subject still says the same.
+// TestGoldenSubject checks that a stored policy that uses every field of a subject still compiles
+// and matches the same subject.
 func TestGoldenSubject(t *testing.T) {
 	goldentest.JSON(t, "subject-policy", Policy{Name: "every-field", Decides: Allow, Source: `kind == "session" and ` +
 		`team == "plates" and service == "parkpay" and bytes == 1 and session == "session-1" and accelerators == 2 and ` +
@@ -30,9 +31,9 @@
 		Adjacency: "rack", Urgent: true, WorkSeconds: 3,
 	}
 	if allowed, _ := set.Allowed(full); !allowed {
-		t.Error("the subject that the policy describes is not allowed")
+		t.Error("the subject that matches the policy is not allowed")
 	}
 	if allowed, _ := set.Allowed(Subject{Kind: RequestKind}); allowed {
-		t.Error("another subject is allowed")
+		t.Error("a subject that does not match the policy is allowed")
 	}
 }
--- a/sessions/policy/policy.go
+++ b/sessions/policy/policy.go
@@ -1,15 +1,16 @@
-// Package policy validates and runs the expressions by which operators decide who may use the
-// system, which sessions are reclaimed first, and which requests must not be repeated.
+// Package policy validates and evaluates the expressions with which operators control who may use
+// the system, which sessions are reclaimed first, and which requests must not be repeated.
 //
-// A policy is an expression of the expr language that decides one Question about a Subject, which
+// A policy is an expression in the expr language that answers one Question about a Subject, which
 // is a request or a session:
 //
 //	allow           boolean: whether the subject may use the system. All allow policies must be true.
-//	not_repeatable  boolean: whether the subject must run at most once. One true policy is enough.
-//	yield_rank      number from 0 to 100: subjects with a lower rank are reclaimed first. The highest
-//	                rank of all policies counts.
+//	not_repeatable  boolean: whether the subject must run at most once. One true policy is sufficient.
+//	yield_rank      integer from 0 to 100: subjects with a lower rank are reclaimed first. The highest
+//	                rank of all policies applies.
 //
-// The package owns no state; the ledger stores the policies. It depends only on the expr library.
+// The package owns no state; the ledger stores the policies. The only dependency is the expr
+// library.
 //
 // # Usage
 //
@@ -19,7 +20,7 @@
 // # Limits
 //
 // A program has at most maxNodes nodes and no loops: Validate rejects ranges and functions that
-// iterate over lists. A program that fails at run time has the safe result: not allowed, not
+// iterate over lists. A program that fails at run time yields the safe result: not allowed, not
 // repeatable, reclaimed last.
 package policy
 
@@ -38,10 +39,10 @@
 	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
-// Question is what a policy decides.
+// Question identifies what a policy decides.
 type Question string
 
-// The questions.
+// The questions that a policy can decide.
 const (
 	Allow         Question = "allow"
 	NotRepeatable Question = "not_repeatable"
@@ -53,26 +54,26 @@
 	maxNodes = 200
 	// maxSource is the maximum length of the source in bytes.
 	maxSource = 4 << 10
-	// LastRank is the rank of subjects that are reclaimed last.
-	LastRank = 100
+	// MaxYieldRank is the highest rank. Subjects with this rank are reclaimed last.
+	MaxYieldRank = 100
 )
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
-// Policy is a policy as an operator publishes it.
+// Policy is a policy as published by an operator.
 type Policy struct {
 	Name    string   `json:"name"`
 	Decides Question `json:"decides"`
 	Source  string   `json:"source"`
 }
 
-// Subject is the input of a policy. Fields that do not apply to its kind are empty.
+// Subject is the input of a policy. Fields that do not apply to the kind of the subject are empty.
 type Subject struct {
 	// Kind is "request" or "session".
 	Kind    string `expr:"kind"`
 	Team    string `expr:"team"`
 	Service string `expr:"service"`
-	// Bytes is the length of a request's body.
+	// Bytes is the length of the request body.
 	Bytes int `expr:"bytes"`
 	// Session is the name of a session.
 	Session      string `expr:"session"`
@@ -88,14 +89,14 @@
 	SessionKind = "session"
 )
 
-// Validate compiles the policy. Its error is a *fault.Field and has the position in the source.
+// Validate compiles the policy. The error is a *fault.Field with the position in the source.
 func (p Policy) Validate() error {
 	_, err := p.compile()
 	return err
 }
 
-// walkers are the functions of the expr language that iterate over lists.
-var walkers = []string{
+// iteratingBuiltins are the functions of the expr language that iterate over lists.
+var iteratingBuiltins = []string{
 	"all", "none", "any", "one", "filter", "map", "count", "sum", "find", "findIndex", "findLast", "findLastIndex",
 	"groupBy", "sortBy", "reduce", "repeat", "split", "splitAfter", "flatten", "concat", "join",
 }
@@ -110,11 +111,12 @@
 	if len(p.Source) > maxSource {
 		return nil, fault.BadField("source", "want at most %d bytes, got %d", maxSource, len(p.Source))
 	}
-	want, found := kinds[p.Decides]
+	want, found := resultKinds[p.Decides]
 	if !found {
 		return nil, fault.BadField("decides", "want %s, %s or %s, got %q", Allow, NotRepeatable, YieldRank, p.Decides)
 	}
-	// The optimizer may remove ranges and constant results, so they are checked without it.
+	// The optimizer may remove ranges and constant results, so these are checked in a program that
+	// is compiled without it.
 	plain, err := expr.Compile(p.Source, append(options(), expr.Optimize(false))...)
 	if err != nil {
 		return nil, sourceError(err)
@@ -132,8 +134,8 @@
 	return program, nil
 }
 
-// kinds has the result type of each question.
-var kinds = map[Question]reflect.Kind{
+// resultKinds maps each question to the type of its result.
+var resultKinds = map[Question]reflect.Kind{
 	Allow:         reflect.Bool,
 	NotRepeatable: reflect.Bool,
 	YieldRank:     reflect.Int,
@@ -141,7 +143,7 @@
 
 func options() []expr.Option {
 	list := []expr.Option{expr.Env(Subject{}), expr.MaxNodes(maxNodes)}
-	for _, name := range walkers {
+	for _, name := range iteratingBuiltins {
 		list = append(list, expr.DisableBuiltin(name))
 	}
 	return list
@@ -155,7 +157,7 @@
 	return fault.BadField("source", "%v", err)
 }
 
-// rangeFinder searches for the range operator, the only loop that is not a function.
+// rangeFinder is a visitor that detects the range operator, the only loop that is not a function.
 type rangeFinder struct{ found bool }
 
 // Visit implements ast.Visitor.
@@ -174,15 +176,16 @@
 	return nil
 }
 
-// rule is a compiled policy. program is nil if this version cannot compile it.
-type rule struct {
+// compiledPolicy is a policy with its program, which is nil if this version cannot compile the
+// policy.
+type compiledPolicy struct {
 	policy  Policy
 	program *vm.Program
 }
 
 // Set is a set of compiled policies. It is immutable.
 type Set struct {
-	rules []rule
+	compiled []compiledPolicy
 	// onFailure is called for each policy that does not compile or fails at run time.
 	onFailure func(policy string, err error)
 }
@@ -199,35 +202,35 @@
 		if err != nil {
 			onFailure(p.Name, err)
 		}
-		s.rules = append(s.rules, rule{policy: p, program: program})
+		s.compiled = append(s.compiled, compiledPolicy{policy: p, program: program})
 	}
 	return s
 }
 
-// Allowed reports whether all allow policies are true. If not, it also returns the name of the
-// first one that is not.
+// Allowed reports whether all allow policies are true for the subject. Otherwise it also returns
+// the name of the first policy that is not.
 func (s *Set) Allowed(subject Subject) (bool, string) {
-	for _, r := range s.rules {
+	for _, r := range s.compiled {
 		if r.policy.Decides != Allow {
 			continue
 		}
 		if allowed, err := run[bool](r, subject); err != nil || !allowed {
-			s.failed(r, err)
+			s.reportFailure(r, err)
 			return false, r.policy.Name
 		}
 	}
 	return true, ""
 }
 
-// NotRepeatable reports whether a policy demands that the subject runs at most once, and the
-// name of the policy.
+// NotRepeatable reports whether a policy requires that the subject runs at most once. If so, it
+// also returns the name of that policy.
 func (s *Set) NotRepeatable(subject Subject) (bool, string) {
-	for _, r := range s.rules {
+	for _, r := range s.compiled {
 		if r.policy.Decides != NotRepeatable {
 			continue
 		}
 		once, err := run[bool](r, subject)
-		s.failed(r, err)
+		s.reportFailure(r, err)
 		if err != nil || once {
 			return true, r.policy.Name
 		}
@@ -235,30 +238,30 @@
 	return false, ""
 }
 
-// YieldRank returns the subject's rank in the order of reclaiming, 0 to LastRank.
+// YieldRank returns the rank of the subject in the order of reclaiming, from 0 to MaxYieldRank.
 func (s *Set) YieldRank(subject Subject) int {
 	highest := 0
-	for _, r := range s.rules {
+	for _, r := range s.compiled {
 		if r.policy.Decides != YieldRank {
 			continue
 		}
 		rank, err := run[int](r, subject)
-		s.failed(r, err)
+		s.reportFailure(r, err)
 		if err != nil {
-			rank = LastRank
+			rank = MaxYieldRank
 		}
-		highest = max(highest, min(max(rank, 0), LastRank))
+		highest = max(highest, min(max(rank, 0), MaxYieldRank))
 	}
 	return highest
 }
 
-func (s *Set) failed(r rule, err error) {
+func (s *Set) reportFailure(r compiledPolicy, err error) {
 	if err != nil {
 		s.onFailure(r.policy.Name, err)
 	}
 }
 
-func run[T any](r rule, subject Subject) (T, error) {
+func run[T any](r compiledPolicy, subject Subject) (T, error) {
 	var zero T
 	if r.program == nil {
 		return zero, errors.New("does not compile")
--- a/sessions/policy/policy_test.go
+++ b/sessions/policy/policy_test.go
@@ -10,7 +10,7 @@
 	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
-// load reads an example policy.
+// load reads and validates a policy from the examples directory.
 func load(t testing.TB, path string) Policy {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("..", "..", "examples", path))
@@ -27,12 +27,12 @@
 	return p
 }
 
-// TestExamples runs each shipped policy against subjects that it is meant for.
+// TestExamples evaluates each example policy for subjects that it matches and for others.
 func TestExamples(t *testing.T) {
 	tests := []struct {
 		file    string
 		subject Subject
-		want    int // a boolean is 0 or 1
+		want    int // 0 or 1 for a boolean result
 	}{
 		{"parkomat/payments-once.json", Subject{Kind: RequestKind, Service: "payments"}, 1},
 		{"parkomat/payments-once.json", Subject{Kind: RequestKind, Service: "plates"}, 0},
@@ -58,10 +58,10 @@
 		switch p.Decides {
 		case Allow:
 			allowed, _ := set.Allowed(tt.subject)
-			got = number(allowed)
+			got = toInt(allowed)
 		case NotRepeatable:
 			once, _ := set.NotRepeatable(tt.subject)
-			got = number(once)
+			got = toInt(once)
 		}
 		if got != tt.want {
 			t.Errorf("%s of %+v: got %d, want %d", tt.file, tt.subject, got, tt.want)
@@ -69,14 +69,14 @@
 	}
 }
 
-func number(b bool) int {
+func toInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// TestRefused has programs that must not get into force. Each is refused with its place.
+// TestRefused checks that invalid programs are rejected with the position of the error.
 func TestRefused(t *testing.T) {
 	for _, tt := range []struct{ name, source, want string }{
 		{"does not parse", "team ==", "line 1"},
@@ -97,16 +97,16 @@
 		})
 	}
 	if err := (Policy{Name: "p", Decides: YieldRank, Source: "bytes / accelerators"}).Validate(); err == nil {
-		t.Error("a rank that may be no number was taken")
+		t.Error("a rank that is not an integer was accepted")
 	}
 	err := (Policy{Name: "p", Decides: "other", Source: "true"}).Validate()
 	if err == nil || !strings.Contains(err.Error(), "decides") {
-		t.Errorf("an unknown question: %v", err)
+		t.Errorf("unknown question: got %v, want an error of decides", err)
 	}
 }
 
-// TestSafeSide runs policies that do not compile here, as after a downgrade. Each falls to the
-// safe side and is reported.
+// TestSafeSide evaluates policies that do not compile, as after a downgrade to a version without a
+// function, or that fail at run time. Each must yield the safe result and be reported.
 func TestSafeSide(t *testing.T) {
 	failures := 0
 	set := NewSet([]Policy{
@@ -115,20 +115,20 @@
 		{Name: "c", Decides: YieldRank, Source: "bytes % accelerators"},
 	}, func(string, error) { failures++ })
 	if allowed, name := set.Allowed(Subject{}); allowed || name != "a" {
-		t.Error("a policy that fails allows")
+		t.Error("a failing policy allows the subject")
 	}
 	if once, _ := set.NotRepeatable(Subject{}); !once {
-		t.Error("a policy that fails lets a request be repeated")
+		t.Error("a failing policy allows a request to be repeated")
 	}
-	if rank := set.YieldRank(Subject{}); rank != LastRank {
-		t.Errorf("a policy that fails gives rank %d, want %d", rank, LastRank)
+	if rank := set.YieldRank(Subject{}); rank != MaxYieldRank {
+		t.Errorf("a failing policy yields rank %d, want %d", rank, MaxYieldRank)
 	}
 	if failures == 0 {
 		t.Error("no failure was reported")
 	}
 }
 
-// FuzzPolicy wants every source to be refused, or to run to an answer without a panic.
+// FuzzPolicy checks that every source is either rejected or evaluated without a panic.
 func FuzzPolicy(f *testing.F) {
 	f.Add("team == \"a\" && bytes < 10")
 	f.Add("let x = 1; x > 0 ? urgent : !urgent")
@@ -140,7 +140,7 @@
 	})
 }
 
-// BenchmarkPolicy is the cost of one evaluation.
+// BenchmarkPolicy measures one evaluation of a policy.
 func BenchmarkPolicy(b *testing.B) {
 	set := NewSet([]Policy{load(b, "tawazun/members-only.json")}, nil)
 	subject := Subject{Kind: SessionKind, Team: "board", Accelerators: 64}
--- a/sessions/request/admission.go
+++ b/sessions/request/admission.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// firstEstimate is the assumed service time until one has been measured.
-	firstEstimate = 20 * time.Millisecond
+	// initialEstimate is the assumed service time before the first measurement.
+	initialEstimate = 20 * time.Millisecond
 	// Each measurement moves the estimate of the service time by 1/estimateWeight.
 	estimateWeight = 8
-	// leavingRetry is the Retry-After of a leaving target. It is short, since other targets can
+	// leavingRetry is the Retry-After of a leaving target. It is short because other targets can
 	// serve the request.
 	leavingRetry = 50 * time.Millisecond
 	// minRetry is the shortest Retry-After of a refusal.
@@ -28,27 +28,27 @@
 // Error implements error.
 func (e *RefusalError) Error() string { return e.Reason }
 
-// waiter is a request in the queue.
+// waiter is a queued request.
 type waiter struct {
 	team string
-	// deadline is when the answer is due.
+	// deadline is the time when the answer is due.
 	deadline time.Time
-	// admitted receives exactly one value: nil for a slot, or the refusal.
+	// admitted receives exactly one value: nil if a slot is granted, otherwise a *RefusalError.
 	admitted chan error
 }
 
 // Admission divides the slots of a target among teams in proportion to their shares. Slots that a
-// team leaves unused go to the others. A request that cannot be served before its deadline is
-// refused at once instead of waiting.
+// team does not use are available to the other teams. A request that cannot be served before its
+// deadline is refused at once instead of being queued.
 type Admission struct {
 	mu       sync.Mutex
 	slots    int
 	maxQueue int
 	share    func(team string) int
-	// running counts the slots in use by team, busy all of them.
+	// running counts the slots in use by each team. busy is their total.
 	running map[string]int
 	busy    int
-	// queue lists the waiters, the oldest first.
+	// queue lists the waiters, oldest first.
 	queue []*waiter
 	// estimate is a moving average of the service time.
 	estimate time.Duration
@@ -56,37 +56,38 @@
 	idle     chan struct{}
 }
 
-// NewAdmission returns the admission of a target with the given number of slots and places in the
-// queue. share returns a team's weight, at least 1.
+// NewAdmission returns the admission of a target with the given number of slots and the given
+// maximum queue length. share returns the weight of a team, which is at least 1.
 func NewAdmission(slots, maxQueue int, share func(team string) int) *Admission {
 	return &Admission{
 		slots:    slots,
 		maxQueue: maxQueue,
 		share:    share,
 		running:  make(map[string]int),
-		estimate: firstEstimate,
+		estimate: initialEstimate,
 		idle:     make(chan struct{}),
 	}
 }
 
-// SetMaxQueue changes the length limit of the queue. Requests that already wait stay in it.
+// SetMaxQueue changes the maximum queue length. Requests that are already queued remain in the
+// queue.
 func (a *Admission) SetMaxQueue(n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.maxQueue = n
 }
 
-// Load returns the number of running and of waiting requests.
+// Load returns the numbers of running and queued requests.
 func (a *Admission) Load() (running, waiting int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.busy, len(a.queue)
 }
 
-// Acquire waits for a slot. left is the time until the deadline of the request. A nil error must
-// be followed by Release. Any error is a *RefusalError.
+// Acquire waits for a slot. left is the time until the deadline of the request. If the error is
+// nil, the caller must call Release afterwards. Any error is a *RefusalError.
 func (a *Admission) Acquire(ctx context.Context, team string, left time.Duration) error {
-	w, err := a.enter(team, left)
+	w, err := a.admitOrQueue(team, left)
 	if err != nil || w == nil {
 		return err
 	}
@@ -95,7 +96,7 @@
 	select {
 	case err := <-w.admitted:
 		if err == nil && a.tooLate(w) {
-			return a.giveBack(team)
+			return a.returnSlot(team)
 		}
 		return err
 	case <-tooLate.C:
@@ -105,16 +106,16 @@
 	}
 }
 
-// serviceTime returns the current estimate of how long the target takes for a request.
+// serviceTime returns the current estimate of the time that the target takes for a request.
 func (a *Admission) serviceTime() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.estimate
 }
 
-// enter takes a slot, joins the queue, or refuses the request. The waiter is nil if a slot was
-// free.
-func (a *Admission) enter(team string, left time.Duration) (*waiter, error) {
+// admitOrQueue takes a slot, adds the request to the queue, or refuses it. The waiter is nil if a
+// slot was free.
+func (a *Admission) admitOrQueue(team string, left time.Duration) (*waiter, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.leaving {
@@ -136,20 +137,20 @@
 	return w, nil
 }
 
-// tooLate reports whether less time is left than the target needs. The request would time out, and
-// its outcome would be Unknown instead of NotRun.
+// tooLate reports whether the remaining time is shorter than the service time. The request would
+// time out, and its outcome would be Unknown instead of NotRun.
 func (a *Admission) tooLate(w *waiter) bool { return time.Until(w.deadline) < a.serviceTime() }
 
-// giveBack frees an unused slot and returns the refusal.
-func (a *Admission) giveBack(team string) error {
+// returnSlot releases an unused slot and returns a refusal.
+func (a *Admission) returnSlot(team string) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.free(team)
 	return a.refuse("its slot came too late for its deadline")
 }
 
-// refuse returns a refusal that tells the caller to come back when the queue is expected to be
-// empty. The caller holds the lock.
+// refuse returns a refusal that asks the caller to retry when the queue is expected to be empty.
+// The caller must hold a.mu.
 func (a *Admission) refuse(reason string) *RefusalError {
 	return &RefusalError{Reason: reason, RetryAfter: max(a.expectedWait(len(a.queue)), minRetry)}
 }
@@ -159,12 +160,13 @@
 	a.running[team]++
 }
 
-// expectedWait returns the time until a request with the given number ahead of it gets a slot.
+// expectedWait returns the expected time until a request with the given number of requests ahead of
+// it gets a slot.
 func (a *Admission) expectedWait(ahead int) time.Duration {
 	return a.estimate * time.Duration(ahead+1) / time.Duration(max(a.slots, 1))
 }
 
-// ahead estimates how many requests are served before a new one of the team.
+// ahead estimates the number of requests that are served before a new request of the team.
 func (a *Admission) ahead(team string) int {
 	own := 0
 	for _, w := range a.queue {
@@ -172,13 +174,14 @@
 			own++
 		}
 	}
-	return a.turn(team, own, a.sharesWaiting(team))
+	return a.requestsBefore(team, own, a.sharesWaiting(team))
 }
 
-// turn estimates how many requests are served before one that has own requests of its team ahead
-// of it. Each of them is accompanied by the other waiting teams' requests, in proportion to the
-// shares. If no other team waits, only its own team's requests count.
-func (a *Admission) turn(team string, own, shares int) int {
+// requestsBefore estimates the number of requests that are served before a request that has own
+// requests of its team ahead of it. For each of its team's requests, requests of the other waiting
+// teams are served in proportion to the shares. If no other team waits, only requests of its own
+// team count.
+func (a *Admission) requestsBefore(team string, own, shares int) int {
 	if shares == a.share(team) {
 		return own
 	}
@@ -198,8 +201,8 @@
 	return shares
 }
 
-// shed refuses waiting requests that can no longer be served before their deadlines, because the
-// target became slower or another team claimed its share.
+// shed refuses queued requests that can no longer be served before their deadlines, because the
+// target has become slower or another team has claimed its share.
 func (a *Admission) shed() {
 	if len(a.queue) == 0 {
 		return
@@ -207,7 +210,7 @@
 	shares, own := a.sharesWaiting(a.queue[0].team), make(map[string]int)
 	kept := make([]*waiter, 0, len(a.queue))
 	for _, w := range a.queue {
-		wait := a.expectedWait(a.turn(w.team, own[w.team], shares))
+		wait := a.expectedWait(a.requestsBefore(w.team, own[w.team], shares))
 		if wait+a.estimate > time.Until(w.deadline) {
 			w.admitted <- &RefusalError{Reason: "it can't be served before its deadline any more", RetryAfter: minRetry}
 			continue
@@ -219,8 +222,8 @@
 }
 
 // displace makes room in a full queue for a request of the given team. It refuses the newest
-// request of the team with the most waiting requests per share, unless the given team would have
-// as many itself.
+// request of the team with the most queued requests per share. It reports false if the given team
+// would itself have at least as many.
 func (a *Admission) displace(team string) bool {
 	waiting := make(map[string]int)
 	for _, w := range a.queue {
@@ -246,8 +249,8 @@
 	return false
 }
 
-// abandon removes a waiter from the queue. If it was granted a slot in the meantime, the slot is
-// passed on.
+// abandon removes a waiter from the queue and returns a refusal. If the waiter was granted a slot
+// in the meantime, the slot is released.
 func (a *Admission) abandon(w *waiter, reason string) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -265,7 +268,7 @@
 	return a.refuse(reason)
 }
 
-// Release returns a slot and the time for which it was used.
+// Release releases a slot. served is the time for which the slot was used.
 func (a *Admission) Release(team string, served time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -289,7 +292,8 @@
 	a.signalIdle()
 }
 
-// next returns the index of the oldest waiter of the team that uses the least of its share, or -1.
+// next returns the index of the oldest waiter of the team that uses the smallest part of its share.
+// It returns -1 if the queue is empty.
 func (a *Admission) next() int {
 	found, least := -1, 0.0
 	for i, w := range a.queue {
@@ -301,7 +305,7 @@
 	return found
 }
 
-// Leave refuses all further requests. Running and waiting ones are still served.
+// Leave makes Acquire refuse all new requests. Running and queued requests are still served.
 func (a *Admission) Leave() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -309,7 +313,7 @@
 	a.signalIdle()
 }
 
-// Idle returns a channel that is closed after Leave, once nothing runs or waits.
+// Idle returns a channel that is closed after Leave, once no request is running or queued.
 func (a *Admission) Idle() <-chan struct{} { return a.idle }
 
 func (a *Admission) signalIdle() {
--- a/sessions/request/admission_test.go
+++ b/sessions/request/admission_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestAdmission floods a target with one team's requests. The others get their share, refusals
-// come at once and say when to come back, and what was refused did not run.
+// TestAdmission floods a target with requests of one team. The other team must get its share,
+// refusals must be immediate and have a Retry-After, and refused requests must not have run.
 func TestAdmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, target := newTestServer("one", 4, 20, func(team string) int { return map[string]int{"quiet": 3}[team] + 1 })
@@ -19,16 +19,16 @@
 		send := func(team, body string) {
 			wg.Go(func() {
 				began := time.Now()
-				h := hop(body, "")
-				h.Team, h.LeftMillis = team, 2000
-				a := s.Serve(t.Context(), h)
+				req := testRequest(body, "")
+				req.Team, req.LeftMillis = team, 2000
+				a := s.Serve(t.Context(), req)
 				mu.Lock()
 				defer mu.Unlock()
 				if a.Outcome == Done {
 					done[team]++
 				}
 				if a.Outcome == NotRun && (a.RetryAfterMillis < 1 || target.count(body) > 0) {
-					t.Errorf("refused badly: %+v, ran %d", a, target.count(body))
+					t.Errorf("refusal %+v: ran %d times, want 0 and a Retry-After", a, target.count(body))
 				}
 				if a.Outcome == NotRun && time.Since(began) > time.Second {
 					slowRefusals++
@@ -43,13 +43,15 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		wg.Wait()
-		// 40 slots a second for 2 s; the quiet team asks for 20 a second, which is below its
-		// share of 4/5.
+		// The target serves 40 requests/s, and requests are sent for 2 s. The quiet team sends 20
+		// requests/s, which is below its share of 4/5.
 		if done["quiet"] != 40 {
-			t.Errorf("the team below its share got %d of 40 done; the flood %d", done["quiet"], done["flood"])
+			t.Errorf("the team below its share completed %d of 40 requests; the flooding team completed %d",
+				done["quiet"], done["flood"])
 		}
 		if done["flood"] < 20 {
-			t.Errorf("the flood got only %d done: what the other leaves unused is not lent", done["flood"])
+			t.Errorf("the flooding team completed only %d requests: slots that the other team leaves unused are not shared",
+				done["flood"])
 		}
 		if slowRefusals > 0 {
 			t.Errorf("%d refusals took longer than a second", slowRefusals)
@@ -57,15 +59,15 @@
 	})
 }
 
-// TestGivenUpAtOnce queues requests that look feasible, and then takes their chance away: the
-// target becomes slow, or another team comes for its share. They are refused when that is seen
-// and not when their deadlines pass.
+// TestGivenUpAtOnce queues requests that are expected to meet their deadlines, and then makes that
+// impossible: the target becomes slow, or another team claims its share. The requests must be
+// refused when this is detected, not when their deadlines pass.
 func TestGivenUpAtOnce(t *testing.T) {
 	shares := func(team string) int { return map[string]int{"owner": 9}[team] + 1 }
 	tests := []struct {
 		name string
-		// Four requests of the time first hold the slots; then 30 of 100 ms wait, and the owner
-		// sends its own.
+		// Four requests with the service time first occupy the slots. Then 30 requests of 100 ms
+		// are queued, and the owner sends its requests.
 		first  string
 		owners int
 		within time.Duration
@@ -78,16 +80,16 @@
 			synctest.Test(t, func(t *testing.T) {
 				s, _ := newTestServer("one", 4, 200, shares)
 				for range 60 {
-					// The target is known to take 100 ms.
-					s.Serve(t.Context(), hop("100ms", ""))
+					// This sets the estimated service time to 100 ms.
+					s.Serve(t.Context(), testRequest("100ms", ""))
 				}
 				var wg sync.WaitGroup
 				send := func(team, body string, left int64, check func(Answer, time.Duration)) {
 					wg.Go(func() {
 						began := time.Now()
-						h := hop(body, "")
-						h.Team, h.LeftMillis = team, left
-						check(s.Serve(t.Context(), h), time.Since(began))
+						req := testRequest(body, "")
+						req.Team, req.LeftMillis = team, left
+						check(s.Serve(t.Context(), req), time.Since(began))
 					})
 					synctest.Wait()
 				}
@@ -114,26 +116,27 @@
 	}
 }
 
-// TestLeave stops a server while requests run and wait. All are finished, and none is taken after.
+// TestLeave calls Leave while requests are running and queued. These must complete, and new
+// requests must be refused.
 func TestLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newTestServer("one", 1, 10, equalShares)
 		answers := make(chan Answer, 3)
 		for range 3 {
-			go func() { answers <- s.Serve(t.Context(), hop("1s", "")) }()
+			go func() { answers <- s.Serve(t.Context(), testRequest("1s", "")) }()
 			synctest.Wait()
 		}
 		s.admission.Leave()
-		if a := s.Serve(t.Context(), hop("1s", "")); a.Outcome != NotRun || !a.Leaving {
-			t.Errorf("after Leave: %+v", a)
+		if a := s.Serve(t.Context(), testRequest("1s", "")); a.Outcome != NotRun || !a.Leaving {
+			t.Errorf("after Leave: got %+v, want not_run and leaving", a)
 		}
 		<-s.admission.Idle()
 		if running, waiting := s.admission.Load(); running != 0 || waiting != 0 {
-			t.Errorf("said to be idle with %d running and %d waiting", running, waiting)
+			t.Errorf("Idle is closed with %d requests running and %d queued", running, waiting)
 		}
 		for range 3 {
 			if a := <-answers; a.Outcome != Done {
-				t.Errorf("in flight: %+v", a)
+				t.Errorf("request in flight: got %+v, want done", a)
 			}
 		}
 	})
--- a/sessions/request/golden_test.go
+++ b/sessions/request/golden_test.go
@@ -7,7 +7,7 @@
 	"yarrowgrade.example/yarrowgrade/internal/goldentest"
 )
 
-// goldenKey is a key as an earlier version minted it.
+// goldenKey is a key created by an earlier version.
 const goldenKey = "worker-1~incarnation-1~0190163d-8694-739b-aea5-966c26f8ad91"
 
 func TestGoldenCall(t *testing.T) {
@@ -17,7 +17,7 @@
 }
 
 func TestGoldenHop(t *testing.T) {
-	goldentest.JSON(t, "hop", Hop{
+	goldentest.JSON(t, "hop", AgentRequest{
 		ID: "id-1", Service: "parkpay", Team: "plates", Key: goldenKey, LeftMillis: 4900, Body: "pay 42",
 	})
 }
@@ -29,15 +29,15 @@
 	})
 }
 
-// TestGoldenKey: a key that a caller kept is still read, and written as it was.
+// TestGoldenKey checks that a key stored by a caller is still parsed and formatted the same way.
 func TestGoldenKey(t *testing.T) {
 	goldentest.Bytes(t, "key.txt", []byte(goldenKey))
 	key, err := ParseKey(string(goldentest.Read(t, "key.txt")))
 	if err != nil || key.Worker != "worker-1" || key.Incarnation != "incarnation-1" || key.String() != goldenKey {
-		t.Errorf("read %+v, %v", key, err)
+		t.Errorf("parsed %+v, %v", key, err)
 	}
-	minted := time.Date(2024, 6, 14, 10, 14, 9, 300_000_000, time.UTC)
-	if !key.createdAt().Equal(minted) {
-		t.Errorf("minted %v, want %v", key.createdAt().UTC(), minted)
+	created := time.Date(2024, 6, 14, 10, 14, 9, 300_000_000, time.UTC)
+	if !key.createdAt().Equal(created) {
+		t.Errorf("created at %v, want %v", key.createdAt().UTC(), created)
 	}
 }
--- a/sessions/request/key.go
+++ b/sessions/request/key.go
@@ -14,16 +14,16 @@
 // keySeparator separates the parts of a key; it cannot occur inside one.
 const keySeparator = "~"
 
-// Key identifies a request that runs at most once, and the only incarnation of an agent that may
-// run it.
+// Key identifies a request that runs at most once and the only incarnation of an agent that may run
+// it.
 type Key struct {
 	Worker      string
 	Incarnation string
-	// ID is a UUIDv7. Its timestamp only decides which keys an agent forgets first.
+	// ID is a UUIDv7. Its timestamp only determines which keys an agent evicts first.
 	ID uuid.UUID
 }
 
-// NewKey returns a fresh key for an incarnation of an agent.
+// NewKey returns a new key for an incarnation of an agent.
 func NewKey(worker, incarnation string) (Key, error) {
 	id, err := uuid.NewV7()
 	if err != nil {
@@ -32,20 +32,20 @@
 	return Key{Worker: worker, Incarnation: incarnation, ID: id}, nil
 }
 
-// String returns the text form, which is what callers see.
+// String returns the text form that is sent to callers.
 func (k Key) String() string {
 	return k.Worker + keySeparator + k.Incarnation + keySeparator + k.ID.String()
 }
 
-// ParseKey parses the text form of a key. Its error is a *fault.Field.
+// ParseKey parses the text form of a key. The error is a *fault.Field.
 func ParseKey(text string) (Key, error) {
 	parts := strings.Split(text, keySeparator)
 	if len(parts) != 3 || parts[0] == "" || parts[1] == "" {
-		return Key{}, fault.BadField("key", "want one that POST /v1/keys gave")
+		return Key{}, fault.BadField("key", "want a key returned by POST /v1/keys")
 	}
 	id, err := uuid.Parse(parts[2])
 	if err != nil || id.Version() != 7 || id.String() != parts[2] {
-		return Key{}, fault.BadField("key", "want one that POST /v1/keys gave")
+		return Key{}, fault.BadField("key", "want a key returned by POST /v1/keys")
 	}
 	return Key{Worker: parts[0], Incarnation: parts[1], ID: id}, nil
 }
--- a/sessions/request/memory.go
+++ b/sessions/request/memory.go
@@ -6,25 +6,25 @@
 	"time"
 )
 
-// Bounds of a Memory. A record takes about 300 bytes without its answer, so the total stays below
-// 64 MB.
+// Bounds of a DedupTable. A record takes about 300 bytes without its answer, so the total size
+// stays below 64 MB.
 const (
 	maxKeys        = 100_000
 	maxAnswerBytes = 24 << 20
-	// maxAhead is how far ahead of this machine's clock a key's timestamp may be. A key further
-	// ahead is refused: it would be the last one forgotten.
-	maxAhead = time.Hour
+	// maxClockAhead is the maximum time by which a key's timestamp may be ahead of the local clock.
+	// A key further ahead is refused, because it would be evicted after all others.
+	maxClockAhead = time.Hour
 )
 
-// Record is what an agent remembers of a key.
+// Record is the entry of a DedupTable for one key.
 type Record struct {
 	key    Key
 	digest string
 	// done is closed once answer is set.
 	done   chan struct{}
 	answer Answer
-	// dropped means that the answer's body was discarded to save memory.
-	dropped bool
+	// bodyDropped means that the answer's body was discarded to save memory.
+	bodyDropped bool
 }
 
 // Done returns a channel that is closed once the outcome is known.
@@ -33,81 +33,82 @@
 // ClaimStatus is the result of claiming a key.
 type ClaimStatus int
 
-// The statuses.
+// The results of a claim.
 const (
 	// First means that the key is new. The caller must run or refuse the request and then call
-	// Settle.
+	// Complete.
 	First ClaimStatus = iota
-	// Seen means that the key was claimed before with the same body.
-	Seen
-	// OtherBody means that the key was claimed before with another body.
-	OtherBody
-	// Forgotten means that the key is so old that it may have been claimed and forgotten.
-	Forgotten
-	// TooNew means that the key's timestamp is more than maxAhead in the future.
+	// Duplicate means that the key was claimed before with the same body.
+	Duplicate
+	// BodyMismatch means that the key was claimed before with another body.
+	BodyMismatch
+	// Expired means that the key is so old that it may have been claimed and evicted.
+	Expired
+	// TooNew means that the key's timestamp is more than maxClockAhead in the future.
 	TooNew
 )
 
-// Memory remembers the keys that one incarnation of an agent has seen. It is bounded: the keys
-// with the oldest timestamps are forgotten first, and from then on every key that is not newer
-// than a forgotten one counts as Forgotten.
-type Memory struct {
+// DedupTable records the keys that one incarnation of an agent has seen. It is bounded: the keys
+// with the oldest timestamps are evicted first. After that, every key that is not newer than an
+// evicted key is Expired.
+type DedupTable struct {
 	mu      sync.Mutex
 	records map[string]*Record
-	order   keyHeap
-	// floor is the newest timestamp of a forgotten key.
-	floor    time.Time
-	maxKeys  int
-	maxBytes int
-	// bytes is the total size of the kept answers.
+	byAge   keyHeap
+	// newestEvicted is the newest timestamp of an evicted key.
+	newestEvicted time.Time
+	maxKeys       int
+	maxBytes      int
+	// bytes is the total size of the stored answer bodies.
 	bytes int
-	// answered lists the records with kept answers, the first settled first.
+	// answered lists the records with stored answer bodies, in the order of completion.
 	answered []*Record
 }
 
-// NewMemory returns an empty memory for up to 100,000 keys and 24 MB of answers.
-func NewMemory() *Memory { return newMemory(maxKeys, maxAnswerBytes) }
+// NewDedupTable returns an empty table for up to 100,000 keys and 24 MB of answers.
+func NewDedupTable() *DedupTable { return newDedupTable(maxKeys, maxAnswerBytes) }
 
-func newMemory(keys, bytes int) *Memory {
-	return &Memory{records: make(map[string]*Record), maxKeys: keys, maxBytes: bytes}
+func newDedupTable(keys, bytes int) *DedupTable {
+	return &DedupTable{records: make(map[string]*Record), maxKeys: keys, maxBytes: bytes}
 }
 
-// Claim registers a key with the digest of its request's body. The record is nil if the key is
-// Forgotten or TooNew.
-func (m *Memory) Claim(key Key, digest string) (ClaimStatus, *Record) {
+// Claim registers a key with the digest of the request body. The record is nil if the key is
+// Expired or TooNew.
+func (m *DedupTable) Claim(key Key, digest string) (ClaimStatus, *Record) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if r, found := m.records[key.String()]; found {
 		if r.digest != digest {
-			return OtherBody, r
+			return BodyMismatch, r
 		}
-		return Seen, r
+		return Duplicate, r
 	}
-	minted := key.createdAt()
-	if !minted.After(m.floor) {
-		return Forgotten, nil
+	created := key.createdAt()
+	if !created.After(m.newestEvicted) {
+		return Expired, nil
 	}
-	if minted.After(time.Now().Add(maxAhead)) {
+	if created.After(time.Now().Add(maxClockAhead)) {
 		return TooNew, nil
 	}
 	r := &Record{key: key, digest: digest, done: make(chan struct{})}
 	m.records[key.String()] = r
-	heap.Push(&m.order, r)
-	m.forget()
+	heap.Push(&m.byAge, r)
+	m.evict()
 	return First, r
 }
 
-// forget drops the oldest keys beyond maxKeys and raises the floor to them.
-func (m *Memory) forget() {
+// evict removes the oldest keys beyond maxKeys and advances newestEvicted.
+func (m *DedupTable) evict() {
 	for len(m.records) > m.maxKeys {
-		oldest := heap.Pop(&m.order).(*Record)
+		oldest := heap.Pop(&m.byAge).(*Record)
 		delete(m.records, oldest.key.String())
-		m.floor = oldest.key.createdAt()
+		m.newestEvicted = oldest.key.createdAt()
 	}
 }
 
-// Settle sets the outcome of a record. It must be called once for each claim that returned First.
-func (m *Memory) Settle(r *Record, answer Answer) {
+// Complete sets the outcome of a record. It must be called exactly once for each claim that
+// returned First.
+func (m *DedupTable) Complete(r *Record, answer Answer) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	r.answer = answer
@@ -122,17 +123,17 @@
 		m.answered = m.answered[1:]
 		m.bytes -= len(oldest.answer.Body)
 		oldest.answer.Body = ""
-		oldest.dropped = true
+		oldest.bodyDropped = true
 	}
 }
 
-// Answer returns the outcome of a settled record. It is Unknown if the body of a Done answer was
-// discarded.
-func (m *Memory) Answer(r *Record) Answer {
+// Answer returns the outcome of a completed record. The outcome is Unknown if the body of a Done
+// answer was discarded.
+func (m *DedupTable) Answer(r *Record) Answer {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if r.dropped && r.answer.Outcome == Done {
-		return Uncertain(r.answer.ID, "it ran, but its answer is no longer kept", 0)
+	if r.bodyDropped && r.answer.Outcome == Done {
+		return UnknownAnswer(r.answer.ID, "it ran, but its answer is no longer kept", 0)
 	}
 	return r.answer
 }
--- a/sessions/request/request.go
+++ b/sessions/request/request.go
@@ -1,31 +1,32 @@
-// Package request defines requests and their outcomes, and holds an agent's side of the request
-// path: admission to the target's slots, deduplication by key, and the call of the target.
+// Package request defines requests and their outcomes, and implements the agent's side of request
+// handling: admission to the target's slots, deduplication by key, and the call to the target.
 //
 // A request has exactly one of three outcomes. Done carries the complete answer. NotRun means
-// that the request certainly did not run and, if it has a key, never will. Unknown means that it
-// may have run.
+// that the request certainly did not run and, if it has a key, never will. Unknown means that the
+// request may have run.
 //
 // # At most once
 //
 // A request that must not be repeated carries a Key, which names the only incarnation of an agent
-// that may run it. That agent remembers the keys it has seen, so a key that is sent twice, through
-// two entries at once, or after the agent was replaced, never runs a second time. This needs
-// neither synchronized clocks nor agreement between agents; docs/DESIGN.md has the alternatives.
+// that may run it. That agent records the keys it has seen, so a request never runs a second time,
+// even if its key is sent twice, through two entries at once, or after the agent was replaced. This
+// requires neither synchronized clocks nor agreement between agents; docs/DESIGN.md describes the
+// alternatives.
 //
 // # State
 //
-// Server owns an Admission, with the target's queue and slots, and a Memory of keys. Both are in
-// memory only and belong to one incarnation of an agent.
+// Server owns an Admission, with the target's queue and slots, and a DedupTable of keys. Both are
+// kept only in memory and belong to one incarnation of an agent.
 //
 // # Dependencies
 //
-// Only the Target that runs the requests. Admission takes the teams' shares as a function.
+// The Target runs the requests. A function passed to NewAdmission provides the teams' shares.
 //
 // # Usage
 //
 //	admission := request.NewAdmission(slots, maxQueue, share)
-//	server := request.NewServer(worker, incarnation, target, admission, request.NewMemory())
-//	answer := server.Serve(ctx, hop)
+//	server := request.NewServer(worker, incarnation, target, admission, request.NewDedupTable())
+//	answer := server.Serve(ctx, req)
 package request
 
 import (
@@ -34,7 +35,7 @@
 	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
-// Outcome is what became of a request.
+// Outcome is the result of a request.
 type Outcome string
 
 // The outcomes.
@@ -47,15 +48,15 @@
 // MaxBody is the maximum size of the body of a request or an answer, in bytes.
 const MaxBody = 1 << 20
 
-// Call is a request as the caller sends it.
+// Call is a request as sent by the caller.
 type Call struct {
 	Service string `json:"service"`
 	Team    string `json:"team"`
 	// Key is required for a request that must not be repeated. POST /v1/keys returns one.
 	Key string `json:"key,omitempty"`
-	// NotRepeatable asks for at most one run. A policy can demand that too.
+	// NotRepeatable requires that the request runs at most once. A policy can also require this.
 	NotRepeatable bool `json:"not_repeatable,omitempty"`
-	// DeadlineMillis is how long the caller waits, in ms.
+	// DeadlineMillis is the time for which the caller waits, in ms.
 	DeadlineMillis int64  `json:"deadline_ms"`
 	Body           string `json:"body"`
 }
@@ -77,19 +78,19 @@
 		}
 	}
 	if c.NotRepeatable && c.Key == "" {
-		return fault.BadField("key", "a request that must not be repeated needs one; POST /v1/keys gives it")
+		return fault.BadField("key", "a request that must not be repeated needs a key; POST /v1/keys returns one")
 	}
 	return nil
 }
 
-// Hop is a request as an entry sends it to an agent.
-type Hop struct {
+// AgentRequest is a request as sent by an entry to an agent.
+type AgentRequest struct {
 	// ID identifies the request in logs and traces. The answer must carry the same ID.
 	ID      string `json:"id"`
 	Service string `json:"service"`
 	Team    string `json:"team"`
 	Key     string `json:"key,omitempty"`
-	// LeftMillis is the time left until the caller's deadline, in ms.
+	// LeftMillis is the remaining time until the caller's deadline, in ms.
 	LeftMillis int64  `json:"left_ms"`
 	Body       string `json:"body"`
 }
@@ -105,25 +106,25 @@
 	Digest string `json:"digest,omitempty"`
 	// Reason explains an outcome other than Done.
 	Reason string `json:"reason,omitempty"`
-	// RetryAfterMillis is how long to wait before a retry, in ms, for outcomes other than Done.
+	// RetryAfterMillis is the time to wait before a retry, in ms, for outcomes other than Done.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 	// Target is the name of the worker that handled the request.
 	Target string `json:"target,omitempty"`
-	// Leaving means that the agent takes no new work; the entry stops sending to it.
+	// Leaving means that the agent accepts no new work; the entry stops sending requests to it.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Refusal returns a NotRun answer.
-func Refusal(id, reason string, retryAfter time.Duration) Answer {
+// NotRunAnswer returns a NotRun answer.
+func NotRunAnswer(id, reason string, retryAfter time.Duration) Answer {
 	return Answer{ID: id, Outcome: NotRun, Reason: reason, RetryAfterMillis: millis(retryAfter)}
 }
 
-// Uncertain returns an Unknown answer.
-func Uncertain(id, reason string, retryAfter time.Duration) Answer {
+// UnknownAnswer returns an Unknown answer.
+func UnknownAnswer(id, reason string, retryAfter time.Duration) Answer {
 	return Answer{ID: id, Outcome: Unknown, Reason: reason, RetryAfterMillis: millis(retryAfter)}
 }
 
-// millis rounds up, so that no caller retries too early.
+// millis converts to milliseconds. It rounds up, so that no caller retries too early.
 func millis(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
@@ -134,7 +135,8 @@
 	return a
 }
 
-// Whole reports whether the answer belongs to the request with the given ID and its body is intact.
-func (a Answer) Whole(id string) bool {
+// Intact reports whether the answer belongs to the request with the given ID and its body is
+// intact.
+func (a Answer) Intact(id string) bool {
 	return a.ID == id && (a.Outcome != Done || a.Digest == DigestOf(a.Body))
 }
--- a/sessions/request/request_test.go
+++ b/sessions/request/request_test.go
@@ -17,22 +17,22 @@
 	"pgregory.net/rapid"
 )
 
-// fakeTarget runs each request for the time that its body says, and counts.
+// fakeTarget takes the duration in the body of each request to run it, and counts the runs.
 type fakeTarget struct {
 	mu   sync.Mutex
 	runs map[string]int
 	err  error
 }
 
-func (f *fakeTarget) Run(ctx context.Context, hop Hop) (int, string, error) {
+func (f *fakeTarget) Run(ctx context.Context, req AgentRequest) (int, string, error) {
 	f.mu.Lock()
-	f.runs[hop.Body]++
+	f.runs[req.Body]++
 	err := f.err
 	f.mu.Unlock()
-	d, _ := time.ParseDuration(hop.Body)
+	d, _ := time.ParseDuration(req.Body)
 	select {
 	case <-time.After(d):
-		return 200, "ran " + hop.Body, err
+		return 200, "ran " + req.Body, err
 	case <-ctx.Done():
 		return 0, "", ctx.Err()
 	}
@@ -48,7 +48,7 @@
 
 func newTestServer(incarnation string, slots, queue int, share func(string) int) (*Server, *fakeTarget) {
 	target := &fakeTarget{runs: make(map[string]int)}
-	return NewServer("w", incarnation, target, NewAdmission(slots, queue, share), NewMemory()), target
+	return NewServer("w", incarnation, target, NewAdmission(slots, queue, share), NewDedupTable()), target
 }
 
 func testKey(t testing.TB, incarnation string) string {
@@ -60,11 +60,12 @@
 	return k.String()
 }
 
-func hop(body, key string) Hop {
-	return Hop{ID: uuid.NewString(), Team: "a", Body: body, Key: key, LeftMillis: 5000}
+func testRequest(body, key string) AgentRequest {
+	return AgentRequest{ID: uuid.NewString(), Team: "a", Body: body, Key: key, LeftMillis: 5000}
 }
 
-// TestKeys sends keys in all the ways in which they must not run twice.
+// TestKeys checks that a request with a key runs at most once, in each case in which the key could
+// be run again or must be refused.
 func TestKeys(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -73,47 +74,47 @@
 		runs  int
 	}{
 		{"once", func(t *testing.T, s *Server) []Answer {
-			return []Answer{s.Serve(t.Context(), hop("1s", testKey(t, "one")))}
+			return []Answer{s.Serve(t.Context(), testRequest("1s", testKey(t, "one")))}
 		}, []Outcome{Done}, 1},
 		{"twice at once", func(t *testing.T, s *Server) []Answer {
 			key := testKey(t, "one")
 			answers := make([]Answer, 2)
 			var wg sync.WaitGroup
 			for i := range answers {
-				wg.Go(func() { answers[i] = s.Serve(t.Context(), hop("1s", key)) })
+				wg.Go(func() { answers[i] = s.Serve(t.Context(), testRequest("1s", key)) })
 			}
 			wg.Wait()
 			return answers
 		}, []Outcome{Done, Done}, 1},
 		{"again later", func(t *testing.T, s *Server) []Answer {
 			key := testKey(t, "one")
-			return []Answer{s.Serve(t.Context(), hop("1s", key)), s.Serve(t.Context(), hop("1s", key))}
+			return []Answer{s.Serve(t.Context(), testRequest("1s", key)), s.Serve(t.Context(), testRequest("1s", key))}
 		}, []Outcome{Done, Done}, 1},
 		{"for an incarnation that was replaced", func(t *testing.T, s *Server) []Answer {
-			return []Answer{s.Serve(t.Context(), hop("1s", testKey(t, "zero")))}
+			return []Answer{s.Serve(t.Context(), testRequest("1s", testKey(t, "zero")))}
 		}, []Outcome{Unknown}, 0},
 		{"with another body", func(t *testing.T, s *Server) []Answer {
 			key := testKey(t, "one")
-			return []Answer{s.Serve(t.Context(), hop("1s", key)), s.Serve(t.Context(), hop("2s", key))}
+			return []Answer{s.Serve(t.Context(), testRequest("1s", key)), s.Serve(t.Context(), testRequest("2s", key))}
 		}, []Outcome{Done, Unknown}, 1},
 		{"past its deadline, and asked for again", func(t *testing.T, s *Server) []Answer {
 			key := testKey(t, "one")
-			return []Answer{s.Serve(t.Context(), hop("1m", key)), s.Serve(t.Context(), hop("1m", key))}
+			return []Answer{s.Serve(t.Context(), testRequest("1m", key)), s.Serve(t.Context(), testRequest("1m", key))}
 		}, []Outcome{Unknown, Unknown}, 1},
 		{"by a caller that hangs up, and asked for again", func(t *testing.T, s *Server) []Answer {
 			key := testKey(t, "one")
 			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			defer cancel()
-			return []Answer{s.Serve(ctx, hop("1s", key)), s.Serve(t.Context(), hop("1s", key))}
+			return []Answer{s.Serve(ctx, testRequest("1s", key)), s.Serve(t.Context(), testRequest("1s", key))}
 		}, []Outcome{Unknown, Done}, 1},
 		{"refused while leaving, and sent again", func(t *testing.T, s *Server) []Answer {
 			key := testKey(t, "one")
 			s.admission.Leave()
-			return []Answer{s.Serve(t.Context(), hop("1s", key)), s.Serve(t.Context(), hop("1s", key))}
+			return []Answer{s.Serve(t.Context(), testRequest("1s", key)), s.Serve(t.Context(), testRequest("1s", key))}
 		}, []Outcome{NotRun, NotRun}, 0},
 		{"from far in the future", func(t *testing.T, s *Server) []Answer {
 			id := uuid.MustParse("7fffffff-ffff-7000-8000-000000000000")
-			return []Answer{s.Serve(t.Context(), hop("1s", Key{Worker: "w", Incarnation: "one", ID: id}.String()))}
+			return []Answer{s.Serve(t.Context(), testRequest("1s", Key{Worker: "w", Incarnation: "one", ID: id}.String()))}
 		}, []Outcome{NotRun}, 0},
 	}
 	for _, tt := range tests {
@@ -129,7 +130,7 @@
 					t.Errorf("ran %d times, want %d", runs, tt.runs)
 				}
 				for i, a := range answers {
-					if a.Outcome != tt.want[i] || !a.Whole(a.ID) {
+					if a.Outcome != tt.want[i] || !a.Intact(a.ID) {
 						t.Errorf("answer %d: %+v, want %s", i, a, tt.want[i])
 					}
 				}
@@ -139,11 +140,11 @@
 	}
 }
 
-// TestMemoryForgets draws claims against a small memory. A key is First at most once in its
-// life, however much has been forgotten since.
+// TestMemoryForgets makes random claims on a small table. Claim must return First at most once for
+// each key, even after keys have been evicted.
 func TestMemoryForgets(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		m := newMemory(rapid.IntRange(1, 5).Draw(rt, "keys"), 20)
+		m := newDedupTable(rapid.IntRange(1, 5).Draw(rt, "keys"), 20)
 		first := map[uuid.UUID]bool{}
 		for range rapid.IntRange(1, 60).Draw(rt, "claims") {
 			key := Key{Worker: "w", Incarnation: "one", ID: drawID(rt)}
@@ -152,28 +153,28 @@
 				continue
 			}
 			if first[key.ID] {
-				rt.Fatalf("%s was first twice", key)
+				rt.Fatalf("Claim(%s) returned First twice", key)
 			}
 			first[key.ID] = true
-			m.Settle(r, Answer{Outcome: Done, Body: strings.Repeat("x", rapid.IntRange(0, 15).Draw(rt, "bytes"))})
+			m.Complete(r, Answer{Outcome: Done, Body: strings.Repeat("x", rapid.IntRange(0, 15).Draw(rt, "bytes"))})
 			if len(m.records) > m.maxKeys || m.bytes > m.maxBytes {
-				rt.Fatalf("%d keys and %d bytes", len(m.records), m.bytes)
+				rt.Fatalf("the table holds %d keys and %d bytes, which exceeds its limits", len(m.records), m.bytes)
 			}
-			if a := m.Answer(r); a.Outcome == Done && r.dropped {
-				rt.Fatal("half an answer was given")
+			if a := m.Answer(r); a.Outcome == Done && r.bodyDropped {
+				rt.Fatal("an answer was returned without its body")
 			}
 		}
 	})
 }
 
-// drawID draws one of 40 ids with one of 20 times.
+// drawID returns one of 40 IDs, which have one of 20 timestamps.
 func drawID(rt *rapid.T) uuid.UUID {
 	n := rapid.IntRange(0, 39).Draw(rt, "id")
 	return uuid.MustParse(fmt.Sprintf("01900000-00%02x-7000-8000-0000000000%02x", n/2, n))
 }
 
-// runModel is the register that a key should be: the first request of a key runs, and all
-// others see its outcome.
+// runModel models each key as a write-once register: the first request with a key runs, and all
+// others return its outcome.
 var runModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -196,13 +197,13 @@
 	},
 }
 
-// TestKeyHistories sends each of a few keys many times at once, with different run numbers in
-// the answers, and wants all answers of a key to be those of its one run.
+// TestKeyHistories sends each of a few keys several times concurrently. Each run returns a
+// different number, so all answers for a key must be those of a single run.
 func TestKeyHistories(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		run := 0
-		target := targetFunc(func(ctx context.Context, h Hop) (int, string, error) {
+		target := targetFunc(func(ctx context.Context, h AgentRequest) (int, string, error) {
 			mu.Lock()
 			run++
 			body := fmt.Sprint(run)
@@ -210,7 +211,7 @@
 			time.Sleep(50 * time.Millisecond)
 			return 200, body, nil
 		})
-		s := NewServer("w", "one", target, NewAdmission(3, 100, equalShares), NewMemory())
+		s := NewServer("w", "one", target, NewAdmission(3, 100, equalShares), NewDedupTable())
 		var history []porcupine.Operation
 		var wg sync.WaitGroup
 		for k := range 5 {
@@ -219,7 +220,7 @@
 				wg.Go(func() {
 					time.Sleep(time.Duration(i*20+k) * time.Millisecond)
 					called := time.Now().UnixNano()
-					a := s.Serve(t.Context(), hop("pay", key))
+					a := s.Serve(t.Context(), testRequest("pay", key))
 					mu.Lock()
 					defer mu.Unlock()
 					history = append(history, porcupine.Operation{
@@ -234,17 +235,17 @@
 		}
 		wg.Wait()
 		if !porcupine.CheckOperations(runModel, history) {
-			t.Errorf("the answers of a key differ: %v", history)
+			t.Errorf("the answers for a key differ: %v", history)
 		}
 	})
 }
 
-type targetFunc func(ctx context.Context, h Hop) (int, string, error)
+type targetFunc func(ctx context.Context, h AgentRequest) (int, string, error)
 
-func (f targetFunc) Run(ctx context.Context, h Hop) (int, string, error) { return f(ctx, h) }
+func (f targetFunc) Run(ctx context.Context, h AgentRequest) (int, string, error) { return f(ctx, h) }
 
-// TestHTTPTarget has targets that cut, cross and overflow. Only a whole answer to its own
-// request is handed on.
+// TestHTTPTarget checks responses that are truncated, too long or have the ID of another request.
+// Run must return only complete responses to its own request.
 func TestHTTPTarget(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -260,7 +261,7 @@
 		{"crossed", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(IDHeader, "another")
 			fmt.Fprint(w, "another's")
-		}, "", ErrCrossed},
+		}, "", ErrIDMismatch},
 		{"cut", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "100")
 			fmt.Fprint(w, "half")
@@ -275,13 +276,14 @@
 			server := httptest.NewServer(tt.handler)
 			defer server.Close()
 			target := NewHTTPTarget(server.URL, 2, func(rt http.RoundTripper) http.RoundTripper { return rt })
-			_, body, err := target.Run(t.Context(), hop("x", ""))
-			if body != tt.body || (err != nil) != (tt.err != nil) || (tt.err == ErrCrossed && !errors.Is(err, ErrCrossed)) {
+			_, body, err := target.Run(t.Context(), testRequest("x", ""))
+			if body != tt.body || (err != nil) != (tt.err != nil) ||
+				(tt.err == ErrIDMismatch && !errors.Is(err, ErrIDMismatch)) {
 				t.Errorf("got %q, %v", body, err)
 			}
 			var notSent *NotSentError
 			if errors.As(err, &notSent) {
-				t.Errorf("it may have run, but the error says not sent: %v", err)
+				t.Errorf("the request may have run, but the error is a *NotSentError: %v", err)
 			}
 		})
 	}
@@ -291,22 +293,22 @@
 		closed.URL,
 		2,
 		func(rt http.RoundTripper) http.RoundTripper { return rt },
-	).Run(t.Context(), hop("x", ""))
+	).Run(t.Context(), testRequest("x", ""))
 	var notSent *NotSentError
 	if !errors.As(err, &notSent) {
-		t.Errorf("a target that does not listen: %v, want not sent", err)
+		t.Errorf("target that does not listen: got %v, want a *NotSentError", err)
 	}
 }
 
 var errAny = errors.New("any")
 
-// FuzzParseKey wants every text that parses to be written back the same.
+// FuzzParseKey checks that every text that can be parsed is formatted the same way.
 func FuzzParseKey(f *testing.F) {
 	f.Add(testKey(f, "one"))
 	f.Add("a~b~c")
 	f.Fuzz(func(t *testing.T, text string) {
 		if k, err := ParseKey(text); err == nil && k.String() != text {
-			t.Errorf("%q became %q", text, k)
+			t.Errorf("%q is formatted as %q", text, k)
 		}
 	})
 }
--- a/sessions/request/server.go
+++ b/sessions/request/server.go
@@ -8,25 +8,25 @@
 
 // Target runs requests. Each agent has one target.
 type Target interface {
-	// Run sends the request and returns the complete answer. The error is a *NotSentError if
-	// the request certainly did not reach the target; after any other error it may have run.
-	Run(ctx context.Context, hop Hop) (status int, body string, err error)
+	// Run sends the request and returns the complete answer. The error is a *NotSentError if the
+	// request certainly did not reach the target. After any other error the request may have run.
+	Run(ctx context.Context, req AgentRequest) (status int, body string, err error)
 }
 
 // NotSentError means that the request did not reach its target.
 type NotSentError struct{ Err error }
 
 // Error implements error.
-func (e *NotSentError) Error() string { return "the target can't be reached: " + e.Err.Error() }
+func (e *NotSentError) Error() string { return "cannot reach the target: " + e.Err.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *NotSentError) Unwrap() error { return e.Err }
 
-// targetRetry is the Retry-After of a request whose target could not be reached.
-const targetRetry = 500 * time.Millisecond
+// unreachableRetry is the Retry-After of a request whose target could not be reached.
+const unreachableRetry = 500 * time.Millisecond
 
-// uncertainRetry is the Retry-After of an Unknown outcome that may become known later.
-const uncertainRetry = time.Second
+// unknownRetry is the Retry-After of an Unknown outcome that may become known later.
+const unknownRetry = time.Second
 
 // Server runs the requests that entries send to an agent.
 type Server struct {
@@ -34,106 +34,108 @@
 	incarnation string
 	target      Target
 	admission   *Admission
-	memory      *Memory
+	dedup       *DedupTable
 }
 
 // NewServer returns the server of one incarnation of an agent.
-func NewServer(worker, incarnation string, target Target, admission *Admission, memory *Memory) *Server {
+func NewServer(worker, incarnation string, target Target, admission *Admission, dedup *DedupTable) *Server {
 	return &Server{
 		worker:      worker,
 		incarnation: incarnation,
 		target:      target,
 		admission:   admission,
-		memory:      memory,
+		dedup:       dedup,
 	}
 }
 
-// Serve returns the outcome of a request. ctx ends with the entry's connection.
-func (s *Server) Serve(ctx context.Context, hop Hop) Answer {
-	left := time.Duration(hop.LeftMillis) * time.Millisecond
+// Serve handles a request and returns its outcome. ctx is canceled when the entry's connection is
+// closed.
+func (s *Server) Serve(ctx context.Context, req AgentRequest) Answer {
+	left := time.Duration(req.LeftMillis) * time.Millisecond
 	ctx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
 	var answer Answer
-	if hop.Key == "" {
-		answer = s.run(ctx, hop)
+	if req.Key == "" {
+		answer = s.run(ctx, req)
 	} else {
-		answer = s.serveKey(ctx, hop)
+		answer = s.serveKeyed(ctx, req)
 	}
 	answer.Target = s.worker
-	return answer.WithID(hop.ID)
+	return answer.WithID(req.ID)
 }
 
-// serveKey runs a request if its key is new. Otherwise it waits for the outcome of the first one.
-func (s *Server) serveKey(ctx context.Context, hop Hop) Answer {
-	key, err := ParseKey(hop.Key)
+// serveKeyed runs a request if its key is new. Otherwise it waits for the outcome of the first
+// request with the key.
+func (s *Server) serveKeyed(ctx context.Context, req AgentRequest) Answer {
+	key, err := ParseKey(req.Key)
 	if err != nil {
-		return Refusal(hop.ID, err.Error(), 0)
+		return NotRunAnswer(req.ID, err.Error(), 0)
 	}
 	if key.Worker != s.worker || key.Incarnation != s.incarnation {
-		return Uncertain(hop.ID, "the agent that the key names has been replaced", 0)
+		return UnknownAnswer(req.ID, "the agent that the key names has been replaced", 0)
 	}
-	status, record := s.memory.Claim(key, DigestOf(hop.Body))
+	status, record := s.dedup.Claim(key, DigestOf(req.Body))
 	switch status {
 	case First:
-		s.settle(hop, record)
-	case OtherBody:
-		return Uncertain(hop.ID, "key: it came with another body before; this body was not run", 0)
-	case Forgotten:
-		return Uncertain(hop.ID, "the key is too old to be remembered", 0)
+		s.runDetached(req, record)
+	case BodyMismatch:
+		return UnknownAnswer(req.ID, "key: it came with another body before; this body was not run", 0)
+	case Expired:
+		return UnknownAnswer(req.ID, "the key is too old to be remembered", 0)
 	case TooNew:
-		return Refusal(hop.ID, "key: its time is far in the future", 0)
+		return NotRunAnswer(req.ID, "key: its time is far in the future", 0)
 	}
 	select {
 	case <-record.Done():
-		return s.memory.Answer(record)
+		return s.dedup.Answer(record)
 	case <-ctx.Done():
-		return Uncertain(hop.ID, "it has not ended yet", uncertainRetry)
+		return UnknownAnswer(req.ID, "it has not ended yet", unknownRetry)
 	}
 }
 
-// settle runs the request independently of the connection that brought it, because other
+// runDetached runs the request independently of the connection on which it arrived, because other
 // connections may wait for the same outcome.
-func (s *Server) settle(hop Hop, record *Record) {
+func (s *Server) runDetached(req AgentRequest, record *Record) {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(hop.LeftMillis)*time.Millisecond)
+		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(req.LeftMillis)*time.Millisecond)
 		defer cancel()
-		s.memory.Settle(record, s.run(ctx, hop))
+		s.dedup.Complete(record, s.run(ctx, req))
 	}()
 }
 
 // run waits for a slot and sends the request to the target once.
-func (s *Server) run(ctx context.Context, hop Hop) Answer {
+func (s *Server) run(ctx context.Context, req AgentRequest) Answer {
 	deadline, _ := ctx.Deadline()
-	if err := s.admission.Acquire(ctx, hop.Team, time.Until(deadline)); err != nil {
-		return refused(hop.ID, err)
+	if err := s.admission.Acquire(ctx, req.Team, time.Until(deadline)); err != nil {
+		return refusedAnswer(req.ID, err)
 	}
 	began := time.Now()
-	defer func() { s.admission.Release(hop.Team, time.Since(began)) }()
-	// A pause of the process may have delayed the slot past the deadline.
+	defer func() { s.admission.Release(req.Team, time.Since(began)) }()
+	// The process may have been paused until after the deadline.
 	if !began.Before(deadline) {
-		return Refusal(hop.ID, "its deadline passed while it waited", minRetry)
+		return NotRunAnswer(req.ID, "its deadline passed while it waited", minRetry)
 	}
-	status, body, err := s.target.Run(ctx, hop)
+	status, body, err := s.target.Run(ctx, req)
 	if err != nil {
-		return failed(hop.ID, err)
+		return failedAnswer(req.ID, err)
 	}
-	return Answer{ID: hop.ID, Outcome: Done, Status: status, Body: body, Digest: DigestOf(body)}
+	return Answer{ID: req.ID, Outcome: Done, Status: status, Body: body, Digest: DigestOf(body)}
 }
 
-func refused(id string, err error) Answer {
-	answer := Refusal(id, err.Error(), minRetry)
+func refusedAnswer(id string, err error) Answer {
+	answer := NotRunAnswer(id, err.Error(), minRetry)
 	var refusal *RefusalError
 	if errors.As(err, &refusal) {
-		answer = Refusal(id, refusal.Reason, refusal.RetryAfter)
+		answer = NotRunAnswer(id, refusal.Reason, refusal.RetryAfter)
 		answer.Leaving = refusal.Leaving
 	}
 	return answer
 }
 
-func failed(id string, err error) Answer {
+func failedAnswer(id string, err error) Answer {
 	var notSent *NotSentError
 	if errors.As(err, &notSent) {
-		return Refusal(id, err.Error(), targetRetry)
+		return NotRunAnswer(id, err.Error(), unreachableRetry)
 	}
-	return Uncertain(id, err.Error(), uncertainRetry)
+	return UnknownAnswer(id, err.Error(), unknownRetry)
 }
--- a/sessions/request/target.go
+++ b/sessions/request/target.go
@@ -13,11 +13,11 @@
 	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
-// idleTimeout is shorter than the idle timeout of common servers (5 s and more). A request sent
-// on a connection that the server is closing ends as Unknown.
+// idleTimeout is shorter than the idle timeout of common servers (5 s and more). If a request is
+// sent on a connection that the server is closing, its outcome is Unknown.
 const idleTimeout = 4 * time.Second
 
-// IDHeader carries the request's ID to the target. Targets may send it back.
+// IDHeader contains the ID of the request. Targets may include it in the response.
 const IDHeader = "X-Request-Id"
 
 // HTTPTarget is a Target reached over HTTP. Each request is one POST.
@@ -27,7 +27,7 @@
 }
 
 // NewHTTPTarget returns the target at the URL address, with at most the given number of
-// connections. wrap decorates the transport, for example with tracing.
+// connections. wrap wraps the transport, for example to add tracing.
 func NewHTTPTarget(address string, connections int, wrap func(http.RoundTripper) http.RoundTripper) *HTTPTarget {
 	transport := &http.Transport{
 		MaxConnsPerHost:     connections,
@@ -38,22 +38,22 @@
 	return &HTTPTarget{address: address, client: &http.Client{Transport: wrap(transport)}}
 }
 
-// ErrCrossed means that the target answered with the ID of another request.
-var ErrCrossed = errors.New("the target's answer belongs to another request")
+// ErrIDMismatch means that the target's response has the ID of another request.
+var ErrIDMismatch = errors.New("the target's response has the ID of another request")
 
-// Run implements Target. It clears GetBody, because the transport would otherwise resend the
-// request on another connection.
+// Run implements Target. It clears GetBody; otherwise the transport could resend the request on
+// another connection.
 //
 // The error is a *NotSentError if no connection was made.
-func (t *HTTPTarget) Run(ctx context.Context, hop Hop) (int, string, error) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, t.address, strings.NewReader(hop.Body))
+func (t *HTTPTarget) Run(ctx context.Context, req AgentRequest) (int, string, error) {
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, t.address, strings.NewReader(req.Body))
 	if err != nil {
 		return 0, "", &NotSentError{Err: err}
 	}
 	r.GetBody = nil
-	r.Header.Set(IDHeader, hop.ID)
-	r.Header.Set("X-Team", hop.Team)
-	r.Header.Set("X-Service", hop.Service)
+	r.Header.Set(IDHeader, req.ID)
+	r.Header.Set("X-Team", req.Team)
+	r.Header.Set("X-Service", req.Service)
 	response, err := t.client.Do(r)
 	if err != nil {
 		return 0, "", sendError(err)
@@ -61,18 +61,19 @@
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, MaxBody+1))
 	if err != nil {
-		return 0, "", fmt.Errorf("request.Run: the target's answer was cut: %w", err)
+		return 0, "", fmt.Errorf("request.Run: reading the target's response: %w", err)
 	}
 	if len(body) > MaxBody {
-		return 0, "", fmt.Errorf("request.Run: the target's answer is over %d bytes", MaxBody)
+		return 0, "", fmt.Errorf("request.Run: the target's response exceeds %d bytes", MaxBody)
 	}
-	if id := response.Header.Get(IDHeader); id != "" && id != hop.ID {
-		return 0, "", ErrCrossed
+	if id := response.Header.Get(IDHeader); id != "" && id != req.ID {
+		return 0, "", ErrIDMismatch
 	}
 	return response.StatusCode, string(body), nil
 }
 
-// sendError distinguishes a connection that was never made from a request that may have arrived.
+// sendError returns a *NotSentError if no connection was made. Otherwise the request may have
+// arrived.
 func sendError(err error) error {
 	if fault.NotReached(err) {
 		return &NotSentError{Err: err}
