--- a/client/golden_test.go
+++ b/client/golden_test.go
@@ -16,7 +16,7 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// TestGoldenRequests: the method, path and body of each call.
+// TestGoldenRequests compares the method, path and body of each call with the golden record.
 func TestGoldenRequests(t *testing.T) {
 	var out bytes.Buffer
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -33,7 +33,7 @@
 	goldentest.Bytes(t, "requests.txt", out.Bytes())
 }
 
-// calls makes each call once. The server refuses them all, so that the errors don't matter.
+// calls makes each call once. The server rejects all of them, so the errors are ignored.
 func calls(ctx context.Context, c *Client) {
 	_, _ = c.Sessions(ctx)
 	_, _ = c.Session(ctx, "session 1")
--- a/cmd/soak/cluster.go
+++ b/cmd/soak/cluster.go
@@ -145,7 +145,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l.Lead(to)
+	l.ForwardTo(to)
 	c.closers = append(c.closers, l.Close)
 	return l, nil
 }
@@ -252,7 +252,7 @@
 		if err := b.process.Signal(syscall.SIGCONT); err != nil {
 			return err
 		}
-		if err := b.process.StartAgain(); err != nil {
+		if err := b.process.EnsureRunning(); err != nil {
 			return err
 		}
 	}
--- a/cmd/soak/faults.go
+++ b/cmd/soak/faults.go
@@ -129,11 +129,11 @@
 		inject func(*loopback.Link)
 	}{
 		{"cut", (*loopback.Link).Cut},
-		{"cut one way", func(l *loopback.Link) { l.Forth.Shut() }},
-		{"cut the other way", func(l *loopback.Link) { l.Back.Shut() }},
-		{"slow", func(l *loopback.Link) { l.Back.Slow(300 * time.Millisecond) }},
+		{"cut one way", func(l *loopback.Link) { l.Upstream.Block() }},
+		{"cut the other way", func(l *loopback.Link) { l.Downstream.Block() }},
+		{"slow", func(l *loopback.Link) { l.Downstream.SetDelay(300 * time.Millisecond) }},
 		{"reset", (*loopback.Link).Reset},
-		{"silent on its open connections", func(l *loopback.Link) { l.Silence() }},
+		{"silent on its open connections", func(l *loopback.Link) { l.Blackhole() }},
 	}
 	kind := kinds[s.random.IntN(len(kinds))]
 	s.record("link of %s %s for %v", b.name, kind.name, length)
@@ -179,7 +179,7 @@
 
 // start starts a process that has exited.
 func (s *injector) start(b *box) {
-	if err := b.process.StartAgain(); err != nil {
+	if err := b.process.EnsureRunning(); err != nil {
 		s.violate("%s failed to start: %v", b.name, err)
 	}
 }
--- a/cmd/soak/second_agents.go
+++ b/cmd/soak/second_agents.go
@@ -61,7 +61,7 @@
 		return err
 	}
 	// The first process is restarted even if the second fails.
-	defer func() { _ = first.process.StartAgain() }()
+	defer func() { _ = first.process.EnsureRunning() }()
 	second, stop, err := sa.start(ctx, first)
 	if err == nil {
 		defer stop()
@@ -77,7 +77,7 @@
 	if killsFirst {
 		first.process.Kill()
 		pause.For(ctx, maxDowntime)
-		if err := first.process.StartAgain(); err != nil {
+		if err := first.process.EnsureRunning(); err != nil {
 			return err
 		}
 	}
--- a/cmd/yarrowgraded/metrics_test.go
+++ b/cmd/yarrowgraded/metrics_test.go
@@ -25,7 +25,7 @@
 	}
 	scope := tally.NewTestScope("", nil)
 	w := telemetry.NewWriter(os.Stderr)
-	w.Count(scope.Counter("log_lines_left_out"))
+	w.SetDropCounter(scope.Counter("log_lines_left_out"))
 	start(s, &telemetry.Telemetry{Log: zerolog.Nop(), Metrics: scope, MetricsHandler: http.NotFoundHandler()})
 	var names []string
 	all := scope.Snapshot()
--- a/cmd/yarrowgraded/silent_test.go
+++ b/cmd/yarrowgraded/silent_test.go
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	defer link.Close()
-	link.Lead(server.Listener.Addr().String())
+	link.ForwardTo(server.Listener.Addr().String())
 	client := &http.Client{Transport: newTransport()}
 	var wg conc.WaitGroup
 	for range idle {
@@ -69,7 +69,7 @@
 		})
 	}
 	wg.Wait()
-	if n := link.Silence(); n != idle {
+	if n := link.Blackhole(); n != idle {
 		t.Fatalf("%d connections, want %d", n, idle)
 	}
 	if err := get(t.Context(), client, link.URL(), short); !errors.Is(err, context.DeadlineExceeded) {
@@ -78,7 +78,7 @@
 	if err := get(t.Context(), client, link.URL(), long); err != nil {
 		t.Errorf("request after the timeout: %v", err)
 	}
-	if n := link.Silence(); n != idle+1 {
+	if n := link.Blackhole(); n != idle+1 {
 		t.Errorf("got %d connections, want one more than before", n)
 	}
 }
--- a/e2e/cluster_test.go
+++ b/e2e/cluster_test.go
@@ -146,8 +146,8 @@
 	}
 	addresses := freeAddresses(t, entryCount+agentCount)
 	for i := range addresses {
-		inbound[i].Lead(addresses[i])
-		outbound[i].Lead(strings.TrimPrefix(server.URL, "http://"))
+		inbound[i].ForwardTo(addresses[i])
+		outbound[i].ForwardTo(strings.TrimPrefix(server.URL, "http://"))
 	}
 	c.startAll(addresses, inbound, outbound, extra)
 	c.eventually("all agents have joined", func() bool {
--- a/e2e/cut_test.go
+++ b/e2e/cut_test.go
@@ -76,10 +76,10 @@
 		member int
 		cut    func(p *process)
 	}{
-		{"the leader gets no beats", 0, func(p *process) { p.inbound.Forth.Shut() }},
-		{"the leader's grants do not arrive", 0, func(p *process) { p.inbound.Back.Shut() }},
-		{"a member gets no answers from its worker", 1, func(p *process) { p.platform.Back.Shut() }},
-		{"a member does not reach its worker", 1, func(p *process) { p.platform.Forth.Shut() }},
+		{"the leader gets no beats", 0, func(p *process) { p.inbound.Upstream.Block() }},
+		{"the leader's grants do not arrive", 0, func(p *process) { p.inbound.Downstream.Block() }},
+		{"a member gets no answers from its worker", 1, func(p *process) { p.platform.Downstream.Block() }},
+		{"a member does not reach its worker", 1, func(p *process) { p.platform.Upstream.Block() }},
 		{"a member is cut off the leader's side and its worker", 1, func(p *process) {
 			p.inbound.Cut()
 			p.platform.Cut()
@@ -123,8 +123,8 @@
 	c := newCluster(t)
 	c.putTeam(plates)
 	cuts := []func(l *loopback.Link){
-		func(l *loopback.Link) { l.Forth.Shut() },
-		func(l *loopback.Link) { l.Back.Shut() },
+		func(l *loopback.Link) { l.Upstream.Block() },
+		func(l *loopback.Link) { l.Downstream.Block() },
 		func(l *loopback.Link) { l.Cut() },
 	}
 	for i, cut := range cuts {
--- a/internal/broadcast/broadcast.go
+++ b/internal/broadcast/broadcast.go
@@ -1,23 +1,23 @@
-// Package broadcast wakes all goroutines that wait for a change of a shared state.
+// Package broadcast wakes all goroutines that wait for a change of shared state.
 //
-// A Signal belongs to the state and is guarded by the same lock: a waiter that reads the state and
-// takes the channel under one lock can't miss a change.
+// A Signal belongs to the state and is guarded by the same lock. A waiter that reads the state and
+// obtains the channel while holding the lock can't miss a change.
 //
 // # Usage
 //
 //	mu.Lock()
 //	current, changed := state, signal.Next()
 //	mu.Unlock()
-//	<-changed // a later signal.Notify(), called with mu held, closes it
+//	<-changed // closed by the next signal.Notify(), which is called with mu held
 package broadcast
 
-// Signal tells waiters of changes. The zero value is ready to use. Its methods must be called with
-// the lock of its owner held.
+// Signal notifies waiters of changes. The zero value is ready to use. The lock that guards the
+// state must be held when calling its methods.
 type Signal struct {
 	next chan struct{}
 }
 
-// Next returns a channel that the next Notify closes.
+// Next returns a channel that is closed by the next call of Notify.
 func (s *Signal) Next() <-chan struct{} {
 	if s.next == nil {
 		s.next = make(chan struct{})
--- a/internal/broadcast/broadcast_test.go
+++ b/internal/broadcast/broadcast_test.go
@@ -16,13 +16,13 @@
 	s.Notify()
 	first, second := s.Next(), s.Next()
 	if closed(first) {
-		t.Error("a channel is closed before the next change")
+		t.Error("the channel is closed before the next Notify")
 	}
 	s.Notify()
 	if !closed(first) || !closed(second) {
-		t.Error("a waiter is not woken")
+		t.Error("Notify did not wake all waiters")
 	}
 	if closed(s.Next()) {
-		t.Error("an earlier change wakes a later waiter")
+		t.Error("an earlier Notify wakes a later waiter")
 	}
 }
--- a/internal/fault/decode.go
+++ b/internal/fault/decode.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// Decode reads exactly one JSON value from data into out. Unknown fields, wrong types and trailing
-// bytes are errors of type *Field.
+// Decode decodes data, which must hold exactly one JSON value, into out. Unknown fields, wrong
+// types and trailing bytes are reported as errors of type *Field.
 func Decode(data []byte, out any) error {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
 	if err := d.Decode(out); err != nil {
-		return fieldOf(err)
+		return toFieldError(err)
 	}
 	if _, err := d.Token(); !errors.Is(err, io.EOF) {
 		return BadField("body", "more than one JSON value")
@@ -22,8 +22,8 @@
 	return nil
 }
 
-// fieldOf turns an error of encoding/json into a *Field.
-func fieldOf(err error) error {
+// toFieldError converts an error of encoding/json to a *Field.
+func toFieldError(err error) error {
 	var field *Field
 	if errors.As(err, &field) {
 		return field
@@ -38,19 +38,20 @@
 	}
 	var syntax *json.SyntaxError
 	if errors.As(err, &syntax) {
-		return BadField("body", "not JSON at byte %d: %v", syntax.Offset, syntax)
+		return BadField("body", "invalid JSON at byte %d: %v", syntax.Offset, syntax)
 	}
-	// encoding/json has no type for this error, only its text.
+	// encoding/json has no error type for unknown fields, so the message is parsed.
 	if name, found := strings.CutPrefix(err.Error(), "json: unknown field "); found {
-		return unknownField(strings.Trim(name, `"`))
+		return unknownFieldError(strings.Trim(name, `"`))
 	}
 	return BadField("body", "%v", err)
 }
 
-// unknownField names the field, or the body if the field's name is empty.
-func unknownField(name string) error {
+// unknownFieldError returns the error for an unknown field. It reports the body as invalid if the
+// field has an empty name.
+func unknownFieldError(name string) error {
 	if name == "" {
-		return BadField("body", "has a field without a name")
+		return BadField("body", "has a field with an empty name")
 	}
 	return BadField(name, "unknown field")
 }
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,14 +1,14 @@
-// Package fault holds the error types of all processes: Error, which names the step that failed and
-// the peer, and Field, which names the field of an input that is wrong. Decode reads JSON strictly
-// and returns a Field for what is wrong.
+// Package fault defines the error types that all processes share: Error identifies the failed step
+// and the peer, and Field identifies an invalid field of an input. Decode decodes JSON strictly and
+// reports invalid input as a Field.
 //
 // # Usage
 //
-// Wrap an error where it arises:
+// Wrap an error where it occurs:
 //
 //	return fault.New("ledger.append", "http://127.0.0.1:7000", err)
 //
-// errors.Is and errors.As see the cause through it.
+// errors.Is and errors.As find the wrapped cause.
 package fault
 
 import (
@@ -17,17 +17,17 @@
 	"net"
 )
 
-// Error is an error with the step and the peer at which it arose.
+// Error is an error with the step that failed and the peer involved.
 type Error struct {
 	// Step is the operation that failed, such as "platform.Append".
 	Step string
-	// Peer is the address or name of the other side. It is empty for a local failure.
+	// Peer is the address or name of the peer. It is empty for a local failure.
 	Peer string
-	// Err is the cause.
+	// Err is the underlying error.
 	Err error
 }
 
-// New returns an *Error, or nil if err is nil.
+// New wraps err in an *Error. It returns nil if err is nil.
 func New(step, peer string, err error) error {
 	if err == nil {
 		return nil
@@ -46,11 +46,11 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Field is an error about one field of an input.
+// Field is an error that reports an invalid field of an input.
 type Field struct {
-	// Name is the path of the field as the sender wrote it, such as "shape.accelerators".
+	// Name is the path of the field in the input, such as "shape.accelerators".
 	Name string
-	// Reason says what is wrong and what is accepted.
+	// Reason describes why the value is invalid and which values are accepted.
 	Reason string
 }
 
@@ -62,12 +62,12 @@
 	return &Field{Name: name, Reason: fmt.Sprintf(format, args...)}
 }
 
-// ErrNotSent means that no connection was made, so nothing was sent.
-var ErrNotSent = errors.New("nothing was sent")
+// ErrNotSent means that no connection was established, so no part of the request was sent.
+var ErrNotSent = errors.New("no connection was established, request not sent")
 
-// NotReached reports whether err means that no connection was made, so that the peer can't have
-// received anything.
-func NotReached(err error) bool {
+// IsNotSent reports whether err means that no connection was established, so that the peer can't
+// have received any part of the request.
+func IsNotSent(err error) bool {
 	var op *net.OpError
 	return errors.Is(err, ErrNotSent) || errors.As(err, &op) && op.Op == "dial"
 }
--- a/internal/fault/golden_test.go
+++ b/internal/fault/golden_test.go
@@ -7,8 +7,8 @@
 	"yarrowgrade.example/yarrowgrade/internal/goldentest"
 )
 
-// TestGoldenField: which field of an input is named, and under which name, is part of every answer
-// to a bad request.
+// TestGoldenField compares the field names reported for invalid inputs with the golden record. They
+// are part of the response to every invalid request.
 func TestGoldenField(t *testing.T) {
 	type inner struct {
 		Count int `json:"count"`
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,8 +1,9 @@
-// Package goldentest compares what the code writes with records that an earlier version wrote, so that a rename or a
-// merge of types can't change a message, a stored record or a settings document unnoticed.
+// Package goldentest compares encoded values with golden records written by an earlier version. It
+// detects when renaming or merging types changes a message, a stored record or a settings document.
 //
-// A golden record is a file under the testdata directory of the package whose type it is. It is written once, by
-// running the test with -golden.update, and committed; later versions have to read it and write the same bytes.
+// A golden record is a file in the testdata directory of the package that defines the type. It is
+// written once, by running the test with -golden.update, and committed. Later versions must be able
+// to read it and must write the same bytes.
 //
 // # Usage
 //
@@ -10,8 +11,8 @@
 //		goldentest.JSON(t, "poll", assignment.Poll{Entry: "entry-1", Sequence: 7})
 //	}
 //
-// The value given to JSON must have every exported field set, in nested structs too; the test fails otherwise.
-// Records that are not plain JSON go through Bytes.
+// Every exported field of the value passed to JSON must be set, including those of nested structs;
+// otherwise the test fails. Bytes compares records that are not plain JSON.
 package goldentest
 
 import (
@@ -27,8 +28,8 @@
 
 var update = flag.Bool("golden.update", false, "write the golden records instead of comparing with them")
 
-// JSON checks that full and the zero value of its type are encoded as testdata/NAME.json and
-// testdata/NAME-defaults.json say, and that both files survive a round trip through the type.
+// JSON checks that the encodings of full and of the zero value of its type equal testdata/NAME.json
+// and testdata/NAME-defaults.json, and that decoding and encoding each file yields the same bytes.
 func JSON[T any](t *testing.T, name string, full T) {
 	t.Helper()
 	for _, field := range unset(reflect.ValueOf(full), "") {
@@ -39,7 +40,7 @@
 	roundTrip(t, name+"-defaults.json", zero)
 }
 
-// Bytes checks that got is what the file testdata/NAME holds.
+// Bytes checks that got equals the content of the file testdata/NAME.
 func Bytes(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -92,8 +93,8 @@
 	}
 }
 
-// unset returns the paths of exported fields that hold their zero value; elements of containers are
-// looked at too. Fields that JSON leaves out (tag "-") don't count.
+// unset returns the paths of exported fields that have their zero value. It also checks one element
+// of each container. Fields that are excluded from JSON (tag "-") are ignored.
 func unset(v reflect.Value, path string) []string {
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
--- a/internal/hedge/hedge.go
+++ b/internal/hedge/hedge.go
@@ -1,11 +1,11 @@
-// Package hedge makes hedged calls to a service that may be slow, lose answers or be down: an
-// attempt without an answer within the usual time is followed by another one in parallel, and the
-// first answer counts. It is only for calls that may be carried out twice without harm.
+// Package hedge makes hedged calls to a service that may be slow, lose responses or be down. If an
+// attempt gets no response within the usual time, another attempt is started in parallel, and the
+// first response is used. Only idempotent calls may be hedged.
 //
-// Earlier attempts go on when the next one starts: a service that is merely slow answers the first
-// one, and cancelling it would only add load.
+// Earlier attempts continue when the next one starts, because a slow service may still respond to
+// the first one, and cancelling it would only add load.
 //
-// The package keeps no state but the latency estimate of a Latency, and relies on the runtime's
+// The package holds no state other than the estimate in a Latency. It relies on the runtime's
 // clock.
 //
 // # Usage
@@ -24,23 +24,24 @@
 	"time"
 )
 
-// Call is a call that is attempted until one attempt succeeds. Attempts are numbered from 0.
+// Call describes a call that is attempted until one attempt succeeds. Attempts are numbered from 0.
 type Call[T any] struct {
 	// Attempt makes one attempt.
 	Attempt func(ctx context.Context, attempt int) (T, error)
-	// HedgeAfter returns how long an attempt may go unanswered before the next one starts in
-	// parallel.
+	// HedgeAfter returns the time to wait for a response to an attempt before the next one is
+	// started in parallel.
 	HedgeAfter func(attempt int) time.Duration
 	// RetryDelay is the delay between a failed attempt and the next one.
 	RetryDelay time.Duration
-	// Timeout bounds each attempt.
+	// Timeout is the timeout of each attempt.
 	Timeout time.Duration
-	// MaxAttempts bounds the number of attempts; zero means no bound.
+	// MaxAttempts is the maximum number of attempts; zero means no limit.
 	MaxAttempts int
-	// IsPermanent reports whether an error ends the call. Nil means that no error does.
+	// IsPermanent reports whether an error ends the call without further attempts. If it is nil, no
+	// error does.
 	IsPermanent func(error) bool
-	// MergeErrors chooses between the errors of two attempts, for the error of a call whose
-	// attempts have all failed. Nil chooses the later one.
+	// MergeErrors chooses between the errors of two attempts. If all attempts fail, Do returns the
+	// chosen error. If MergeErrors is nil, the latest error is returned.
 	MergeErrors func(earlier, later error) error
 }
 
@@ -50,8 +51,9 @@
 	err   error
 }
 
-// Do returns the first answer. It returns an error when one is permanent, when all attempts have
-// failed, or when ctx ends, which is reported by its cause.
+// Do returns the value of the first successful attempt. It returns an error if an attempt fails
+// with a permanent error, if all attempts have failed, or if ctx ends; the error is then the cause
+// of ctx.
 func (c Call[T]) Do(ctx context.Context) (T, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -86,7 +88,7 @@
 	}
 }
 
-// run makes one attempt and delivers its result, unless the call has ended.
+// run makes one attempt and sends its result, unless the call has ended.
 func (c Call[T]) run(ctx context.Context, attempt int, results chan<- result[T]) {
 	bounded, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
--- a/internal/hedge/hedge_test.go
+++ b/internal/hedge/hedge_test.go
@@ -12,56 +12,56 @@
 const ms = time.Millisecond
 
 var (
-	errAway  = errors.New("away")
-	errFinal = errors.New("final")
+	errUnavailable = errors.New("away")
+	errPermanent   = errors.New("final")
 )
 
-// reply is how a service answers an attempt: how long it takes, and with which error.
+// reply is the response of a service to an attempt: its latency and its error.
 type reply struct {
-	takes time.Duration
-	err   error
+	latency time.Duration
+	err     error
 }
 
-// service answers attempts with its replies in turn, and then with the last one. An answer is the
-// number of the reply.
+// service responds to attempts with its replies in order, and repeats the last one. The value of a
+// response is the index of the reply.
 type service struct {
-	replies []reply
-	begun   atomic.Int64
+	replies  []reply
+	attempts atomic.Int64
 }
 
 func (s *service) attempt(ctx context.Context, number int) (int, error) {
-	s.begun.Add(1)
+	s.attempts.Add(1)
 	number = min(number, len(s.replies)-1)
 	r := s.replies[number]
 	select {
-	case <-time.After(r.takes):
+	case <-time.After(r.latency):
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
 	return number, r.err
 }
 
-func after(int) time.Duration { return 100 * ms }
+func hedgeAfter100ms(int) time.Duration { return 100 * ms }
 
 func TestDo(t *testing.T) {
 	tests := []struct {
-		name    string
-		replies []reply
-		call    Call[int]
-		want    int
-		err     error
-		took    time.Duration
-		begun   int64
+		name     string
+		replies  []reply
+		call     Call[int]
+		want     int
+		err      error
+		took     time.Duration
+		attempts int64
 	}{
 		{"the first answers", []reply{{10 * ms, nil}}, Call[int]{}, 0, nil, 10 * ms, 1},
 		{"a lost answer", []reply{{time.Hour, nil}, {10 * ms, nil}}, Call[int]{}, 1, nil, 110 * ms, 2},
 		{"a slow answer still counts", []reply{{250 * ms, nil}}, Call[int]{}, 0, nil, 250 * ms, 3},
 		{
-			"after a failure the next begins at once", []reply{{10 * ms, errAway}, {10 * ms, nil}},
+			"after a failure the next begins at once", []reply{{10 * ms, errUnavailable}, {10 * ms, nil}},
 			Call[int]{RetryDelay: ms}, 1, nil, 21 * ms, 2,
 		},
-		{"a final error ends it", []reply{{10 * ms, errFinal}}, Call[int]{}, 0, errFinal, 10 * ms, 1},
-		{"all have failed", []reply{{10 * ms, errAway}}, Call[int]{MaxAttempts: 3}, 0, errAway, 30 * ms, 3},
+		{"a final error ends it", []reply{{10 * ms, errPermanent}}, Call[int]{}, 0, errPermanent, 10 * ms, 1},
+		{"all have failed", []reply{{10 * ms, errUnavailable}}, Call[int]{MaxAttempts: 3}, 0, errUnavailable, 30 * ms, 3},
 		{
 			"an attempt is bounded", []reply{{time.Hour, nil}},
 			Call[int]{MaxAttempts: 2}, 0, context.DeadlineExceeded, 1100 * ms, 2,
@@ -72,47 +72,48 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := service{replies: test.replies}
 				call := test.call
-				call.Attempt, call.HedgeAfter, call.Timeout = s.attempt, after, time.Second
-				call.IsPermanent = func(err error) bool { return errors.Is(err, errFinal) }
+				call.Attempt, call.HedgeAfter, call.Timeout = s.attempt, hedgeAfter100ms, time.Second
+				call.IsPermanent = func(err error) bool { return errors.Is(err, errPermanent) }
 				began := time.Now()
 				got, err := call.Do(t.Context())
 				if err == nil && got != test.want || !errors.Is(err, test.err) {
 					t.Errorf("got %d, %v; want %d, %v", got, err, test.want, test.err)
 				}
-				if took := time.Since(began); took != test.took || s.begun.Load() != test.begun {
-					t.Errorf("took %v with %d attempts, want %v with %d", took, s.begun.Load(), test.took, test.begun)
+				if took := time.Since(began); took != test.took || s.attempts.Load() != test.attempts {
+					t.Errorf("took %v with %d attempts, want %v with %d", took, s.attempts.Load(), test.took, test.attempts)
 				}
 			})
 		})
 	}
 }
 
-// TestDoEnds: the call ends with its context, and none of its attempts goes on.
+// TestDoEnds checks that the call and all its attempts end with the context.
 func TestDoEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 350*ms)
 		defer cancel()
 		s := service{replies: []reply{{time.Hour, nil}}}
-		_, err := Call[int]{Attempt: s.attempt, HedgeAfter: after, Timeout: time.Second}.Do(ctx)
-		if !errors.Is(err, context.DeadlineExceeded) || s.begun.Load() != 4 {
-			t.Errorf("got %v after %d attempts, want the deadline after 4", err, s.begun.Load())
+		_, err := Call[int]{Attempt: s.attempt, HedgeAfter: hedgeAfter100ms, Timeout: time.Second}.Do(ctx)
+		if !errors.Is(err, context.DeadlineExceeded) || s.attempts.Load() != 4 {
+			t.Errorf("got %v after %d attempts, want deadline exceeded after 4", err, s.attempts.Load())
 		}
 	})
 }
 
-// TestWorse: an error after which the result is uncertain is not hidden by a later one.
+// TestWorse checks that MergeErrors can keep an earlier error. An error that leaves the outcome
+// uncertain must not be hidden by a later one.
 func TestWorse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := service{replies: []reply{{ms, errAway}, {ms, errFinal}}}
+		s := service{replies: []reply{{ms, errUnavailable}, {ms, errPermanent}}}
 		call := Call[int]{
 			Attempt:     s.attempt,
-			HedgeAfter:  after,
+			HedgeAfter:  hedgeAfter100ms,
 			Timeout:     time.Second,
 			MaxAttempts: 2,
 			MergeErrors: func(earlier, _ error) error { return earlier },
 		}
-		if _, err := call.Do(t.Context()); !errors.Is(err, errAway) {
-			t.Errorf("got %v, want %v", err, errAway)
+		if _, err := call.Do(t.Context()); !errors.Is(err, errUnavailable) {
+			t.Errorf("got %v, want %v", err, errUnavailable)
 		}
 	})
 }
--- a/internal/hedge/latency.go
+++ b/internal/hedge/latency.go
@@ -6,46 +6,47 @@
 )
 
 const (
-	// initialEstimate is the response time assumed until an answer has come.
+	// initialEstimate is the response time assumed before the first response.
 	initialEstimate = 20 * time.Millisecond
-	// hedgeFactor is the hedge delay in estimated response times. Appends to a slow log queue
-	// behind one another and take two to three response times.
+	// hedgeFactor is the ratio of the hedge delay to the estimated response time. It allows for
+	// appends to a slow log, which queue up behind one another and take two to three response
+	// times.
 	hedgeFactor = 4
-	// minHedgeDelay and maxHedgeDelay bound the delay after the first attempt.
+	// minHedgeDelay and maxHedgeDelay bound the hedge delay of the first attempt.
 	minHedgeDelay = 150 * time.Millisecond
 	maxHedgeDelay = 2 * time.Second
-	// maxBackoff bounds the delay that doubles while a fast service does not answer, so that its
-	// return is noticed soon.
+	// maxBackoff bounds the doubling of the delay while a fast service does not respond, so that
+	// its recovery is detected quickly.
 	maxBackoff = 500 * time.Millisecond
-	// maxDoublings keeps the doubled delay from overflowing.
+	// maxDoublings prevents an overflow of the doubled delay.
 	maxDoublings = 8
-	// decayDivisor is the weight of a faster answer in the estimate, as a divisor.
+	// decayDivisor is the reciprocal of the weight of a faster response in the moving average.
 	decayDivisor = 8
 )
 
-// Latency estimates how long a service takes to answer. Its methods may be called from any
-// goroutine.
+// Latency estimates the response time of a service. It is safe for concurrent use.
 type Latency struct {
 	mu       sync.Mutex
 	estimate time.Duration
 }
 
-// NewLatency returns an estimator that has seen no answer yet.
+// NewLatency returns an estimator without observations.
 func NewLatency() *Latency { return &Latency{estimate: initialEstimate} }
 
-// Observe updates the estimate with the time that an answer took. A slower answer counts at once, a
-// faster one lowers the estimate gradually.
+// Observe updates the estimate with an observed response time. A slower response raises the
+// estimate immediately; a faster one lowers it gradually.
 func (l *Latency) Observe(took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.estimate = max(took, l.estimate+(took-l.estimate)/decayDivisor)
 }
 
-// Fast reports whether answers come so soon that the shortest hedge delay is in use.
+// Fast reports whether the service responds so quickly that the minimum hedge delay is in use.
 func (l *Latency) Fast() bool { return l.HedgeDelay(0) <= minHedgeDelay }
 
-// HedgeDelay returns how long an attempt may go unanswered before the next one starts. It doubles
-// with each attempt up to maxBackoff, or stays as it is where the first delay is longer already.
+// HedgeDelay returns the time to wait for a response to an attempt before the next one is started.
+// It doubles with each attempt up to maxBackoff, or stays constant if the first delay is already
+// longer.
 func (l *Latency) HedgeDelay(attempt int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/jsonhttp/client.go
+++ b/internal/jsonhttp/client.go
@@ -1,16 +1,17 @@
-// Package jsonhttp exchanges JSON over HTTP: between the system's own processes, with the platform,
+// Package jsonhttp exchanges JSON over HTTP between the system's own processes, with the platform
 // and with clients.
 //
-// It owns the form of error answers (ErrorBody) and the size limits of requests and answers. It
-// relies on package fault for errors that name the step and the peer, or the field that is wrong.
+// It defines the format of error responses (ErrorBody) and the size limits of requests and
+// responses. It uses the errors of package fault to identify the failed step and the peer, or the
+// invalid field.
 //
 // # Usage
 //
-// The client side:
+// On the client side:
 //
-//	err := jsonhttp.Call(ctx, client, "entry.poll", http.MethodPost, address, "/internal/poll", body, &answer)
+//	err := jsonhttp.Call(ctx, client, "entry.poll", http.MethodPost, address, "/internal/poll", body, &out)
 //
-// The server side:
+// On the server side:
 //
 //	if err := jsonhttp.Read(w, r, &in); err != nil {
 //		jsonhttp.WriteError(w, err)
@@ -33,14 +34,15 @@
 	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
-// maxAnswerBytes bounds one answer. A batch of 256 log records of at most 64 KiB stays below it.
-const maxAnswerBytes = 32 << 20
+// maxResponseBytes is the size limit of a response. A batch of 256 log records of up to 64 KiB each
+// fits into it.
+const maxResponseBytes = 32 << 20
 
-// StatusError is an answer with a status of 400 or more.
+// StatusError is a response with a status of 400 or above.
 type StatusError struct {
 	Status  int
 	Message string
-	// Field names the field of the request that is wrong, if the answer names one.
+	// Field is the invalid field of the request, if the response specifies one.
 	Field string
 }
 
@@ -52,51 +54,52 @@
 	return fmt.Sprintf("status %d: %s", e.Status, e.Message)
 }
 
-// Call sends body to address+path and decodes the answer into out. Both may be nil; a body of type
-// []byte is sent as it is, and an out of type *[]byte gets the raw answer. Errors are *fault.Error
-// with the step and the address; for an answer of 400 or more they wrap a *StatusError.
+// Call sends body to address+path and decodes the response into out. Both may be nil. A body of
+// type []byte is sent unchanged, and an out of type *[]byte receives the raw response. Errors are
+// of type *fault.Error and hold the step and the address; for a status of 400 or above they wrap a
+// *StatusError.
 func Call(
 	ctx context.Context, client *http.Client, step, method, address, path string, body, out any,
 ) error {
 	return fault.New(step, address, call(ctx, client, method, address+path, body, out))
 }
 
-// CallAny is Call for interfaces that answer with a value of their own at a status of 400 or more,
-// too. Only an answer with an ErrorBody is an error.
-func CallAny(
+// CallAnyStatus is like Call, but also decodes responses with a status of 400 or above into out.
+// Only a response with an ErrorBody is an error.
+func CallAnyStatus(
 	ctx context.Context, client *http.Client, step, method, address, path string, body, out any,
 ) error {
-	status, answer, err := exchange(ctx, client, method, address+path, body)
+	status, payload, err := roundTrip(ctx, client, method, address+path, body)
 	if err != nil {
 		return fault.New(step, address, err)
 	}
-	var refusal ErrorBody
-	if json.Unmarshal(answer, &refusal) == nil && refusal.Error != "" {
-		return fault.New(step, address, statusError(status, answer))
+	var errorBody ErrorBody
+	if json.Unmarshal(payload, &errorBody) == nil && errorBody.Error != "" {
+		return fault.New(step, address, statusError(status, payload))
 	}
-	return fault.New(step, address, json.Unmarshal(answer, out))
+	return fault.New(step, address, json.Unmarshal(payload, out))
 }
 
 func call(ctx context.Context, client *http.Client, method, url string, body, out any) error {
-	status, answer, err := exchange(ctx, client, method, url, body)
+	status, payload, err := roundTrip(ctx, client, method, url, body)
 	if err != nil {
 		return err
 	}
 	if status >= http.StatusBadRequest {
-		return statusError(status, answer)
+		return statusError(status, payload)
 	}
 	if out == nil || status == http.StatusNoContent {
 		return nil
 	}
 	if raw, ok := out.(*[]byte); ok {
-		*raw = answer
+		*raw = payload
 		return nil
 	}
-	return json.Unmarshal(answer, out)
+	return json.Unmarshal(payload, out)
 }
 
-// exchange sends a request and reads the whole answer.
-func exchange(ctx context.Context, client *http.Client, method, url string, body any) (int, []byte, error) {
+// roundTrip sends a request and reads the whole response.
+func roundTrip(ctx context.Context, client *http.Client, method, url string, body any) (int, []byte, error) {
 	data, raw := body.([]byte)
 	if !raw && body != nil {
 		var err error
@@ -113,12 +116,12 @@
 		return 0, nil, err
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
-	return response.StatusCode, answer, err
+	payload, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	return response.StatusCode, payload, err
 }
 
-// Do sends a request. If no connection was made, fault.NotReached holds for its error, even if the
-// deadline passed while the connection was being made: nothing of the request was sent.
+// Do sends a request. If no connection was established, fault.IsNotSent is true for its error, even
+// if the deadline passed during the connection attempt, because no part of the request was sent.
 func Do(client *http.Client, r *http.Request) (*http.Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
@@ -130,22 +133,22 @@
 }
 
 // tracesConnections reports whether the client's transport is known to call GotConn. Other
-// transports may not.
+// transports might not call it.
 func tracesConnections(client *http.Client) bool {
 	_, ok := client.Transport.(*http.Transport)
 	return ok
 }
 
-func statusError(status int, answer []byte) error {
+func statusError(status int, payload []byte) error {
 	var body ErrorBody
-	if json.Unmarshal(answer, &body) != nil || body.Error == "" {
+	if json.Unmarshal(payload, &body) != nil || body.Error == "" {
 		body.Error = http.StatusText(status)
 	}
 	return &StatusError{Status: status, Message: body.Error, Field: body.Field}
 }
 
-// IsSilent reports whether an error of Call or CallIdle means that no answer came in time. After
-// any other error the peer answered, or could not be reached at all.
-func IsSilent(err error) bool {
-	return errors.Is(err, errIdle) || errors.Is(err, context.DeadlineExceeded)
+// IsTimeout reports whether an error of Call or CallWithIdleTimeout means that no response arrived
+// in time. After any other error, the peer has responded or could not be reached at all.
+func IsTimeout(err error) bool {
+	return errors.Is(err, errIdleTimeout) || errors.Is(err, context.DeadlineExceeded)
 }
--- a/internal/jsonhttp/golden_test.go
+++ b/internal/jsonhttp/golden_test.go
@@ -16,7 +16,8 @@
 	goldentest.JSON(t, "error-body", ErrorBody{Error: "why", Field: "shape.accelerators", RetryAfterMillis: 1000})
 }
 
-// TestGoldenWriteError: the status, the headers and the body of each kind of refusal.
+// TestGoldenWriteError compares the status, headers and body of each kind of error response with
+// the golden record.
 func TestGoldenWriteError(t *testing.T) {
 	var out bytes.Buffer
 	for _, err := range []error{
@@ -32,7 +33,7 @@
 	goldentest.Bytes(t, "write-error.txt", out.Bytes())
 }
 
-// TestGoldenStatusError: what a caller reads from such an answer.
+// TestGoldenStatusError checks that Call decodes a golden error body to a *StatusError.
 func TestGoldenStatusError(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusConflict)
--- a/internal/jsonhttp/idle.go
+++ b/internal/jsonhttp/idle.go
@@ -10,36 +10,36 @@
 	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
-// errIdle means that the peer sent nothing for too long.
-var errIdle = errors.New("nothing was received for too long")
+// errIdleTimeout means that the peer sent no data within the idle timeout.
+var errIdleTimeout = errors.New("no data received within the idle timeout")
 
-// CallIdle is Call for an answer that may take long and is kept alive by KeepAlive: it fails when
-// nothing is received for the idle time.
-func CallIdle(
+// CallWithIdleTimeout is Call for a response that may take a long time and is kept alive by
+// KeepAlive. It fails if no data is received for the duration idle.
+func CallWithIdleTimeout(
 	ctx context.Context, client *http.Client, idle time.Duration,
 	step, method, address, path string, body, out any,
 ) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	timer := time.AfterFunc(idle, func() { cancel(errIdle) })
+	timer := time.AfterFunc(idle, func() { cancel(errIdleTimeout) })
 	defer timer.Stop()
-	watched := *client
-	watched.Transport = &watchedTransport{base: client.Transport, received: func() { timer.Reset(idle) }}
-	err := Call(ctx, &watched, step, method, address, path, body, out)
-	if err != nil && errors.Is(context.Cause(ctx), errIdle) {
-		return fault.New(step, address, errIdle)
+	activityClient := *client
+	activityClient.Transport = &activityTransport{base: client.Transport, received: func() { timer.Reset(idle) }}
+	err := Call(ctx, &activityClient, step, method, address, path, body, out)
+	if err != nil && errors.Is(context.Cause(ctx), errIdleTimeout) {
+		return fault.New(step, address, errIdleTimeout)
 	}
 	return err
 }
 
-// watchedTransport calls received whenever a part of an answer arrives.
-type watchedTransport struct {
+// activityTransport calls received whenever a part of a response arrives.
+type activityTransport struct {
 	base     http.RoundTripper
 	received func()
 }
 
 // RoundTrip implements http.RoundTripper.
-func (t *watchedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+func (t *activityTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	base := t.base
 	if base == nil {
 		base = http.DefaultTransport
@@ -49,17 +49,17 @@
 		return nil, err
 	}
 	t.received()
-	response.Body = &watchedBody{ReadCloser: response.Body, received: t.received}
+	response.Body = &activityBody{ReadCloser: response.Body, received: t.received}
 	return response, nil
 }
 
-type watchedBody struct {
+type activityBody struct {
 	io.ReadCloser
 	received func()
 }
 
 // Read implements io.Reader.
-func (b *watchedBody) Read(p []byte) (int, error) {
+func (b *activityBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if n > 0 {
 		b.received()
--- a/internal/jsonhttp/server.go
+++ b/internal/jsonhttp/server.go
@@ -10,22 +10,24 @@
 	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
-// MaxRequestBytes bounds one request: a body of 1 MiB, escaped, with its JSON around it.
+// MaxRequestBytes is the size limit of a request. It leaves room for a body of 1 MiB that is
+// escaped and embedded in JSON.
 const MaxRequestBytes = 7 << 20
 
-// retryMillis is the retry delay of a failure that may pass.
-const retryMillis = 1000
+// retryAfterMillis is the suggested retry delay after a temporary failure.
+const retryAfterMillis = 1000
 
-// ErrorBody is the body of an answer with a status of 400 or more.
+// ErrorBody is the body of a response with a status of 400 or above.
 type ErrorBody struct {
 	Error string `json:"error"`
-	// Field names the field of the request that is wrong, if one is.
+	// Field is the invalid field of the request, if there is one.
 	Field string `json:"field,omitempty"`
-	// RetryAfterMillis is when a retry may help; zero if it won't.
+	// RetryAfterMillis is the delay after which the client may retry. It is zero if a retry would
+	// not help.
 	RetryAfterMillis int64 `json:"retry_after_ms,omitempty"`
 }
 
-// Read decodes the body of a request strictly. Its errors are *fault.Field.
+// Read decodes the body of a request strictly. Its errors are of type *fault.Field.
 func Read(w http.ResponseWriter, r *http.Request, out any) error {
 	data, err := readBody(w, r)
 	if err != nil {
@@ -34,7 +36,7 @@
 	return fault.Decode(data, out)
 }
 
-// readBody returns the body of a request. Its errors are *fault.Field.
+// readBody returns the body of a request. Its errors are of type *fault.Field.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxRequestBytes))
 	var tooLarge *http.MaxBytesError
@@ -42,21 +44,21 @@
 		return nil, fault.BadField("body", "want at most %d bytes", tooLarge.Limit)
 	}
 	if err != nil {
-		return nil, fault.BadField("body", "was cut: %v", err)
+		return nil, fault.BadField("body", "was truncated: %v", err)
 	}
 	return data, nil
 }
 
-// Write answers with a status and a JSON value.
+// Write writes a response with a status and a JSON value.
 func Write(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// An error means that the client has closed its connection, so there is nobody to report it to.
+	// An error means that the client has closed its connection, so it can't be reported.
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// WriteError answers with 400 for a *fault.Field, with the status of a *StatusError, and with 503
-// for all others.
+// WriteError writes an error response. Its status is 400 for a *fault.Field, the status of a
+// *StatusError, and 503 for all other errors.
 func WriteError(w http.ResponseWriter, err error) {
 	var field *fault.Field
 	var status *StatusError
@@ -66,15 +68,15 @@
 	case errors.As(err, &status):
 		Write(w, status.Status, ErrorBody{Error: status.Message, Field: status.Field})
 	default:
-		Write(w, http.StatusServiceUnavailable, ErrorBody{Error: err.Error(), RetryAfterMillis: retryMillis})
+		Write(w, http.StatusServiceUnavailable, ErrorBody{Error: err.Error(), RetryAfterMillis: retryAfterMillis})
 	}
 }
 
-// KeepAlive starts an answer with status 200 and sends a newline, which JSON decoders skip, every
-// period until stop is called. After that the caller encodes the value to w.
+// KeepAlive starts a response with status 200 and sends a newline, which JSON decoders skip, in
+// every period until stop is called. The caller then encodes the value to w.
 //
-// All answers of a process send their newlines at the same moments: waking up hundreds of
-// goroutines one by one costs more processor time than writing does.
+// All responses of a process with the same period send their newlines at the same time, because
+// waking hundreds of goroutines individually costs more CPU time than the writes themselves.
 func KeepAlive(w http.ResponseWriter, period time.Duration) (stop func()) {
 	w.Header().Set("Content-Type", "application/json")
 	controller := http.NewResponseController(w)
@@ -82,7 +84,7 @@
 	go func() {
 		defer close(ended)
 		for {
-			// A failed write ends the request's context, which the handler watches.
+			// A failed write ends the request's context, which the handler observes.
 			_, _ = w.Write([]byte("\n"))
 			_ = controller.Flush()
 			timer := time.NewTimer(untilNext(period, time.Now()))
--- a/internal/loopback/link.go
+++ b/internal/loopback/link.go
@@ -1,12 +1,12 @@
-// Package loopback is for tests that run real processes on one machine. It has links between
-// processes, which can be cut, slowed down and reset, and the processes themselves, which are
-// stopped, paused and killed by signals.
+// Package loopback supports tests that run real processes on one machine. A Link is a TCP proxy
+// that can cut, delay and reset the connections between processes. A Process is a program that can
+// be stopped, paused and killed by signals.
 //
 // # Usage
 //
 //	l, err := loopback.NewLink()
-//	l.Lead("127.0.0.1:7000")           // clients connect to l.Address() instead
-//	l.Forth.Shut()                     // requests don't arrive any more; answers still do
+//	l.ForwardTo("127.0.0.1:7000")      // clients connect to l.Address() instead
+//	l.Upstream.Block()                 // blocks requests; responses still pass
 //	p := &loopback.Process{Path: "bin/yarrowgraded", Args: []string{"job-agent"}, Log: "agent.log"}
 //	err = p.Start()
 package loopback
@@ -19,62 +19,65 @@
 	"time"
 )
 
-// Link forwards TCP connections to an address, and can be cut. While a direction is cut its bytes
-// wait, as on a real network, where they would be retransmitted; no connection is reset.
-// Connections made meanwhile are accepted and stay silent. It is safe for concurrent use.
+// Link forwards TCP connections to an address and injects network faults. The data of a blocked
+// direction is held back and delivered later, as on a real network, where it would be
+// retransmitted; no connection is reset. Connections opened in the meantime are accepted, but carry
+// no data. Link is safe for concurrent use.
 type Link struct {
-	// Forth is the direction to the address, Back the one from it.
-	Forth, Back Gate
+	// Upstream is the direction to the address, Downstream the direction back to the client.
+	Upstream, Downstream Direction
 
 	listener net.Listener
 
-	mu   sync.Mutex
-	to   string
-	open map[net.Conn]bool
-	// pairs are the forwarded connections.
-	pairs map[*pair]bool
+	mu          sync.Mutex
+	destination string
+	conns       map[net.Conn]bool
+	// pairs holds the forwarded connections.
+	pairs map[*connPair]bool
 }
 
-// pair is a client's connection to the link and the one from the link to the address.
-type pair struct {
-	// silent means that neither bytes nor the end of either side are forwarded any more.
-	silent atomic.Bool
+// connPair consists of a client's connection to the link and the link's connection to the address.
+type connPair struct {
+	// blackholed means that neither data nor the closing of either side is forwarded.
+	blackholed atomic.Bool
 }
 
-// NewLink returns a link that listens, and forwards after Lead. Close ends it.
+// NewLink returns a link that listens on a free port. It starts to forward connections when
+// ForwardTo is called. The caller must call Close.
 func NewLink() (*Link, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	return &Link{listener: l, open: map[net.Conn]bool{}, pairs: map[*pair]bool{}}, nil
+	return &Link{listener: l, conns: map[net.Conn]bool{}, pairs: map[*connPair]bool{}}, nil
 }
 
-// Lead sets the address that the link forwards to, and starts it. It is called once.
-func (l *Link) Lead(to string) {
+// ForwardTo sets the address that the link forwards to and starts forwarding. It must be called
+// only once.
+func (l *Link) ForwardTo(to string) {
 	l.mu.Lock()
-	l.to = to
+	l.destination = to
 	l.mu.Unlock()
-	go l.accept()
+	go l.acceptLoop()
 }
 
-// Address returns where the link listens, such as 127.0.0.1:40123.
+// Address returns the address on which the link listens, such as 127.0.0.1:40123.
 func (l *Link) Address() string { return l.listener.Addr().String() }
 
 // URL returns the base URL of the link.
 func (l *Link) URL() string { return "http://" + l.Address() }
 
-// Cut cuts both directions. Heal ends it.
+// Cut blocks both directions until Heal is called.
 func (l *Link) Cut() {
-	l.Forth.Shut()
-	l.Back.Shut()
+	l.Upstream.Block()
+	l.Downstream.Block()
 }
 
-// Heal ends all faults of the link.
+// Heal unblocks both directions and removes their delays.
 func (l *Link) Heal() {
-	for _, g := range []*Gate{&l.Forth, &l.Back} {
-		g.Open()
-		g.Slow(0)
+	for _, d := range []*Direction{&l.Upstream, &l.Downstream} {
+		d.Unblock()
+		d.SetDelay(0)
 	}
 }
 
@@ -82,7 +85,7 @@
 func (l *Link) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for c := range l.open {
+	for c := range l.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
@@ -90,25 +93,26 @@
 	}
 }
 
-// Silence makes all open connections silent for good: nothing is forwarded, and neither end notices
-// the other's close. New connections work. It returns how many connections there were.
-func (l *Link) Silence() int {
+// Blackhole permanently stops forwarding on all open connections: data is discarded, and neither
+// end detects that the other has closed its connection. New connections are not affected. It
+// returns the number of affected connections.
+func (l *Link) Blackhole() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for p := range l.pairs {
-		p.silent.Store(true)
+		p.blackholed.Store(true)
 	}
 	return len(l.pairs)
 }
 
-// Close ends the link and its connections.
+// Close stops the link and resets its connections.
 func (l *Link) Close() {
 	l.listener.Close()
 	l.Heal()
 	l.Reset()
 }
 
-func (l *Link) accept() {
+func (l *Link) acceptLoop() {
 	for {
 		c, err := l.listener.Accept()
 		if err != nil {
@@ -118,43 +122,43 @@
 	}
 }
 
-// track adds an open connection until the returned function, which closes it, is called.
+// track registers an open connection. The returned function unregisters and closes it.
 func (l *Link) track(c net.Conn) (release func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open[c] = true
+	l.conns[c] = true
 	return func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		delete(l.open, c)
+		delete(l.conns, c)
 		c.Close()
 	}
 }
 
 func (l *Link) serve(c net.Conn) {
 	defer l.track(c)()
-	l.Forth.pass()
+	l.Upstream.wait()
 	l.mu.Lock()
-	to := l.to
+	to := l.destination
 	l.mu.Unlock()
 	s, err := net.Dial("tcp", to)
 	if err != nil {
 		return
 	}
 	defer s.Close()
-	pair := &pair{}
+	pair := &connPair{}
 	defer l.trackPair(pair)()
 	ended := make(chan struct{}, 2)
-	go pair.copy(s, c, &l.Forth, ended)
-	go pair.copy(c, s, &l.Back, ended)
+	go pair.copy(s, c, &l.Upstream, ended)
+	go pair.copy(c, s, &l.Downstream, ended)
 	<-ended
-	if pair.silent.Load() {
+	if pair.blackholed.Load() {
 		<-ended
 	}
 }
 
-// trackPair adds a forwarded pair until the returned function is called.
-func (l *Link) trackPair(p *pair) (release func()) {
+// trackPair registers a forwarded pair. The returned function unregisters it.
+func (l *Link) trackPair(p *connPair) (release func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.pairs[p] = true
@@ -165,15 +169,15 @@
 	}
 }
 
-// copy copies from one connection to the other, as the gate allows. Once the pair is silent it
-// discards what it reads.
-func (p *pair) copy(to io.Writer, from io.Reader, g *Gate, ended chan<- struct{}) {
+// copy copies data from one connection to the other, subject to the faults of the direction. Once
+// the pair is blackholed, it discards the data.
+func (p *connPair) copy(to io.Writer, from io.Reader, d *Direction, ended chan<- struct{}) {
 	defer func() { ended <- struct{}{} }()
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		g.pass()
-		if n > 0 && !p.silent.Load() {
+		d.wait()
+		if n > 0 && !p.blackholed.Load() {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
@@ -184,48 +188,48 @@
 	}
 }
 
-// Gate holds those who pass while it is shut, and delays them while it is slow. The zero value is
-// open.
-type Gate struct {
-	mu     sync.Mutex
-	opened chan struct{}
-	delay  time.Duration
+// Direction controls one direction of the traffic on a Link, which can be blocked or delayed. The
+// zero value neither blocks nor delays.
+type Direction struct {
+	mu        sync.Mutex
+	unblocked chan struct{}
+	delay     time.Duration
 }
 
-// Shut holds all who pass from now on, until Open.
-func (g *Gate) Shut() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.opened == nil {
-		g.opened = make(chan struct{})
+// Block holds back all data until Unblock is called.
+func (d *Direction) Block() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.unblocked == nil {
+		d.unblocked = make(chan struct{})
 	}
 }
 
-// Open lets all pass.
-func (g *Gate) Open() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.opened != nil {
-		close(g.opened)
-		g.opened = nil
+// Unblock ends a Block and delivers the data that was held back.
+func (d *Direction) Unblock() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.unblocked != nil {
+		close(d.unblocked)
+		d.unblocked = nil
 	}
 }
 
-// Slow delays each who passes; zero ends it.
-func (g *Gate) Slow(delay time.Duration) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.delay = delay
+// SetDelay sets the delay of each chunk of data. Zero removes the delay.
+func (d *Direction) SetDelay(delay time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.delay = delay
 }
 
-func (g *Gate) pass() {
-	g.mu.Lock()
-	opened, delay := g.opened, g.delay
-	g.mu.Unlock()
+func (d *Direction) wait() {
+	d.mu.Lock()
+	unblocked, delay := d.unblocked, d.delay
+	d.mu.Unlock()
 	if delay > 0 {
 		time.Sleep(delay)
 	}
-	if opened != nil {
-		<-opened
+	if unblocked != nil {
+		<-unblocked
 	}
 }
--- a/internal/loopback/link_test.go
+++ b/internal/loopback/link_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// echo returns the address of a server that sends back what it gets, and a channel that gets a
-// value for each connection that ended.
+// echo starts an echo server. It returns the server's address and a channel that receives a value
+// for each connection that has ended.
 func echo(t *testing.T) (address string, ended chan struct{}) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,8 +33,8 @@
 	return l.Addr().String(), ended
 }
 
-// say sends a word and reports whether it comes back within the limit.
-func say(t *testing.T, c net.Conn, limit time.Duration) bool {
+// echoes sends four bytes and reports whether they come back within the limit.
+func echoes(t *testing.T, c net.Conn, limit time.Duration) bool {
 	t.Helper()
 	if _, err := c.Write([]byte("word")); err != nil {
 		t.Fatal(err)
@@ -44,17 +44,17 @@
 	return err == nil
 }
 
-// TestSilence: a silent connection gets no answer, and the other end doesn't notice that it is
-// closed. New connections work.
+// TestSilence checks that a blackholed connection receives no data, that the other end does not
+// detect its closing, and that new connections work.
 func TestSilence(t *testing.T) {
-	const long, moment = 10 * time.Second, 100 * time.Millisecond
+	const longTimeout, shortTimeout = 10 * time.Second, 100 * time.Millisecond
 	to, ended := echo(t)
 	link, err := NewLink()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer link.Close()
-	link.Lead(to)
+	link.ForwardTo(to)
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", link.Address())
 		if err != nil {
@@ -64,22 +64,22 @@
 		return c
 	}
 	open := dial()
-	if !say(t, open, long) {
-		t.Fatal("no answer before anything is silent")
+	if !echoes(t, open, longTimeout) {
+		t.Fatal("no response before the connection is blackholed")
 	}
-	if n := link.Silence(); n != 1 {
-		t.Fatalf("%d connections were made silent, want 1", n)
+	if n := link.Blackhole(); n != 1 {
+		t.Fatalf("%d connections were blackholed, want 1", n)
 	}
-	if say(t, open, moment) {
-		t.Error("a silent connection answers")
+	if echoes(t, open, shortTimeout) {
+		t.Error("a blackholed connection received data")
 	}
-	if !say(t, dial(), long) {
-		t.Error("a new connection gets no answer")
+	if !echoes(t, dial(), longTimeout) {
+		t.Error("a new connection got no response")
 	}
 	open.Close()
 	select {
 	case <-ended:
-		t.Error("the other end of a silent connection heard that it was closed")
-	case <-time.After(moment):
+		t.Error("the other end of a blackholed connection detected that it was closed")
+	case <-time.After(shortTimeout):
 	}
 }
--- a/internal/loopback/loopbacktest/binaries.go
+++ b/internal/loopback/loopbacktest/binaries.go
@@ -1,4 +1,4 @@
-// Package loopbacktest builds the project's programs for tests that run them as processes.
+// Package loopbacktest builds the project's programs for tests that run them as separate processes.
 //
 // # Usage
 //
@@ -14,8 +14,8 @@
 	"testing"
 )
 
-// Run builds all programs into a temporary directory, stores its path in directory, and runs the
-// tests. It returns their exit code.
+// Run builds all programs into a temporary directory, stores its path in *directory and runs the
+// tests. It returns the exit code for os.Exit.
 func Run(m *testing.M, directory *string) int {
 	flag.Parse()
 	dir, err := os.MkdirTemp("", "yarrowgrade-")
--- a/internal/loopback/process.go
+++ b/internal/loopback/process.go
@@ -10,19 +10,19 @@
 	"syscall"
 )
 
-// Process is a program in a process of its own, which can be restarted after it has ended. Signals
-// are sent only to the process that it has started itself, by its ID. It is safe for concurrent use
+// Process runs a program in a separate process, which can be restarted after it has exited. Signals
+// are sent only to the process that it has started, by its ID. Process is safe for concurrent use
 // after Start.
 type Process struct {
 	Path string
 	Args []string
-	// Env is added to the environment, as NAME=value.
+	// Env is added to the environment, in the form NAME=value.
 	Env []string
-	// Log is the file that both outputs are appended to.
+	// Log is the file to which standard output and standard error are appended.
 	Log string
 
-	// starting is held while the process starts: of two callers that saw it end, only one may
-	// restart it.
+	// starting is held while the process is restarted, so that only one of several callers that
+	// detect its exit restarts it.
 	starting sync.Mutex
 
 	mu   sync.Mutex
@@ -30,7 +30,7 @@
 	done chan struct{}
 }
 
-// Start runs the program, also after it has ended.
+// Start starts the program. It can be called again after the process has exited.
 func (p *Process) Start() error {
 	file, err := os.OpenFile(p.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// StartAgain restarts the program if it has ended.
-func (p *Process) StartAgain() error {
+// EnsureRunning restarts the program if it has exited.
+func (p *Process) EnsureRunning() error {
 	p.starting.Lock()
 	defer p.starting.Unlock()
 	select {
@@ -73,14 +73,14 @@
 	return p.cmd.Process.Pid
 }
 
-// Done returns a channel that is closed when the process has ended.
+// Done returns a channel that is closed when the process has exited.
 func (p *Process) Done() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.done
 }
 
-// Signal sends a signal, unless the process has ended.
+// Signal sends a signal to the process. It does nothing if the process has exited.
 func (p *Process) Signal(s syscall.Signal) error {
 	p.mu.Lock()
 	cmd, done := p.cmd, p.done
@@ -93,26 +93,27 @@
 	if err := cmd.Process.Signal(s); !errors.Is(err, os.ErrProcessDone) {
 		return err
 	}
-	// It has ended, and was not waited for yet.
+	// The process has exited, but Wait has not returned yet.
 	return nil
 }
 
-// Kill ends the process at once, even if it is paused, and waits for its end.
+// Kill kills the process, even if it is paused, and waits until it has exited.
 func (p *Process) Kill() {
-	// Another goroutine may restart it as soon as it has ended.
+	// Done is called first, because another goroutine may restart the process as soon as it exits.
 	done := p.Done()
 	_ = p.Signal(syscall.SIGKILL)
 	<-done
 }
 
-// ExitCode returns the exit code of a process that has ended.
+// ExitCode returns the exit code. The process must have exited.
 func (p *Process) ExitCode() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// FreeAddresses returns addresses on loopback at which nothing listened a moment ago.
+// FreeAddresses returns n loopback addresses with free ports. The ports are not reserved, so
+// another process may take them.
 func FreeAddresses(n int) ([]string, error) {
 	var list []string
 	for range n {
--- a/internal/loopback/process_test.go
+++ b/internal/loopback/process_test.go
@@ -10,26 +10,27 @@
 	"time"
 )
 
-// helper is set for the process that TestStartAgainOnce runs, which is this test's program.
-const helper = "LOOPBACK_HELPER"
+// helperEnv is the environment variable that is set for the helper process of TestStartAgainOnce,
+// which runs this test binary.
+const helperEnv = "LOOPBACK_HELPER"
 
-// TestHelper is that process: it prints that it has started, and stays for a while.
+// TestHelper is the helper process. It prints that it has started and exits after a second.
 func TestHelper(t *testing.T) {
-	if os.Getenv(helper) == "" {
+	if os.Getenv(helperEnv) == "" {
 		return
 	}
 	fmt.Println("helper started")
 	time.Sleep(time.Second)
 }
 
-// TestStartAgainOnce: of several callers that saw a process end, one restarts it and the others
-// don't.
+// TestStartAgainOnce checks that if several callers detect that a process has exited, exactly one
+// of them restarts it.
 func TestStartAgainOnce(t *testing.T) {
 	log := filepath.Join(t.TempDir(), "log")
 	p := &Process{
 		Path: os.Args[0],
 		Args: []string{"-test.run", "^TestHelper$", "-test.v"},
-		Env:  []string{helper + "=1"},
+		Env:  []string{helperEnv + "=1"},
 		Log:  log,
 	}
 	if err := p.Start(); err != nil {
@@ -41,7 +42,7 @@
 		var wg sync.WaitGroup
 		for range 8 {
 			wg.Go(func() {
-				if err := p.StartAgain(); err != nil {
+				if err := p.EnsureRunning(); err != nil {
 					t.Error(err)
 				}
 			})
@@ -51,13 +52,13 @@
 	}
 	<-p.Done()
 	if got := starts(t, log); got != rounds+1 && got != rounds {
-		// The first may have been killed before it printed.
+		// The first process may have been killed before it printed its message.
 		t.Errorf("%d starts, want %d", got, rounds+1)
 	}
 }
 
-// waitForStart waits until the running process has printed that it has started, and a moment longer
-// for any other.
+// waitForStart waits until the running process has printed its message, and another 50 ms for the
+// message of any duplicate process.
 func waitForStart(t *testing.T, log string) {
 	t.Helper()
 	before, began := starts(t, log), time.Now()
--- a/internal/memnet/network.go
+++ b/internal/memnet/network.go
@@ -1,15 +1,16 @@
-// Package memnet is an in-memory HTTP network for tests. Clients and handlers are the real ones;
-// only the connections between them are simulated, so it works under the paused clock of
-// testing/synctest, where sockets don't.
+// Package memnet is an in-memory HTTP network for tests. The clients and handlers are real; only
+// the connections between them are simulated. It therefore works with the fake clock of
+// testing/synctest, which sockets do not support.
 //
-// Links can be cut in one direction, and processes killed, frozen and thawed. Every message takes a
-// millisecond each way. The package owns no goroutine beyond those of requests in flight.
+// Links can be cut in one direction, and processes can be killed, frozen and thawed. Each message
+// takes one millisecond in each direction. The package starts goroutines only for requests in
+// flight.
 //
 // # Usage
 //
 //	network := memnet.New()
 //	network.Attach("http://entry-1", handler)
-//	client := network.Client("http://worker-1")      // requests come from worker-1
+//	client := network.Client("http://worker-1")      // sends requests as worker-1
 //	network.Cut("http://worker-1", "http://entry-1", true)
 package memnet
 
@@ -25,17 +26,17 @@
 	"time"
 )
 
-// networkDelay is how long a message takes in one direction.
+// networkDelay is the latency of a message in one direction.
 const networkDelay = time.Millisecond
 
-// link is one direction between two hosts.
+// link is one direction of the connection between two hosts.
 type link struct{ from, to string }
 
 // host is one process on the network.
 type host struct {
 	handler http.Handler
-	// gone is closed when the process is killed.
-	gone chan struct{}
+	// killed is closed when the process is killed.
+	killed chan struct{}
 	// thawed is closed while the process is not frozen.
 	thawed chan struct{}
 }
@@ -44,13 +45,14 @@
 type Network struct {
 	mu    sync.Mutex
 	hosts map[string]*host
-	// replaced are the processes at whose address another one was attached while they lived. They
-	// get no more requests, and go on with those that they have.
+	// replaced holds, by address, the processes whose address was taken over by another process
+	// while they were running. They receive no new requests, but continue to serve those in
+	// progress.
 	replaced map[string][]*host
 	cuts     map[link]bool
 }
 
-// New returns a network without hosts.
+// New returns an empty network.
 func New() *Network {
 	return &Network{
 		hosts:    make(map[string]*host),
@@ -59,7 +61,8 @@
 	}
 }
 
-// Attach puts a process on the network under a base URL such as "http://entry-1".
+// Attach adds a process to the network at a base URL such as "http://entry-1". It replaces the
+// process that is attached there.
 func (n *Network) Attach(address string, h http.Handler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -68,20 +71,20 @@
 	}
 	thawed := make(chan struct{})
 	close(thawed)
-	n.hosts[address] = &host{handler: h, gone: make(chan struct{}), thawed: thawed}
+	n.hosts[address] = &host{handler: h, killed: make(chan struct{}), thawed: thawed}
 }
 
-// Kill removes a process from the network. Its open requests and answers are lost.
+// Kill removes a process from the network. Its requests and responses in flight are lost.
 func (n *Network) Kill(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if h, found := n.hosts[address]; found {
-		close(h.gone)
+		close(h.killed)
 		delete(n.hosts, address)
 	}
 }
 
-// Freeze holds all messages to and from a process; Thaw delivers them.
+// Freeze holds back all messages to and from a process until Thaw delivers them.
 func (n *Network) Freeze(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -90,14 +93,14 @@
 	}
 }
 
-// Thaw ends a Freeze.
+// Thaw ends a Freeze, also for processes that were replaced at the address.
 func (n *Network) Thaw(address string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.thaw(address)
 }
 
-// thaw thaws the process at an address, and those that were replaced there. n.mu must be held.
+// thaw thaws the process at an address and those that it replaced. n.mu must be held.
 func (n *Network) thaw(address string) {
 	if h, found := n.hosts[address]; found {
 		h.thaw()
@@ -107,7 +110,7 @@
 	}
 }
 
-// thaw lets the process go on. The lock of the network must be held.
+// thaw resumes the process. The lock of the network must be held.
 func (h *host) thaw() {
 	if !isClosed(h.thawed) {
 		close(h.thawed)
@@ -125,7 +128,7 @@
 	delete(n.cuts, link{from, to})
 }
 
-// Heal ends all cuts and thaws all processes.
+// Heal restores all links and thaws all processes.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -147,7 +150,7 @@
 	}
 }
 
-// Client returns a client whose requests come from the process at the address.
+// Client returns a client that sends requests as the process at the address from.
 func (n *Network) Client(from string) *http.Client {
 	return &http.Client{Transport: &transport{network: n, from: from}}
 }
@@ -157,10 +160,10 @@
 	from    string
 }
 
-// errReset means that the connection broke after the request may have arrived.
+// errReset means that the connection broke when the request may already have been received.
 var errReset = errors.New("connection reset")
 
-// errRefused means that no connection was made.
+// errRefused means that no connection was established.
 var errRefused = &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 
 func (n *Network) host(address string) *host {
@@ -175,16 +178,16 @@
 	return n.cuts[link{from, to}]
 }
 
-// awake waits until the process is thawed. It returns false if the process is killed or ctx ends
-// first.
-func (n *Network) awake(ctx context.Context, h *host) bool {
+// waitThawed waits until the process is not frozen. It returns false if the process is killed or
+// ctx ends first.
+func (n *Network) waitThawed(ctx context.Context, h *host) bool {
 	n.mu.Lock()
 	thawed := h.thawed
 	n.mu.Unlock()
 	select {
 	case <-thawed:
 		return true
-	case <-h.gone:
+	case <-h.killed:
 		return false
 	case <-ctx.Done():
 		return false
@@ -200,29 +203,29 @@
 		return nil, err
 	}
 	sender, receiver := t.network.host(t.from), t.network.host(to)
-	// A process frozen just before sending sends when it is thawed, even if its own deadline has
-	// passed: the worst moment to be frozen.
-	if sender != nil && !t.network.awake(context.WithoutCancel(ctx), sender) {
+	// A process that is frozen just before it sends a request sends it when it is thawed, even if
+	// the request's deadline has passed by then. This is the worst case for the receiver.
+	if sender != nil && !t.network.waitThawed(context.WithoutCancel(ctx), sender) {
 		return nil, errReset
 	}
 	if receiver == nil || t.network.isCut(t.from, to) {
-		return nil, t.refuse(ctx, receiver == nil)
+		return nil, t.dialError(ctx, receiver == nil)
 	}
-	// The handler's context ends with the connection: when the response body is closed, or there is
-	// no response.
-	serving, closed := context.WithCancel(ctx)
-	answers := make(chan *http.Response, 1)
-	go t.deliver(r.Clone(serving), body, receiver, answers)
+	// The handler's context ends with the connection, that is, when the response body is closed or
+	// there is no response.
+	handlerCtx, closed := context.WithCancel(ctx)
+	responses := make(chan *http.Response, 1)
+	go t.deliver(r.Clone(handlerCtx), body, receiver, responses)
 	select {
-	case response := <-answers:
+	case response := <-responses:
 		if response == nil || t.network.isCut(to, t.from) {
 			closed()
-			return nil, t.lost(ctx)
+			return nil, t.waitForTimeout(ctx)
 		}
 		response.Body = &connection{ReadCloser: response.Body, close: closed}
-		go t.breakWith(serving, receiver, closed)
+		go t.closeOnKill(handlerCtx, receiver, closed)
 		return response, nil
-	case <-receiver.gone:
+	case <-receiver.killed:
 		closed()
 		return nil, errReset
 	case <-ctx.Done():
@@ -231,16 +234,16 @@
 	}
 }
 
-// breakWith closes the connection when the receiver is killed.
-func (t *transport) breakWith(serving context.Context, receiver *host, closed func()) {
+// closeOnKill closes the connection if the receiver is killed.
+func (t *transport) closeOnKill(handlerCtx context.Context, receiver *host, closed func()) {
 	select {
-	case <-receiver.gone:
+	case <-receiver.killed:
 		closed()
-	case <-serving.Done():
+	case <-handlerCtx.Done():
 	}
 }
 
-// connection is a response body whose Close ends the exchange.
+// connection is a response body whose Close closes the connection.
 type connection struct {
 	io.ReadCloser
 	close func()
@@ -252,15 +255,16 @@
 	return c.ReadCloser.Close()
 }
 
-// dialTimeout is how long a connection attempt over a cut link takes to fail.
+// dialTimeout is the time after which a connection attempt over a cut link fails.
 const dialTimeout = time.Second
 
-// lostTimeout is how long a request waits for a response that was dropped, unless its caller gives
-// up before.
-const lostTimeout = 30 * time.Second
+// responseTimeout is the time after which a request fails if its response was dropped, unless the
+// caller cancels it earlier.
+const responseTimeout = 30 * time.Second
 
-// refuse fails at once if nothing listens, and after the dial timeout if the link is cut.
-func (t *transport) refuse(ctx context.Context, closed bool) error {
+// dialError returns the error of a failed connection attempt. It returns after the network delay if
+// nothing listens at the address, and after dialTimeout if the link is cut.
+func (t *transport) dialError(ctx context.Context, closed bool) error {
 	if closed {
 		wait(ctx, networkDelay)
 		return errRefused
@@ -269,9 +273,9 @@
 	return errRefused
 }
 
-// lost waits until the caller gives up on a response that was dropped.
-func (t *transport) lost(ctx context.Context) error {
-	wait(ctx, lostTimeout)
+// waitForTimeout waits until a request whose response was dropped times out or is canceled.
+func (t *transport) waitForTimeout(ctx context.Context) error {
+	wait(ctx, responseTimeout)
 	return errReset
 }
 
@@ -284,12 +288,13 @@
 	}
 }
 
-// deliver runs the handler and sends its response on answers, or nil if the process was killed. The
-// response is sent when the handler first flushes or returns; its body follows as it is written.
-func (t *transport) deliver(r *http.Request, body []byte, receiver *host, answers chan<- *http.Response) {
+// deliver runs the handler and sends its response on responses, or nil if the process was killed.
+// The response is sent when the handler flushes for the first time or returns. Its body is
+// streamed.
+func (t *transport) deliver(r *http.Request, body []byte, receiver *host, responses chan<- *http.Response) {
 	time.Sleep(networkDelay)
-	if !t.network.awake(context.Background(), receiver) {
-		answers <- nil
+	if !t.network.waitThawed(context.Background(), receiver) {
+		responses <- nil
 		return
 	}
 	r.Body = io.NopCloser(bytes.NewReader(body))
@@ -303,7 +308,7 @@
 		status:    http.StatusOK,
 		reader:    reader,
 		writer:    writer,
-		answers:   answers,
+		responses: responses,
 	}
 	stop := context.AfterFunc(r.Context(), func() { writer.CloseWithError(errReset) })
 	defer stop()
@@ -312,19 +317,19 @@
 	writer.Close()
 }
 
-// streamWriter is the http.ResponseWriter of one exchange.
+// streamWriter is the http.ResponseWriter of one request.
 type streamWriter struct {
 	transport *transport
 	receiver  *host
 	request   *http.Request
 	header    http.Header
 	status    int
-	// pending was written and not flushed yet.
-	pending bytes.Buffer
-	reader  *io.PipeReader
-	writer  *io.PipeWriter
-	answers chan<- *http.Response
-	sent    bool
+	// pending holds data that has not been flushed yet.
+	pending   bytes.Buffer
+	reader    *io.PipeReader
+	writer    *io.PipeWriter
+	responses chan<- *http.Response
+	sent      bool
 }
 
 // Header implements http.ResponseWriter.
@@ -336,12 +341,12 @@
 // Write implements http.ResponseWriter.
 func (w *streamWriter) Write(p []byte) (int, error) { return w.pending.Write(p) }
 
-// Flush implements http.Flusher. What is flushed over a cut link is dropped.
+// Flush implements http.Flusher. Data that is flushed over a cut link is dropped.
 func (w *streamWriter) Flush() {
 	time.Sleep(networkDelay)
-	if !w.transport.network.awake(w.request.Context(), w.receiver) {
+	if !w.transport.network.waitThawed(w.request.Context(), w.receiver) {
 		w.writer.CloseWithError(errReset)
-		w.answer(nil)
+		w.respond(nil)
 		return
 	}
 	to := w.request.URL.Scheme + "://" + w.request.URL.Host
@@ -349,14 +354,14 @@
 		w.pending.Reset()
 		return
 	}
-	w.answer(&http.Response{StatusCode: w.status, Header: w.header, Body: w.reader, Request: w.request})
+	w.respond(&http.Response{StatusCode: w.status, Header: w.header, Body: w.reader, Request: w.request})
 	_, _ = w.writer.Write(w.pending.Bytes())
 	w.pending.Reset()
 }
 
-func (w *streamWriter) answer(response *http.Response) {
+func (w *streamWriter) respond(response *http.Response) {
 	if !w.sent {
 		w.sent = true
-		w.answers <- response
+		w.responses <- response
 	}
 }
--- a/internal/memnet/network_test.go
+++ b/internal/memnet/network_test.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// TestThawOfReplacedProcess: a frozen process at whose address another one is attached goes on with
-// its requests when the address is thawed, or when all is healed.
+// TestThawOfReplacedProcess checks that a frozen process whose address has been taken over by
+// another process resumes its requests when the address is thawed or the network is healed.
 //
-// Its requests were held for good, and a day that had ended otherwise could not end.
+// Otherwise its requests would be held back forever, and a simulation that waits for them could not
+// end.
 func TestThawOfReplacedProcess(t *testing.T) {
 	thaws := map[string]func(n *Network){
 		"thawed": func(n *Network) { n.Thaw("http://entry") },
@@ -37,12 +38,12 @@
 				n.Attach("http://entry", http.NotFoundHandler())
 				time.Sleep(time.Second)
 				if served != 0 {
-					t.Error("a frozen process has served a request")
+					t.Error("a frozen process served a request")
 				}
 				thaw(n)
 				time.Sleep(time.Second)
 				if served != 1 {
-					t.Errorf("the request was served %d times, want once", served)
+					t.Errorf("the request was served %d times, want 1", served)
 				}
 			})
 		})
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a while, or until a context ends. It owns no state.
+// Package pause waits for a given duration or until a context ends. It holds no state.
 //
 // # Usage
 //
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// For waits for d and reports whether ctx is still alive. It returns early when ctx ends, and at
-// once when d is zero or negative.
+// For waits for d and reports whether ctx is still active. It returns early when ctx ends, and
+// immediately if d is zero or negative.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -31,7 +31,7 @@
 				}
 				cancel()
 				if pause.For(ctx, 0) {
-					t.Error("a context that has ended goes on")
+					t.Error("For returned true for a context that has ended")
 				}
 			})
 		})
--- a/internal/rapidseed/seed.go
+++ b/internal/rapidseed/seed.go
@@ -1,11 +1,11 @@
-// Package rapidseed fixes the seed of package rapid, so that drawn tests draw the same cases in
-// every run.
+// Package rapidseed fixes the seed of package rapid, so that property-based tests generate the same
+// cases in every run.
 //
 // # Usage
 //
 //	func TestMain(m *testing.M) { rapidseed.Main(m) }
 //
-// Give -rapid.seed=N to draw other cases. A failing test prints its seed.
+// Use the flag -rapid.seed=N to generate other cases. A failing test prints its seed.
 package rapidseed
 
 import (
@@ -14,10 +14,11 @@
 	"testing"
 )
 
-// defaultSeed is used when the command line names no seed.
+// defaultSeed is used if the command line sets no seed.
 const defaultSeed = "20261202"
 
-// Main runs the tests of a package with defaultSeed, unless the command line names another seed.
+// Main runs the tests of a package and exits. It uses defaultSeed unless the command line sets
+// another seed.
 func Main(m *testing.M) {
 	flag.Parse()
 	seed := flag.Lookup("rapid.seed")
--- a/internal/sample/sample.go
+++ b/internal/sample/sample.go
@@ -1,5 +1,5 @@
-// Package sample draws a random sample. It owns no state and relies on the runtime's random
-// numbers.
+// Package sample draws random samples. It holds no state and uses the global generator of
+// math/rand/v2.
 //
 // # Usage
 //
@@ -11,8 +11,9 @@
 	"slices"
 )
 
-// Draw returns n of the addresses at random, or all of them if there are no more. Processes that
-// ask a few peers instead of all keep the load on each peer independent of the size of the fleet.
+// Draw returns n randomly chosen addresses, or all addresses in random order if there are fewer
+// than n. Querying only a few random peers keeps the load on each peer independent of the fleet
+// size.
 func Draw(addresses []string, n int) []string {
 	drawn := slices.Clone(addresses)
 	rand.Shuffle(len(drawn), func(i, j int) { drawn[i], drawn[j] = drawn[j], drawn[i] })
--- a/internal/suspend/suspend.go
+++ b/internal/suspend/suspend.go
@@ -1,12 +1,12 @@
-// Package suspend measures time across a suspension of the machine.
+// Package suspend measures elapsed time including periods in which the machine was suspended.
 //
-// The runtime's monotonic clock stands still while a machine is suspended, so a lease or the
-// knowledge that a configuration is current would seem younger than it is. Code that relies on such
-// a thing keeps the Instant at which it was obtained and asks a Clock for the time since. An age
-// that is still short enough after a brief suspension stays valid; nothing has to detect the
-// suspension before the age is looked at.
+// The Go runtime's monotonic clock does not advance while the machine is suspended, so a lease, or
+// a configuration that was known to be current, would appear younger than it is. Code that depends
+// on such an age stores the Instant at which it began and asks a Clock for the elapsed time. An age
+// that is still within its limit after a brief suspension stays valid, and nothing has to detect
+// the suspension before the age is checked.
 //
-// The package owns no state. It relies on CLOCK_MONOTONIC and CLOCK_BOOTTIME of Linux.
+// The package holds no state. It relies on CLOCK_MONOTONIC and CLOCK_BOOTTIME of Linux.
 //
 // # Usage
 //
@@ -14,7 +14,7 @@
 //	sent := clock.Now()
 //	...
 //	if clock.Since(sent) < limit { ... }
-//	if time.Since(clock.Monotonic(sent)) < limit { ... } // the same, as a time.Time
+//	if time.Since(clock.Monotonic(sent)) < limit { ... } // equivalent, with a time.Time
 package suspend
 
 import (
@@ -23,20 +23,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock returns the total time for which the machine has been suspended since some fixed moment. A
-// nil Clock stands for a machine that is never suspended.
+// Clock returns the total time that the machine has been suspended since a fixed reference point. A
+// nil Clock behaves like that of a machine that is never suspended.
 type Clock func() time.Duration
 
 const (
-	// readTolerance is how far apart the two readings of the monotonic clock may be that enclose
-	// one of the boot clock. The suspended time is overestimated by no more than this.
+	// readTolerance is the maximum difference between the two readings of the monotonic clock taken
+	// before and after a reading of the boot clock. It bounds the overestimate of the suspended
+	// time.
 	readTolerance = time.Millisecond
-	// readAttempts bounds the repetitions where the process loses its processor between readings.
+	// readAttempts bounds the retries when the process is descheduled between readings.
 	readAttempts = 5
 )
 
-// SystemClock returns the clock of this machine: CLOCK_BOOTTIME counts suspensions, CLOCK_MONOTONIC
-// doesn't.
+// SystemClock returns the clock of this machine. The suspended time is the difference between
+// CLOCK_BOOTTIME, which advances during suspensions, and CLOCK_MONOTONIC, which does not.
 func SystemClock() Clock {
 	return func() time.Duration {
 		suspended := time.Duration(0)
@@ -44,8 +45,8 @@
 			before := read(unix.CLOCK_MONOTONIC)
 			boot := read(unix.CLOCK_BOOTTIME)
 			after := read(unix.CLOCK_MONOTONIC)
-			// The monotonic clock had reached before when the boot clock was read, so this is an
-			// upper bound.
+			// The monotonic clock read at least the value of before when the boot clock was read,
+			// so this is an upper bound.
 			suspended = boot - before
 			if after-before <= readTolerance {
 				break
@@ -55,8 +56,8 @@
 	}
 }
 
-// read reads a system clock. It returns zero if the clock can't be read: Linux has both clocks, and
-// with two zeros no suspension is counted.
+// read reads a system clock, and returns zero if it can't be read. Linux has both clocks; if
+// neither could be read, the difference of the two zeros would count no suspension.
 func read(clock int32) time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(clock, &t) != nil {
@@ -65,7 +66,7 @@
 	return time.Duration(t.Nano())
 }
 
-// Instant is a point in time on both clocks. The zero value is no point in time.
+// Instant is a point in time on both clocks. The zero value means that no time is set.
 type Instant struct {
 	at        time.Time
 	suspended time.Duration
@@ -81,16 +82,16 @@
 
 // Now returns the current instant.
 func (c Clock) Now() Instant {
-	// The suspended time is read first: a suspension between the two readings makes the instant
-	// seem older, never younger.
+	// The suspended time is read first, so that a suspension between the two readings makes the
+	// instant appear older, never younger.
 	suspended := c.suspended()
 	return Instant{at: time.Now(), suspended: suspended}
 }
 
-// Since returns the time that has passed since an instant, suspensions included.
+// Since returns the time elapsed since an instant, including suspensions.
 func (c Clock) Since(i Instant) time.Duration { return time.Since(c.Monotonic(i)) }
 
-// Later returns the later of two instants.
+// Later returns the later of the two instants.
 func (c Clock) Later(a, b Instant) Instant {
 	if c.Monotonic(a).After(c.Monotonic(b)) {
 		return a
@@ -98,8 +99,8 @@
 	return b
 }
 
-// Monotonic converts an instant to a time whose age by the monotonic clock, as time.Since reports
-// it, includes the suspensions until now. It returns the zero time for the zero instant.
+// Monotonic converts an instant to a time.Time for which time.Since, which uses the monotonic
+// clock, includes all suspensions up to now. It returns the zero time for the zero instant.
 func (c Clock) Monotonic(i Instant) time.Time {
 	if i.IsZero() {
 		return time.Time{}
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -12,7 +12,8 @@
 	"yarrowgrade.example/yarrowgrade/internal/goldentest"
 )
 
-// TestGoldenLine: operators' tools and the command-line tool read log lines of this form.
+// TestGoldenLine compares a log line with the golden record. Operators' tools and the command-line
+// tool parse log lines of this format.
 func TestGoldenLine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
--- a/internal/telemetry/sampler.go
+++ b/internal/telemetry/sampler.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// Bounds of the volume of the log. Warnings and errors are always kept.
+// Limits of the log volume. Warnings and errors are always kept.
 const (
 	// sampleWindow is the period over which the lines of a step are counted.
 	sampleWindow = time.Second
-	// sampleAfter is how many lines of a step are kept in a window; of the rest, one in sampleEvery
-	// is.
+	// sampleAfter is the number of lines of a step per window that are all kept. Of the remaining
+	// lines, one in sampleEvery is kept.
 	sampleAfter = 200
 	sampleEvery = 20
-	// sampleSteps bounds the number of steps that are counted separately.
+	// sampleSteps is the maximum number of steps that are counted separately.
 	sampleSteps = 256
 )
 
-// sampler counts the lines of each step and decides which to keep. It is not safe for concurrent
-// use.
+// sampler counts the lines of each step and decides which ones to keep. It is not safe for
+// concurrent use.
 type sampler struct {
-	window time.Time
-	steps  map[string]*stepCount
+	windowStart time.Time
+	steps       map[string]*stepCount
 }
 
-// stepCount counts the lines of a step in the window.
+// stepCount counts the lines of a step in the current window.
 type stepCount struct{ lines, dropped int }
 
 func newSampler() *sampler { return &sampler{steps: map[string]*stepCount{}} }
 
-// roll begins a new window if the last one is over, and returns how many lines of each step the
-// last one dropped.
-func (s *sampler) roll(now time.Time) map[string]int {
-	if now.Sub(s.window) < sampleWindow {
+// rollWindow starts a new window if the current one has ended, and returns the number of lines of
+// each step that were dropped in the old window.
+func (s *sampler) rollWindow(now time.Time) map[string]int {
+	if now.Sub(s.windowStart) < sampleWindow {
 		return nil
 	}
 	dropped := map[string]int{}
@@ -41,17 +41,17 @@
 			dropped[step] = c.dropped
 		}
 	}
-	s.window = now
+	s.windowStart = now
 	clear(s.steps)
 	return dropped
 }
 
-// keep counts a line and reports whether to write it.
+// keep counts a line and reports whether it is to be written.
 func (s *sampler) keep(line []byte) bool {
 	if bytes.Contains(line, []byte("level=warn")) || bytes.Contains(line, []byte("level=error")) {
 		return true
 	}
-	step := stepOf(line)
+	step := stepField(line)
 	c := s.steps[step]
 	if c == nil {
 		if len(s.steps) >= sampleSteps {
@@ -68,8 +68,8 @@
 	return false
 }
 
-// stepOf returns the value of a line's step field, or "" if it has none.
-func stepOf(line []byte) string {
+// stepField returns the value of a line's step field, or "" if it has none.
+func stepField(line []byte) string {
 	_, rest, found := bytes.Cut(line, []byte(" step="))
 	if !found {
 		return ""
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -9,8 +9,9 @@
 //	t.Metrics.Counter("requests").Inc(1)
 //	http.Handle("/metrics", t.MetricsHandler)
 //
-// A log line is one event of key=value pairs. Traces cross processes in the W3C traceparent header;
-// spans are exported over OTLP/HTTP if a collector is set, and not recorded otherwise.
+// A log line describes one event as key=value pairs. Traces are propagated between processes in the
+// W3C traceparent header. Spans are exported over OTLP/HTTP if a collector is configured; otherwise
+// they are not recorded.
 package telemetry
 
 import (
@@ -36,19 +37,19 @@
 	"yarrowgrade.example/yarrowgrade/internal/fault"
 )
 
-// reportInterval is how often tally updates the values that MetricsHandler serves.
+// reportInterval is the interval at which tally updates the values that MetricsHandler serves.
 const reportInterval = time.Second
 
-// Settings of a process's telemetry.
+// Settings configures the telemetry of a process.
 type Settings struct {
 	// Role is "entry", "agent" or "dev"; Name is the name of the process.
 	Role string
 	Name string
-	// Log receives the log lines; Level is the lowest level that is written, such as "info".
+	// Log receives the log lines. Level is the minimum level that is logged, such as "info".
 	Log   io.Writer
 	Level string
-	// TraceAddress is the base URL of an OTLP/HTTP collector, such as http://127.0.0.1:4318; empty
-	// for none.
+	// TraceAddress is the base URL of an OTLP/HTTP collector, such as http://127.0.0.1:4318. If it
+	// is empty, no traces are exported.
 	TraceAddress string
 }
 
@@ -60,14 +61,14 @@
 	MetricsHandler http.Handler
 
 	provider *sdktrace.TracerProvider
-	// traced means that spans go to a collector.
-	traced bool
-	// closers flush and stop the exporters.
+	// exportsSpans means that spans are exported to a collector.
+	exportsSpans bool
+	// closers holds the functions that flush and stop the exporters.
 	closers []func(context.Context) error
 }
 
-// New returns the telemetry of a process. An error is a *fault.Field that names the setting. Close
-// must be called.
+// New returns the telemetry of a process. An error is a *fault.Field that identifies the invalid
+// setting. The caller must call Close.
 func New(ctx context.Context, s Settings) (*Telemetry, error) {
 	level, err := zerolog.ParseLevel(s.Level)
 	if err != nil {
@@ -81,7 +82,7 @@
 	return t, nil
 }
 
-// Discard returns telemetry that drops everything, for tests.
+// Discard returns telemetry for tests. It discards all logs, metrics and traces.
 func Discard() *Telemetry {
 	return &Telemetry{
 		Log:            zerolog.Nop(),
@@ -104,13 +105,13 @@
 	return zerolog.New(writer).Level(level).With().Timestamp().Str("role", s.Role).Str("name", s.Name).Logger()
 }
 
-// formatValue quotes values that a reader of key=value pairs would split.
+// formatValue quotes values that a parser of key=value pairs would split.
 func formatValue(v any) string {
 	text := fmt.Sprintf("%v", v)
 	if raw, ok := v.([]byte); ok {
 		text = string(raw)
 	}
-	// zerolog passes some values as JSON strings; quoting those again would double the quotes.
+	// zerolog passes some values as JSON strings, which must not be quoted twice.
 	var decoded string
 	if json.Unmarshal([]byte(text), &decoded) == nil {
 		text = decoded
@@ -132,7 +133,7 @@
 	}, reportInterval)
 	t.Metrics = scope
 	if w, ok := s.Log.(*Writer); ok {
-		w.Count(scope.Counter("log_lines_left_out"))
+		w.SetDropCounter(scope.Counter("log_lines_left_out"))
 	}
 	t.MetricsHandler = reporter.HTTPHandler()
 	t.closers = append(t.closers, func(context.Context) error { return closer.Close() })
@@ -154,7 +155,7 @@
 				"want a URL such as http://127.0.0.1:4318, got %q: %v", s.TraceAddress, err)
 		}
 		options = append(options, sdktrace.WithBatcher(exporter))
-		t.traced = true
+		t.exportsSpans = true
 	}
 	t.provider = sdktrace.NewTracerProvider(options...)
 	t.closers = append(t.closers, t.provider.Shutdown)
@@ -163,19 +164,19 @@
 
 var propagator = propagation.TraceContext{}
 
-// Transport wraps a transport so that each request is a span and carries the trace on. Without a
-// collector it returns base.
+// Transport wraps a transport so that each request creates a span and propagates the trace. Without
+// a collector, it returns base.
 func (t *Telemetry) Transport(base http.RoundTripper) http.RoundTripper {
-	if !t.traced {
+	if !t.exportsSpans {
 		return base
 	}
 	return otelhttp.NewTransport(base, otelhttp.WithTracerProvider(t.provider), otelhttp.WithPropagators(propagator))
 }
 
-// Handler wraps a handler so that each request is a span below its caller's. Without a collector it
-// returns h.
+// Handler wraps a handler so that each request creates a child span of the caller's span. Without a
+// collector, it returns h.
 func (t *Telemetry) Handler(h http.Handler) http.Handler {
-	if !t.traced {
+	if !t.exportsSpans {
 		return h
 	}
 	return otelhttp.NewHandler(h, "serve",
@@ -183,13 +184,13 @@
 		otelhttp.WithSpanNameFormatter(func(_ string, r *http.Request) string { return r.Method + " " + r.URL.Path }))
 }
 
-// traceHeader is the key that the propagator uses.
+// traceHeader is the header name that the propagator uses.
 const traceHeader = "traceparent"
 
-// TraceOf returns the W3C traceparent of ctx, or "" without a collector. WithTrace accepts it, in
-// this process or in another one, where no HTTP request carries the trace on.
+// TraceOf returns the W3C traceparent of ctx, or "" if there is no collector. WithTrace restores
+// it, in this process or in another one, where no HTTP request propagates the trace.
 func (t *Telemetry) TraceOf(ctx context.Context) string {
-	if !t.traced {
+	if !t.exportsSpans {
 		return ""
 	}
 	carrier := propagation.MapCarrier{}
@@ -197,10 +198,10 @@
 	return carrier[traceHeader]
 }
 
-// WithTrace returns ctx within the trace that TraceOf returned. It returns ctx if trace is not a
-// valid traceparent.
+// WithTrace returns a copy of ctx that continues a trace returned by TraceOf. It returns ctx if
+// trace is not a valid traceparent.
 func (t *Telemetry) WithTrace(ctx context.Context, trace string) context.Context {
-	if !t.traced || trace == "" {
+	if !t.exportsSpans || trace == "" {
 		return ctx
 	}
 	return propagator.Extract(ctx, propagation.MapCarrier{traceHeader: trace})
@@ -210,7 +211,7 @@
 func (t *Telemetry) Close(ctx context.Context) {
 	for _, c := range t.closers {
 		if err := c(ctx); err != nil {
-			t.Log.Warn().Str("step", "telemetry.Close").Err(err).Msg("telemetry lost")
+			t.Log.Warn().Str("step", "telemetry.Close").Err(err).Msg("telemetry exporter shutdown failed")
 		}
 	}
 }
--- a/internal/telemetry/writer.go
+++ b/internal/telemetry/writer.go
@@ -10,18 +10,18 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// bufferedLines bounds the lines that wait to be written, about 300 KB.
+// bufferedLines is the maximum number of queued lines, about 300 KB in total.
 const bufferedLines = 1024
 
 // Writer writes log lines to another writer in the background. It never blocks its callers: while
-// the other side does not read, as with a full pipe, lines are dropped, and the next line that is
-// written is preceded by their number. Steps that log very many lines are sampled; see sampler. It
-// is safe for concurrent use.
+// the other writer blocks, as with a full pipe, lines are dropped, and a line with their number is
+// written before the next line. The lines of steps that log too much are sampled; see sampler.
+// Writer is safe for concurrent use.
 type Writer struct {
 	lines chan []byte
-	// unreported is the number of lines dropped since the last line that said so.
-	unreported atomic.Int64
-	// counter, if set, counts all lines that were dropped.
+	// unreportedDrops is the number of lines dropped since dropped lines were last reported.
+	unreportedDrops atomic.Int64
+	// counter, if set, counts all dropped lines.
 	counter atomic.Pointer[tally.Counter]
 	done    chan struct{}
 	once    sync.Once
@@ -30,66 +30,66 @@
 	sampler *sampler
 }
 
-// NewWriter returns a Writer to w. Close ends its goroutine.
+// NewWriter returns a Writer that writes to w. Close ends its goroutine.
 func NewWriter(w io.Writer) *Writer {
 	b := &Writer{lines: make(chan []byte, bufferedLines), done: make(chan struct{}), sampler: newSampler()}
 	go b.run(w)
 	return b
 }
 
-// Count counts the lines that are dropped from now on in c.
-func (b *Writer) Count(c tally.Counter) { b.counter.Store(&c) }
+// SetDropCounter sets the counter of dropped lines. Lines dropped earlier are not counted.
+func (b *Writer) SetDropCounter(c tally.Counter) { b.counter.Store(&c) }
 
-func (b *Writer) drop() {
+func (b *Writer) countDrop() {
 	if c := b.counter.Load(); c != nil {
 		(*c).Inc(1)
 	}
 }
 
-// Write implements io.Writer. It takes or drops the whole line, and always reports it as written.
+// Write implements io.Writer. It queues or drops the whole line, and always reports it as written.
 func (b *Writer) Write(line []byte) (int, error) {
 	b.mu.Lock()
-	dropped := b.sampler.roll(time.Now())
+	dropped := b.sampler.rollWindow(time.Now())
 	keep := b.sampler.keep(line)
 	b.mu.Unlock()
 	for step, n := range dropped {
-		b.put(warning(fmt.Sprintf(`event="log lines thinned" step=%s count=%d`, step, n)))
+		b.enqueue(warningLine(fmt.Sprintf(`event="log lines sampled" step=%s count=%d`, step, n)))
 	}
 	if !keep {
-		b.drop()
+		b.countDrop()
 		return len(line), nil
 	}
-	b.put(append([]byte(nil), line...))
+	b.enqueue(append([]byte(nil), line...))
 	return len(line), nil
 }
 
-// warning returns a log line of the writer itself.
-func warning(fields string) []byte {
+// warningLine returns a log line about the Writer itself.
+func warningLine(fields string) []byte {
 	return fmt.Appendf(nil, "time=%s level=warn %s\n", time.Now().Format(time.RFC3339Nano), fields)
 }
 
-// put queues a line, or drops it if the queue is full.
-func (b *Writer) put(line []byte) {
+// enqueue adds a line to the queue, or drops it if the queue is full.
+func (b *Writer) enqueue(line []byte) {
 	select {
 	case b.lines <- line:
 	default:
-		b.unreported.Add(1)
-		b.drop()
+		b.unreportedDrops.Add(1)
+		b.countDrop()
 	}
 }
 
 func (b *Writer) run(w io.Writer) {
 	defer close(b.done)
 	for line := range b.lines {
-		if n := b.unreported.Swap(0); n > 0 {
-			// The log itself can't be written, so its errors have nowhere to go, here and below.
-			_, _ = w.Write(warning(fmt.Sprintf(`event="log lines left out" count=%d`, n)))
+		if n := b.unreportedDrops.Swap(0); n > 0 {
+			// Errors are ignored here and below, because the log is where they would be reported.
+			_, _ = w.Write(warningLine(fmt.Sprintf(`event="log lines left out" count=%d`, n)))
 		}
 		_, _ = w.Write(line)
 	}
 }
 
-// Close writes the queued lines, for at most limit. Nothing may be written after it.
+// Close writes the queued lines and waits for at most limit. Write must not be called after Close.
 func (b *Writer) Close(limit time.Duration) {
 	b.once.Do(func() { close(b.lines) })
 	select {
--- a/internal/telemetry/writer_test.go
+++ b/internal/telemetry/writer_test.go
@@ -13,8 +13,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// TestWriterNeverBlocks: a reader that stops reading blocks nobody, memory stays bounded, and
-// dropped lines are reported.
+// TestWriterNeverBlocks checks that a reader that stops reading does not block the callers, that
+// memory use stays bounded, and that dropped lines are reported.
 func TestWriterNeverBlocks(t *testing.T) {
 	reader, pipe := io.Pipe()
 	w := NewWriter(pipe)
@@ -30,10 +30,10 @@
 	select {
 	case <-written:
 	case <-time.After(10 * time.Second):
-		t.Fatal("writing blocks while nobody reads")
+		t.Fatal("Write blocks while the reader is not reading")
 	}
 	if got := len(w.lines); got > bufferedLines {
-		t.Errorf("%d lines wait, the bound is %d", got, bufferedLines)
+		t.Errorf("%d lines are queued, want at most %d", got, bufferedLines)
 	}
 	var out bytes.Buffer
 	read := make(chan struct{})
@@ -45,21 +45,21 @@
 	_ = pipe.Close()
 	<-read
 	if !strings.Contains(out.String(), "log lines left out") {
-		t.Error("no line reports the dropped lines")
+		t.Error("the dropped lines are not reported")
 	}
 	if got := strings.Count(out.String(), "line\n"); got > bufferedLines+1 || got == 0 {
-		t.Errorf("%d lines came through", got)
+		t.Errorf("unexpected number of written lines: %d", got)
 	}
 }
 
-// TestSampling: a step that logs very many lines is sampled, others and warnings are not, and the
-// number of dropped lines is logged.
+// TestSampling checks that the lines of a step that logs too much are sampled, that other steps and
+// warnings are not, and that the number of dropped lines is logged.
 func TestSampling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		w := NewWriter(&out)
 		scope := tally.NewTestScope("", nil)
-		w.Count(scope.Counter("dropped"))
+		w.SetDropCounter(scope.Counter("dropped"))
 		const flood = 10 * sampleAfter
 		for i := range flood {
 			_, _ = w.Write([]byte("level=info step=busy event=x\n"))
@@ -75,23 +75,23 @@
 		text := out.String()
 		kept := sampleAfter + (flood-sampleAfter)/sampleEvery
 		if got := strings.Count(text, "step=busy event=x"); got != kept {
-			t.Errorf("%d of %d lines are written, want %d", got, flood, kept)
+			t.Errorf("%d of %d lines were written, want %d", got, flood, kept)
 		}
 		if strings.Count(text, "step=calm event=x") != 5 || strings.Count(text, "event=bad") != 5 {
 			t.Error("lines of another step, or warnings, are missing")
 		}
-		want := fmt.Sprintf("event=\"log lines thinned\" step=busy count=%d", flood-kept)
+		want := fmt.Sprintf("event=\"log lines sampled\" step=busy count=%d", flood-kept)
 		if !strings.Contains(text, want) {
-			t.Errorf("nothing says %q", want)
+			t.Errorf("the log does not contain %q", want)
 		}
 		if got := scope.Snapshot().Counters()["dropped+"].Value(); got != int64(flood-kept) {
-			t.Errorf("%d lines are counted as dropped, want %d", got, flood-kept)
+			t.Errorf("the drop counter is %d, want %d", got, flood-kept)
 		}
 	})
 }
 
-// TestLine: a line consists of key=value pairs, and values that a reader would split are quoted
-// once.
+// TestLine checks that a line consists of key=value pairs, and that values that a parser would
+// split are quoted exactly once.
 func TestLine(t *testing.T) {
 	var out bytes.Buffer
 	log := newLogger(Settings{Role: "entry", Name: "e", Log: &out}, 0)
@@ -101,7 +101,7 @@
 		`event="it happened"`, `step=x`, `empty=""`, `plain=a`, `text="say \"no\""`, `error="one\ntwo"`,
 	} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("%s is not in %s", want, out.String())
+			t.Errorf("%s is missing in %s", want, out.String())
 		}
 	}
 }
--- a/jobs/admission/metrics.go
+++ b/jobs/admission/metrics.go
@@ -65,7 +65,7 @@
 		admissions:  counters("calls_admitted"),
 		submissions: counters("jobs_submitted"),
 		cancels:     counters("jobs_cancelled"),
-		storeTime:   telemetry.Times(scope, "record_keep_time"),
+		storeTime:   telemetry.NewDurationHistogram(scope, "record_keep_time"),
 		configAge:   scope.Gauge("configuration_proof_age_seconds"),
 	}
 }
--- a/jobs/jobstore/forward.go
+++ b/jobs/jobstore/forward.go
@@ -23,7 +23,7 @@
 func (wr *Writer) forward(ctx context.Context, address string, record topic.Record) (int64, error) {
 	var result appendResult
 	err := jsonhttp.Call(ctx, wr.client, "jobstore.ask", http.MethodPost, "http://"+address, RecordsPath, record, &result)
-	if fault.NotReached(err) {
+	if fault.IsNotSent(err) {
 		if ctx.Err() == nil {
 			wr.peers.markUnreachable(address)
 		}
--- a/jobs/jobstore/peers.go
+++ b/jobs/jobstore/peers.go
@@ -96,7 +96,7 @@
 	defer cancel()
 	var ignored struct{}
 	err := jsonhttp.Call(ctx, p.client, "jobstore.look", http.MethodGet, "http://"+address, RecordsPath, nil, &ignored)
-	if fault.NotReached(err) || ctx.Err() != nil {
+	if fault.IsNotSent(err) || ctx.Err() != nil {
 		return
 	}
 	p.mu.Lock()
--- a/jobs/leader/metrics.go
+++ b/jobs/leader/metrics.go
@@ -28,8 +28,8 @@
 func newMetrics(scope tally.Scope) metrics {
 	return metrics{
 		terms:       telemetry.NewCounters(scope, "terms", "event", termBegun, termLost, termHandedOver),
-		passTime:    telemetry.Times(scope, "pass_time"),
-		workTime:    telemetry.Times(scope, "pass_work_time"),
+		passTime:    telemetry.NewDurationHistogram(scope, "pass_time"),
+		workTime:    telemetry.NewDurationHistogram(scope, "pass_work_time"),
 		pollAnswers: scope.Counter("poll_looks"),
 		dispatch:    dispatch.NewMetrics(scope),
 	}
--- a/jobs/leader/prune.go
+++ b/jobs/leader/prune.go
@@ -111,5 +111,5 @@
 	var r assignment.Redirect
 	url := "http://" + address
 	err := jsonhttp.Call(ctx, p.deps.Client, "leader.prune", http.MethodGet, url, assignment.LeaderPath, nil, &r)
-	return !fault.NotReached(err) && !errors.Is(err, context.DeadlineExceeded)
+	return !fault.IsNotSent(err) && !errors.Is(err, context.DeadlineExceeded)
 }
--- a/jobs/runner/worker.go
+++ b/jobs/runner/worker.go
@@ -71,7 +71,7 @@
 // notApplied reports whether a call that failed is certain not to have been carried out.
 func notApplied(err error) bool {
 	refusals := []error{ErrOtherIncarnation, ErrFenced, ErrLeaseExpired, ErrNoCapacity, ErrUnavailable, ErrRejected}
-	return fault.NotReached(err) || isAny(err, refusals)
+	return fault.IsNotSent(err) || isAny(err, refusals)
 }
 
 // isAny reports whether err is one of the targets.
--- a/jobs/topic/metrics.go
+++ b/jobs/topic/metrics.go
@@ -60,7 +60,7 @@
 		appends:    counters("log_appends"),
 		reads:      counters("log_reads"),
 		loads:      counters("log_loads"),
-		appendTime: telemetry.Times(scope, "log_append_time"),
+		appendTime: telemetry.NewDurationHistogram(scope, "log_append_time"),
 		unreadable: scope.Counter("log_records_unreadable"),
 	}
 }
--- a/sessions/agent/entries.go
+++ b/sessions/agent/entries.go
@@ -88,7 +88,7 @@
 // fail records that an entry did not answer, or could not serve the agent.
 func (l *entryList) fail(address string, err error) {
 	avoidance := failedAvoidance
-	if jsonhttp.IsSilent(err) {
+	if jsonhttp.IsTimeout(err) {
 		avoidance = silentAvoidance
 	}
 	l.mu.Lock()
--- a/sessions/agent/poll.go
+++ b/sessions/agent/poll.go
@@ -103,7 +103,7 @@
 		}
 	}()
 	var v membership.View
-	err := jsonhttp.CallIdle(
+	err := jsonhttp.CallWithIdleTimeout(
 		ctx, a.parts.Client, membership.PollIdleTimeout,
 		"agent.poll", http.MethodPost, p.entry, "/internal/poll", in, &v,
 	)
--- a/sessions/entry/router.go
+++ b/sessions/entry/router.go
@@ -196,7 +196,7 @@
 	switch {
 	case err == nil:
 		return answer, answer.Outcome != request.NotRun
-	case fault.NotReached(err):
+	case fault.IsNotSent(err):
 		return request.NotRunAnswer(id, err.Error(), noTargetRetry), false
 	}
 	return request.UnknownAnswer(id, err.Error(), noTargetRetry), true
--- a/sessions/request/target.go
+++ b/sessions/request/target.go
@@ -75,7 +75,7 @@
 // sendError returns a *NotSentError if no connection was made. Otherwise the request may have
 // arrived.
 func sendError(err error) error {
-	if fault.NotReached(err) {
+	if fault.IsNotSent(err) {
 		return &NotSentError{Err: err}
 	}
 	return fmt.Errorf("request.Run: %w", err)
