--- a/cmd/yarrowgraded/agent.go
+++ b/cmd/yarrowgraded/agent.go
@@ -131,7 +131,7 @@
 		return err
 	}
 	client := newClient(t)
-	a := agent.New(settings, agent.Parts{
+	a := agent.New(settings, agent.Dependencies{
 		Target:    request.NewHTTPTarget(c.Target, c.Connections, t.Transport),
 		Platform:  hosting.NewClient(c.Platform, client),
 		Client:    client,
--- a/cmd/yarrowgraded/dev.go
+++ b/cmd/yarrowgraded/dev.go
@@ -101,7 +101,7 @@
 		s := entry.DefaultSettings()
 		s.Name, s.Zone, s.Address = fmt.Sprintf("entry-%d", i+1), devZone, d.entries[i]
 		s.Peers = []string{d.entries[1-i]}
-		e := entry.New(s, entry.Parts{
+		e := entry.New(s, entry.Dependencies{
 			Platform:  d.platform,
 			Client:    d.client,
 			Telemetry: d.telemetry,
@@ -137,7 +137,7 @@
 		Entries: d.entries,
 		Timing:  gang.DefaultTiming(),
 	}
-	a := agent.New(s, agent.Parts{
+	a := agent.New(s, agent.Dependencies{
 		Target:    request.NewHTTPTarget("http://"+target.Addr().String()+"/", devConnections, d.telemetry.Transport),
 		Platform:  d.platform,
 		Client:    d.client,
--- a/cmd/yarrowgraded/entry.go
+++ b/cmd/yarrowgraded/entry.go
@@ -74,7 +74,7 @@
 		return err
 	}
 	client := newClient(t)
-	e := entry.New(settings, entry.Parts{
+	e := entry.New(settings, entry.Dependencies{
 		Platform:  hosting.NewClient(c.Platform, client),
 		Client:    client,
 		Telemetry: t,
--- a/e2e/capacity_agent_test.go
+++ b/e2e/capacity_agent_test.go
@@ -108,7 +108,7 @@
 		},
 		Entries: []string{entry},
 		Timing:  gang.DefaultTiming(),
-	}, agent.Parts{Platform: p, Client: client, Telemetry: telemetry.Discard(), Random: rand.IntN})
+	}, agent.Dependencies{Platform: p, Client: client, Telemetry: telemetry.Discard(), Random: rand.IntN})
 }
 
 // BenchmarkKey compares what a request costs without a key, with one, and with the key's own round
--- a/e2e/swarm_test.go
+++ b/e2e/swarm_test.go
@@ -184,7 +184,7 @@
 		},
 		Entries: s.entryURLs(),
 		Timing:  gang.DefaultTiming(),
-	}, agent.Parts{
+	}, agent.Dependencies{
 		Platform:  s.platform,
 		Client:    countedClient(&s.agentBytes),
 		Telemetry: telemetry.Discard(),
@@ -208,7 +208,7 @@
 func (s *swarm) lose(n int) {
 	for i := range n {
 		s.stops[i]()
-		s.platform.LoseWorker(fmt.Sprintf("w%04d", i))
+		s.platform.RemoveWorker(fmt.Sprintf("w%04d", i))
 	}
 }
 
--- a/sessions/agent/agent.go
+++ b/sessions/agent/agent.go
@@ -1,30 +1,32 @@
-// Package agent implements the process that runs next to a target on each worker. All requests for
-// the target go through it, and it runs the members, and sometimes the leaders, of the gangs on the
-// worker.
+// Package agent implements the process that runs next to a target on each worker. All requests to
+// the target go through the agent. The agent also runs the members of the gangs on its worker, and
+// the leaders of those gangs that the worker leads.
 //
 // # State
 //
-// An agent keeps nothing on disk. It owns the queue of its target, the memory of keys, and the gang
-// members on its worker. All of this ends with the process, and the next one is a new incarnation.
-// The configuration and the assignments come from the ledger, by way of an entry.
+// An agent keeps nothing on disk. In memory it owns the request queue of its target, the record of
+// keys that it has seen, and the gang members on its worker. All of this is lost when the process
+// ends, and the next process is a new incarnation. The configuration and the assignments come from
+// the ledger through an entry.
 //
 // # Goroutines
 //
-// One goroutine owns the gangs (control.go). Another one polls an entry (poll.go). Requests run on
-// the goroutines of net/http and share only request.Server, which does its own locking.
+// One goroutine owns the gangs (control.go), and another one polls an entry (poll.go). Requests run
+// on the goroutines of net/http and share only request.Server, which does its own locking.
 //
 // # Dependencies
 //
-// The agent needs one reachable entry to join, to learn of changes and to report. Without one it
-// continues with what it has. It calls its target for requests and the platform for tasks.
+// The agent needs one reachable entry to join, to receive changes and to report. Without one it
+// continues with its last configuration and assignments. It calls its target to run requests, and
+// the platform to run tasks.
 //
 // # Usage
 //
-//	a := agent.New(settings, agent.Parts{...})
+//	a := agent.New(settings, agent.Dependencies{...})
 //	go a.Run(ctx)
 //	http.Serve(listener, a.Handler())
 //	...
-//	a.Leave(ctx) // returns when nothing is in flight
+//	a.Leave(ctx) // returns when no request is in flight and no gang is left
 package agent
 
 import (
@@ -46,9 +48,9 @@
 
 // Settings configure an agent.
 type Settings struct {
-	// Worker describes the machine and names the incarnation of the agent.
+	// Worker describes the worker and the incarnation of its agent.
 	Worker ledger.Worker
-	// Entries are the base URLs of the first entries to try.
+	// Entries are the base URLs of the entries to try first.
 	Entries []string
 	Timing  gang.Timing
 }
@@ -64,41 +66,42 @@
 	return s.Timing.Validate()
 }
 
-// Parts are the dependencies of an agent.
-type Parts struct {
+// Dependencies are what an agent works with.
+type Dependencies struct {
 	Target    request.Target
 	Platform  hosting.Workers
 	Client    *http.Client
 	Telemetry *telemetry.Telemetry
-	// Random returns a number from 0 to n-1. It is used for the jitter of retries.
+	// Random returns a random number from 0 to n-1. It provides the jitter of retries.
 	Random func(n int) int
 }
 
 // Agent is the agent of one worker.
 type Agent struct {
 	settings  Settings
-	parts     Parts
+	deps      Dependencies
 	admission *request.Admission
 	server    *request.Server
-	// config is replaced by the poll goroutine only.
+	// config is replaced only by the poll goroutine.
 	config atomic.Pointer[config]
-	// gangs is published by the control goroutine.
+	// gangs is replaced only by the control goroutine.
 	gangs       atomic.Pointer[gangs]
 	views       chan membership.View
 	wakeControl chan struct{}
 	wakePoll    chan struct{}
 	leaving     atomic.Bool
 	joined      atomic.Int64
-	// lastView is when an entry last answered a poll, in ns since 1970, for the status page.
+	// lastView is the time of the last answered poll, in ns since 1970. It is shown on the status
+	// page.
 	lastView atomic.Int64
 	entries  *entryList
 }
 
-// New returns an agent that does nothing until Run. The settings must be valid.
-func New(s Settings, p Parts) *Agent {
+// New returns an agent that does nothing until Run is called. The settings must be valid.
+func New(s Settings, p Dependencies) *Agent {
 	a := &Agent{
 		settings:    s,
-		parts:       p,
+		deps:        p,
 		views:       make(chan membership.View),
 		wakeControl: make(chan struct{}, 1),
 		wakePoll:    make(chan struct{}, 1),
@@ -122,17 +125,17 @@
 	wg.Wait()
 }
 
-// leavePoll is how often Leave checks whether all gangs have left the worker.
-const leavePoll = 50 * time.Millisecond
+// leaveCheckInterval is the interval at which Leave checks whether all gangs have left the worker.
+const leaveCheckInterval = 50 * time.Millisecond
 
-// Leave drains the agent for a planned stop. The agent takes no new work, and Leave returns
-// when all requests in flight have been answered and no gang is left on the worker. Its error
-// means that ctx ended first.
+// Leave drains the agent before a planned stop. The agent takes no new work, and Leave returns when
+// all requests in flight have been answered and no gang is left on the worker. It returns an error
+// if ctx ends first.
 func (a *Agent) Leave(ctx context.Context) error {
 	a.leaving.Store(true)
 	a.admission.Leave()
 	a.notifyPoll()
-	a.notifyEntries(ctx)
+	a.announceLeaving(ctx)
 	select {
 	case <-a.admission.Idle():
 	case <-ctx.Done():
@@ -140,7 +143,7 @@
 	}
 	for !a.gangs.Load().empty() {
 		select {
-		case <-time.After(leavePoll):
+		case <-time.After(leaveCheckInterval):
 		case <-ctx.Done():
 			return fault.New("agent.Leave", "", ctx.Err())
 		}
@@ -148,9 +151,9 @@
 	return nil
 }
 
-// notifyEntries tells all known entries that the agent is leaving. The poll reports it to one entry
-// only.
-func (a *Agent) notifyEntries(ctx context.Context) {
+// announceLeaving notifies all known entries that the agent is leaving. The poll reports it to only
+// one of them.
+func (a *Agent) announceLeaving(ctx context.Context) {
 	var wg conc.WaitGroup
 	for _, e := range a.entries.known() {
 		wg.Go(func() { a.notifyLeaving(ctx, e.Address) })
@@ -158,5 +161,5 @@
 	wg.Wait()
 }
 
-// ConfigRevision returns the revision of the configuration that the agent applies.
+// ConfigRevision returns the revision of the configuration that is in force.
 func (a *Agent) ConfigRevision() int64 { return a.config.Load().revision }
--- a/sessions/agent/config.go
+++ b/sessions/agent/config.go
@@ -9,7 +9,7 @@
 	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
-// config is the configuration an agent applies. It is immutable.
+// config is the configuration of an agent. It is immutable after it is published.
 type config struct {
 	revision int64
 	limits   ledger.Limits
@@ -23,8 +23,8 @@
 // share returns a team's weight. An unknown team has the smallest weight, 1.
 func (c *config) share(team string) int { return max(1, c.shares[team]) }
 
-// with returns the configuration after a view. Views that are not newer change nothing, so the
-// configuration never goes back.
+// with returns the configuration after a view. A view that is not newer changes nothing, so the
+// configuration never reverts to an older revision.
 func (c *config) with(v membership.View) *config {
 	if v.ConfigRevision <= c.revision {
 		return c
@@ -36,8 +36,8 @@
 	return next
 }
 
-// apply sets one value. The ledger has validated it; a value that this version cannot read leaves
-// the earlier one in force.
+// apply sets one value. The ledger has validated the value, but this version may be unable to
+// decode it; in that case the earlier value stays in force.
 func (c *config) apply(item membership.ConfigItem) {
 	switch {
 	case item.Key == ledger.LimitsKey:
--- a/sessions/agent/config_test.go
+++ b/sessions/agent/config_test.go
@@ -14,7 +14,8 @@
 	}
 }
 
-// TestConfigNeverReverts gives an agent views in the order in which entries of different age would.
+// TestConfigNeverReverts checks that a view from an entry with an older state does not revert the
+// configuration of an agent.
 func TestConfigNeverReverts(t *testing.T) {
 	c := newConfig()
 	for _, tt := range []struct {
@@ -30,7 +31,8 @@
 	} {
 		c = c.with(tt.view)
 		if c.limits.QueueLength != tt.queue {
-			t.Errorf("after the view of %d the queue is %d, want %d", tt.view.ConfigRevision, c.limits.QueueLength, tt.queue)
+			t.Errorf("after the view at %d the queue length is %d, want %d",
+				tt.view.ConfigRevision, c.limits.QueueLength, tt.queue)
 		}
 	}
 	if got := c.with(membership.View{ConfigRevision: 10, Config: []membership.ConfigItem{
--- a/sessions/agent/control.go
+++ b/sessions/agent/control.go
@@ -15,18 +15,19 @@
 	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
-// gangs holds the members and leaders on this worker by token. It is immutable.
+// gangs holds the members and leaders on this worker, by token. It is immutable after it is
+// published.
 type gangs struct {
 	members map[int64]*gang.Member
 	leaders map[int64]*gang.Leader
-	// assigned has the tokens of the assignments in the newest view.
+	// assigned holds the tokens of the assignments in the latest view.
 	assigned map[int64]bool
 }
 
 // empty reports whether the worker has no assignments.
 func (g *gangs) empty() bool { return len(g.assigned) == 0 }
 
-// reports returns the reports of the leaders and the assigned members that have stopped.
+// reports returns the reports of the leaders, and the assigned members that have stopped.
 func (g *gangs) reports() ([]gang.Report, []membership.StoppedMember) {
 	var list []gang.Report
 	for _, l := range g.leaders {
@@ -41,8 +42,8 @@
 	return list, stopped
 }
 
-// control owns the members and leaders. It applies views, and restarts the poll when there is
-// something new to report.
+// control runs the control goroutine, which owns the members and leaders. It applies views, and
+// interrupts the open poll when there is something new to report.
 func (a *Agent) control(ctx context.Context) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
@@ -60,8 +61,8 @@
 	}
 }
 
-// reconcile starts members for the new assignments of a view, stops those that are to stop or no
-// longer assigned, and returns the resulting gangs.
+// reconcile starts members for the new assignments in a view, stops members that must stop or are
+// no longer assigned, and returns the resulting gangs.
 func (a *Agent) reconcile(ctx context.Context, wg *conc.WaitGroup, old *gangs, v membership.View) *gangs {
 	g := &gangs{members: map[int64]*gang.Member{}, leaders: map[int64]*gang.Leader{}, assigned: map[int64]bool{}}
 	for _, as := range v.Assignments {
@@ -72,11 +73,11 @@
 		}
 		g.members[as.Token] = m
 		if as.Phase == ledger.Stopping || as.Token < a.joined.Load() {
-			// A token from before this incarnation joined belongs to a member that was lost with
-			// the previous one. Its task must end.
+			// The token is older than this incarnation, so the member that held it was lost with
+			// the previous incarnation. Its task must end.
 			m.Stop()
 		}
-		if l := a.leader(ctx, wg, old, as); l != nil {
+		if l := a.leaderFor(ctx, wg, old, as); l != nil {
 			g.leaders[as.Token] = l
 		}
 	}
@@ -97,17 +98,17 @@
 		Work:         as.Work,
 		Checkpoint:   as.Checkpoint,
 	}
-	inTrace := func(ctx context.Context) context.Context { return a.parts.Telemetry.WithTrace(ctx, as.Trace) }
-	m := gang.NewMember(spec, a.link(as), a.parts.Platform, a.settings.Timing, a.notifyControl, inTrace)
-	a.parts.Telemetry.Log.Info().Str("step", "gang.assigned").Str("session", as.Session).Int64("token", as.Token).
-		Msg("member prepares")
+	withTrace := func(ctx context.Context) context.Context { return a.deps.Telemetry.WithTrace(ctx, as.Trace) }
+	m := gang.NewMember(spec, a.link(as), a.deps.Platform, a.settings.Timing, a.notifyControl, withTrace)
+	a.deps.Telemetry.Log.Info().Str("step", "gang.assigned").Str("session", as.Session).Int64("token", as.Token).
+		Msg("preparing gang member")
 	wg.Go(func() { m.Run(ctx) })
 	return m
 }
 
-// leader returns the leader of the gang if this worker leads it, or nil. It tells the leader
-// when the gang runs.
-func (a *Agent) leader(ctx context.Context, wg *conc.WaitGroup, old *gangs, as membership.Assignment) *gang.Leader {
+// leaderFor returns the leader of the gang if this worker leads it, and nil otherwise. It notifies
+// the leader when the gang runs.
+func (a *Agent) leaderFor(ctx context.Context, wg *conc.WaitGroup, old *gangs, as membership.Assignment) *gang.Leader {
 	if len(as.Members) == 0 || as.Members[0].Worker != a.settings.Worker.Name || as.Token < a.joined.Load() {
 		return nil
 	}
@@ -126,11 +127,11 @@
 	return l
 }
 
-// watchLeader wakes the control goroutine whenever the leader's report may have changed.
+// watchLeader notifies the control goroutine whenever the leader's report may have changed.
 func (a *Agent) watchLeader(ctx context.Context, l *gang.Leader) {
 	for ctx.Err() == nil {
 		changed := l.Changed()
-		// Notify after taking the channel, so that no change in between is missed.
+		// Notify after getting the channel, so that no change is missed in between.
 		a.notifyControl()
 		select {
 		case <-changed:
@@ -142,7 +143,7 @@
 func (a *Agent) notifyControl() { signal(a.wakeControl) }
 func (a *Agent) notifyPoll()    { signal(a.wakePoll) }
 
-// signal wakes the receiver of a channel of capacity 1. Signals that are not yet received are
+// signal wakes the receiver of a channel of capacity 1 without blocking. Pending signals are
 // merged.
 func signal(c chan struct{}) {
 	select {
@@ -151,10 +152,11 @@
 	}
 }
 
-// errNoLeader means that the leader's agent does not know the gang, either not yet or no longer.
-var errNoLeader = errors.New("the leader does not know the gang")
+// errNoLeader means that the leader's agent does not know the gang: either it has not received the
+// assignment yet, or the gang has ended.
+var errNoLeader = errors.New("this agent has no leader for the gang")
 
-// localLink sends heartbeats to a leader in this agent.
+// localLink passes heartbeats to a leader in this agent.
 type localLink struct{ agent *Agent }
 
 // Heartbeat implements gang.Link.
@@ -166,7 +168,7 @@
 	return leader.Heartbeat(ctx, h), nil
 }
 
-// remoteLink sends heartbeats to a leader in another agent.
+// remoteLink sends heartbeats to a leader in another agent, over HTTP.
 type remoteLink struct {
 	client  *http.Client
 	address string
@@ -183,10 +185,10 @@
 	if len(as.Members) == 0 || as.Members[0].Worker == a.settings.Worker.Name {
 		return localLink{agent: a}
 	}
-	return remoteLink{client: a.parts.Client, address: as.Members[0].Address}
+	return remoteLink{client: a.deps.Client, address: as.Members[0].Address}
 }
 
-// sinceView returns the time since an entry last answered a poll.
+// sinceView returns the time since the last answered poll.
 func (a *Agent) sinceView() time.Duration {
 	return time.Since(time.Unix(0, a.lastView.Load()))
 }
--- a/sessions/agent/entries_test.go
+++ b/sessions/agent/entries_test.go
@@ -12,8 +12,9 @@
 	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
-// TestEntriesOfSettingsStayKnown gives an agent a view from an entry that took the other one
-// for dead. If that entry is lost next, the agent must still know the other.
+// TestEntriesOfSettingsStayKnown checks that an agent keeps an entry of its settings that is
+// missing from a view, because the sender considered that entry dead. If the sender fails next, the
+// agent must still be able to poll the other entry.
 func TestEntriesOfSettingsStayKnown(t *testing.T) {
 	l := newEntryList(ledger.Worker{Name: "worker-1", Zone: "z"}, []string{"http://a", "http://b"})
 	l.set([]membership.EntryInfo{{Name: "b", Zone: "z", Address: "http://b"}, {Name: "c", Zone: "z", Address: "http://c"}})
@@ -22,15 +23,15 @@
 		known[e.Address] = true
 	}
 	if len(known) != 3 || !known["http://a"] || !known["http://b"] || !known["http://c"] {
-		t.Errorf("knows %v, want a, b and c", known)
+		t.Errorf("got the entries %v, want a, b and c", known)
 	}
 }
 
 var errSilent = fault.New("agent.poll", "", context.DeadlineExceeded)
 
-// TestChooseEntry freezes an agent's entry. The other entry answers with a view that leaves the
-// frozen one out, which changes the order; the agent must not go back to the frozen one because
-// of that. Each such visit costs 6 s, and two of them are longer than a gang may prepare.
+// TestChooseEntry checks that an agent does not return to an unresponsive entry when the views of
+// the other entry change the order of entries. Each poll of the unresponsive entry takes 6 s to
+// time out, and two of them exceed the time in which a gang must be ready.
 func TestChooseEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := membership.EntryInfo{Name: "a", Zone: "z", Address: "http://a"}
@@ -42,27 +43,27 @@
 		if first == a.Address {
 			second = b
 		}
-		l.fail(first, errSilent)
+		l.recordFailure(first, errSilent)
 		for _, view := range [][]membership.EntryInfo{nil, {second}, {a, b}, {second}} {
 			if got := l.choose(); got != second.Address {
-				t.Errorf("after the failure of %s it chose %s", first, got)
+				t.Errorf("after the failure of %s the agent chose %s", first, got)
 			}
 			l.set(view)
 		}
 		time.Sleep(time.Second)
-		l.fail(second.Address, errSilent)
+		l.recordFailure(second.Address, errSilent)
 		if got := l.choose(); got != first {
-			t.Errorf("after both failed it chose %s, want %s, whose failure is older", got, first)
+			t.Errorf("after both failed the agent chose %s, want %s, which failed first", got, first)
 		}
-		l.fail(first, fault.New("agent.poll", first, &jsonhttp.StatusError{Status: 503}))
+		l.recordFailure(first, fault.New("agent.poll", first, &jsonhttp.StatusError{Status: 503}))
 		time.Sleep(failedAvoidance)
 		if got := l.choose(); got != first {
-			t.Errorf("it chose %s, want %s, which only said that it was not ready yet", got, first)
+			t.Errorf("the agent chose %s, want %s, which only answered that it is not ready", got, first)
 		}
 		time.Sleep(silentAvoidance)
 		l.set([]membership.EntryInfo{a, b})
 		if got := l.choose(); got != first {
-			t.Errorf("after %v it chose %s, want its first choice %s again", silentAvoidance, got, first)
+			t.Errorf("after %v the agent chose %s, want its preferred entry %s", silentAvoidance, got, first)
 		}
 	})
 }
--- a/sessions/agent/fuzz_test.go
+++ b/sessions/agent/fuzz_test.go
@@ -21,7 +21,7 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// okTarget answers everything.
+// okTarget answers every request with status 200.
 type okTarget struct{}
 
 func (okTarget) Run(context.Context, request.AgentRequest) (int, string, error) {
@@ -40,14 +40,14 @@
 			Slots:        2,
 		},
 		Entries: []string{"http://e"}, Timing: gang.DefaultTiming(),
-	}, Parts{
+	}, Dependencies{
 		Target: okTarget{}, Platform: standin.New(), Client: memnet.New().Client("http://w0"),
 		Telemetry: telemetry.Discard(), Random: func(int) int { return 0 },
 	})
 }
 
-// FuzzHandler sends any body to the agent's routes. It must neither panic nor hang, and a
-// request that can be read gets one outcome.
+// FuzzHandler sends arbitrary bodies to the agent's routes. The agent must neither panic nor hang,
+// and a valid request must get exactly one outcome.
 func FuzzHandler(f *testing.F) {
 	f.Add("/internal/requests", `{"id":"1","team":"a","left_ms":50,"body":"x"}`)
 	f.Add("/internal/requests", `{"id":"1","team":"a","left_ms":50,"body":"x","key":"w0~one~0000"}`)
@@ -55,7 +55,7 @@
 	f.Fuzz(func(t *testing.T, path, body string) {
 		r, err := http.NewRequest(http.MethodPost, "http://w0"+path, strings.NewReader(body))
 		if err != nil || !strings.HasPrefix(path, "/") {
-			return // not a request that can be sent
+			return // not a valid request
 		}
 		synctest.Test(t, func(t *testing.T) {
 			w := httptest.NewRecorder()
@@ -73,8 +73,8 @@
 	})
 }
 
-// FuzzView gives an agent any view that an entry might send. It must not panic, and its
-// configuration must not go back.
+// FuzzView gives an agent arbitrary views. The agent must not panic, and its configuration must not
+// revert to an older revision.
 func FuzzView(f *testing.F) {
 	f.Add(`{"revision":3,"config_revision":2,"config":[{"key":"limits","revision":2,"value":{"queue_length":4}}]}`)
 	f.Add(`{"revision":9,"assignments":[{"token":9,"session":"s","phase":"running","accelerators":[0,1],` +
@@ -94,7 +94,7 @@
 			(&poller{agent: a}).apply(ctx, v)
 			time.Sleep(20 * time.Second)
 			if a.ConfigRevision() < before {
-				t.Errorf("the configuration went from %d to %d", before, a.ConfigRevision())
+				t.Errorf("the configuration reverted from revision %d to %d", before, a.ConfigRevision())
 			}
 			cancel()
 			wg.Wait()
--- a/sessions/agent/handler.go
+++ b/sessions/agent/handler.go
@@ -21,8 +21,8 @@
 		jsonhttp.Write(w, http.StatusOK, membership.Health{Healthy: true})
 	})
 	r.GET("/ready", a.serveReady)
-	r.Handler(http.MethodGet, "/metrics", a.parts.Telemetry.MetricsHandler)
-	return a.parts.Telemetry.Handler(r)
+	r.Handler(http.MethodGet, "/metrics", a.deps.Telemetry.MetricsHandler)
+	return a.deps.Telemetry.Handler(r)
 }
 
 func (a *Agent) serveRequest(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
@@ -32,8 +32,8 @@
 		return
 	}
 	answer := a.server.Serve(r.Context(), hop)
-	a.parts.Telemetry.Metrics.Tagged(map[string]string{"outcome": string(answer.Outcome)}).Counter("requests").Inc(1)
-	a.parts.Telemetry.Log.Debug().Str("step", "agent.request").Str("request", hop.ID).Str("team", hop.Team).
+	a.deps.Telemetry.Metrics.Tagged(map[string]string{"outcome": string(answer.Outcome)}).Counter("requests").Inc(1)
+	a.deps.Telemetry.Log.Debug().Str("step", "agent.request").Str("request", hop.ID).Str("team", hop.Team).
 		Str("outcome", string(answer.Outcome)).Str("reason", answer.Reason).Msg("answered")
 	jsonhttp.Write(w, http.StatusOK, answer)
 }
--- a/sessions/agent/poll.go
+++ b/sessions/agent/poll.go
@@ -12,12 +12,12 @@
 
 // Timeouts and pauses of the poll goroutine.
 const (
-	// pollTimeout limits a whole poll, which an entry holds open for up to membership.PollWait.
+	// pollTimeout bounds a complete poll, which an entry holds open for up to membership.PollWait.
 	pollTimeout    = membership.PollWait + membership.PollIdleTimeout
 	joinTimeout    = 10 * time.Second
 	leavingTimeout = 2 * time.Second
-	// firstBackoff and maxBackoff bound the pause after a failure. It doubles with each failure and
-	// has full jitter.
+	// firstBackoff and maxBackoff bound the backoff after a failure, which doubles with each
+	// consecutive failure and has full jitter.
 	firstBackoff = 100 * time.Millisecond
 	maxBackoff   = 2 * time.Second
 )
@@ -28,11 +28,11 @@
 	// entry is the address of the entry polled last.
 	entry   string
 	backoff time.Duration
-	// revision is the revision of the newest view.
+	// revision is the revision of the latest view.
 	revision int64
 }
 
-// poll joins through an entry and then keeps one poll open until ctx ends.
+// poll joins through an entry, and then keeps one poll open at a time until ctx ends.
 func (a *Agent) poll(ctx context.Context) {
 	p := &poller{agent: a}
 	for ctx.Err() == nil {
@@ -49,18 +49,18 @@
 	}
 }
 
-// handleResult resets the back-off after a success. After a failure it records that the entry
-// failed and pauses.
+// handleResult resets the backoff after a success. After a failure it records that the entry
+// failed, and waits for the backoff.
 func (p *poller) handleResult(ctx context.Context, err error) {
 	if err == nil {
 		p.backoff = 0
 		return
 	}
-	p.agent.parts.Telemetry.Log.Warn().Str("step", "agent.poll").Err(err).Msg("entry does not answer")
-	p.agent.parts.Telemetry.Metrics.Counter("poll_failures").Inc(1)
-	p.agent.entries.fail(p.entry, err)
+	p.agent.deps.Telemetry.Log.Warn().Str("step", "agent.poll").Err(err).Msg("call to the entry failed")
+	p.agent.deps.Telemetry.Metrics.Counter("poll_failures").Inc(1)
+	p.agent.entries.recordFailure(p.entry, err)
 	p.backoff = min(max(2*p.backoff, firstBackoff), maxBackoff)
-	timer := time.NewTimer(time.Duration(p.agent.parts.Random(int(p.backoff))))
+	timer := time.NewTimer(time.Duration(p.agent.deps.Random(int(p.backoff))))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -74,17 +74,17 @@
 	var answer membership.JoinAnswer
 	a := p.agent
 	worker := a.settings.Worker
-	err := jsonhttp.Call(ctx, a.parts.Client, "agent.join", http.MethodPost, p.entry, "/internal/join", worker, &answer)
+	err := jsonhttp.Call(ctx, a.deps.Client, "agent.join", http.MethodPost, p.entry, "/internal/join", worker, &answer)
 	if err != nil {
 		return err
 	}
 	a.joined.Store(answer.Joined)
-	a.parts.Telemetry.Log.Info().Str("step", "agent.join").Int64("joined", answer.Joined).Msg("joined")
+	a.deps.Telemetry.Log.Info().Str("step", "agent.join").Int64("joined", answer.Joined).Msg("joined")
 	return nil
 }
 
-// pollOnce sends one poll. It returns when the poll is answered, or when the agent has
-// something new to report and abandons the poll.
+// pollOnce sends one poll. It returns when the poll has been answered or has failed, or when the
+// agent cancels the poll because it has something new to report.
 func (p *poller) pollOnce(ctx context.Context) error {
 	a := p.agent
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
@@ -104,7 +104,7 @@
 	}()
 	var v membership.View
 	err := jsonhttp.CallWithIdleTimeout(
-		ctx, a.parts.Client, membership.PollIdleTimeout,
+		ctx, a.deps.Client, membership.PollIdleTimeout,
 		"agent.poll", http.MethodPost, p.entry, "/internal/poll", in, &v,
 	)
 	if err != nil {
@@ -113,13 +113,13 @@
 			return nil
 		default:
 		}
-		return p.failed(err)
+		return p.handleError(err)
 	}
 	p.apply(ctx, v)
 	return nil
 }
 
-// request returns the poll with what the agent has and what its gangs report.
+// request returns a poll with the revisions that the agent has and the reports of its gangs.
 func (p *poller) request() membership.PollRequest {
 	a := p.agent
 	reports, stopped := a.gangs.Load().reports()
@@ -134,9 +134,9 @@
 	}
 }
 
-// failed handles a failed poll. An entry that does not know the agent answers that it is gone, and
-// the agent joins again.
-func (p *poller) failed(err error) error {
+// handleError makes the agent join again if the entry answered that it does not know the agent
+// (status 410). It returns err.
+func (p *poller) handleError(err error) error {
 	var status *jsonhttp.StatusError
 	if errors.As(err, &status) && status.Status == http.StatusGone {
 		p.agent.joined.Store(0)
@@ -144,7 +144,8 @@
 	return err
 }
 
-// apply applies the parts of a view that are newer than what the agent has.
+// apply replaces the list of entries, and applies the configuration and the assignments of a view
+// if they are newer than those that the agent has.
 func (p *poller) apply(ctx context.Context, v membership.View) {
 	a := p.agent
 	a.lastView.Store(time.Now().UnixNano())
@@ -159,7 +160,7 @@
 	select {
 	case a.views <- v:
 	case <-ctx.Done():
-		// The control goroutine did not receive the view, so the next poll must return it again.
+		// The control goroutine did not receive the view, so the next poll must request it again.
 		p.revision = 0
 	}
 }
@@ -171,14 +172,15 @@
 	}
 }
 
-// notifyLeaving tells one entry that the agent takes no new work. It does not retry, because the
-// poll reports it too.
+// notifyLeaving notifies one entry that the agent takes no new work. It does not retry, because the
+// poll reports the same.
 func (a *Agent) notifyLeaving(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, leavingTimeout)
 	defer cancel()
 	in := membership.LeavingNotice{Worker: a.settings.Worker.Name, Incarnation: a.settings.Worker.Incarnation}
-	err := jsonhttp.Call(ctx, a.parts.Client, "agent.leaving", http.MethodPost, address, "/internal/leaving", in, nil)
+	err := jsonhttp.Call(ctx, a.deps.Client, "agent.leaving", http.MethodPost, address, "/internal/leaving", in, nil)
 	if err != nil {
-		a.parts.Telemetry.Log.Warn().Str("step", "agent.leaving").Str("peer", address).Err(err).Msg("entry was not told")
+		a.deps.Telemetry.Log.Warn().Str("step", "agent.leaving").Str("peer", address).Err(err).
+			Msg("leaving notice not delivered")
 	}
 }
--- a/sessions/entry/agents.go
+++ b/sessions/entry/agents.go
@@ -8,14 +8,14 @@
 	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
-// agentReport is the newest poll of an agent and when it arrived.
+// agentReport is the latest poll of an agent and its time of arrival.
 type agentReport struct {
 	membership.PollRequest
 	at time.Time
 }
 
-// agentTable has the newest report of each agent that polls this entry. The control goroutine
-// writes it; the status page reads it.
+// agentTable holds the latest report of each agent that polls this entry. The control goroutine
+// writes it, and the status page reads it.
 type agentTable struct {
 	mu     sync.Mutex
 	agents map[string]agentReport
@@ -27,12 +27,12 @@
 	defer t.mu.Unlock()
 	old, found := t.agents[p.Worker]
 	t.agents[p.Worker] = agentReport{PollRequest: p, at: time.Now()}
-	// The revisions are only shown on the status page; a change of them needs no action.
+	// The revisions are only shown on the status page, so a change in them needs no action.
 	p.Revision, p.ConfigRevision = old.Revision, old.ConfigRevision
 	return !found || !reflect.DeepEqual(p, old.PollRequest)
 }
 
-func (t *agentTable) forget(worker string) {
+func (t *agentTable) remove(worker string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.agents, worker)
--- a/sessions/entry/avoidance.go
+++ b/sessions/entry/avoidance.go
@@ -8,17 +8,19 @@
 	"yarrowgrade.example/yarrowgrade/sessions/ledger"
 )
 
-// How long and how many agents are avoided.
+// Limits for how long agents are avoided, and for how many.
 const (
 	// suspectFor is how long an agent gets no new work after a failure. It doubles with each
-	// further failure in a row.
+	// consecutive failure.
 	suspectFor = time.Second
-	// maxDoublings limits this to 8 s, about the time in which an agent is replaced.
+	// maxDoublings caps the doubled suspectFor at 8 s, which is about as long as replacing an agent
+	// takes.
 	maxDoublings = 3
-	// leavingFor is how long a leaving notice counts before the ledger shows it.
+	// leavingFor is how long a leaving notice stays in effect. It covers the time until the ledger
+	// shows that the agent is leaving.
 	leavingFor = time.Minute
-	// maxMarks is the number of marks above which expired ones are removed. It fits 1,400 workers
-	// with several teams each.
+	// maxMarks is the number of marks above which expired ones are removed. It leaves room for
+	// 1,400 workers with several teams each.
 	maxMarks = 10_000
 )
 
@@ -29,7 +31,7 @@
 	return incarnation{worker: w.Name, id: w.Incarnation}
 }
 
-// suspicion counts the failures in a row of an agent.
+// suspicion counts the consecutive failures of an agent.
 type suspicion struct {
 	failures int
 	// until is when the agent may be tried again.
@@ -39,49 +41,51 @@
 // avoidance records which agents get no new work from this entry. It is safe for concurrent use.
 type avoidance struct {
 	mu sync.Mutex
-	// left has the agents that are leaving, with the end of leavingFor.
-	left map[incarnation]time.Time
-	// full has until when an agent's queue counts as full for a team.
-	full map[teamAt]time.Time
-	// suspects has the agents that failed and have not succeeded since.
+	// leavingUntil holds the agents that are leaving, each with the end of its leavingFor.
+	leavingUntil map[incarnation]time.Time
+	// fullUntil holds the time until which an agent's queue counts as full for a team.
+	fullUntil map[agentTeam]time.Time
+	// suspects holds the agents that have not succeeded since their last failure.
 	suspects map[incarnation]suspicion
 }
 
-// teamAt is a team at an agent.
-type teamAt struct {
+// agentTeam is a pair of an agent and a team.
+type agentTeam struct {
 	agent incarnation
 	team  string
 }
 
 func newAvoidance() *avoidance {
 	return &avoidance{
-		left:     make(map[incarnation]time.Time),
-		full:     make(map[teamAt]time.Time),
-		suspects: make(map[incarnation]suspicion),
+		leavingUntil: make(map[incarnation]time.Time),
+		fullUntil:    make(map[agentTeam]time.Time),
+		suspects:     make(map[incarnation]suspicion),
 	}
 }
 
-// leave records that an agent takes no new work.
-func (a *avoidance) leave(agent incarnation) {
+// markLeaving records that an agent takes no new work.
+func (a *avoidance) markLeaving(agent incarnation) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	mark(a.left, agent, time.Now().Add(leavingFor))
+	extendMark(a.leavingUntil, agent, time.Now().Add(leavingFor))
 }
 
-// refuse records that an agent refused a request of a team. Other teams may still use the agent.
-func (a *avoidance) refuse(agent incarnation, team string, d time.Duration) {
+// markFull records that an agent refused a request of a team. Requests of other teams may still go
+// to the agent.
+func (a *avoidance) markFull(agent incarnation, team string, d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	mark(a.full, teamAt{agent: agent, team: team}, time.Now().Add(min(d, suspectFor)))
+	extendMark(a.fullUntil, agentTeam{agent: agent, team: team}, time.Now().Add(min(d, suspectFor)))
 }
 
-// fail records that an agent did not answer, or that its target did not answer in time.
-func (a *avoidance) fail(agent incarnation) {
+// recordFailure records that an agent did not answer, or that its target did not answer in time.
+func (a *avoidance) recordFailure(agent incarnation) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := a.suspects[agent]
 	if time.Now().Before(s.until) {
-		// This request was sent before the agent became suspect, so it is no further failure.
+		// The request was sent before the agent became a suspect, so it does not count as another
+		// failure.
 		return
 	}
 	s.until = time.Now().Add(suspectFor << min(s.failures, maxDoublings))
@@ -92,29 +96,29 @@
 	}
 }
 
-// succeed records that an agent's target has answered.
-func (a *avoidance) succeed(agent incarnation) {
+// recordSuccess records that an agent's target has answered.
+func (a *avoidance) recordSuccess(agent incarnation) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	delete(a.suspects, agent)
 }
 
-// usable reports whether an agent may get new work of a team, and whether it is a suspect.
-// After its suspicion has ended, an agent gets one request at a time until one succeeds.
-func (a *avoidance) usable(agent incarnation, team string, inflight int) (ok, suspect bool) {
+// eligible reports whether an agent may get new work of a team, and whether it is a suspect. After
+// the suspicion expires, the agent gets one request at a time until one succeeds.
+func (a *avoidance) eligible(agent incarnation, team string, inflight int) (ok, suspect bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	if now.Before(a.left[agent]) || now.Before(a.full[teamAt{agent: agent, team: team}]) {
+	if now.Before(a.leavingUntil[agent]) || now.Before(a.fullUntil[agentTeam{agent: agent, team: team}]) {
 		return false, false
 	}
 	s, found := a.suspects[agent]
 	return true, found && (now.Before(s.until) || inflight > 0)
 }
 
-// mark extends the mark of key to until. It removes expired marks when there are more than
+// extendMark extends the mark of key to until. It removes expired marks if there are more than
 // maxMarks.
-func mark[K comparable](marks map[K]time.Time, key K, until time.Time) {
+func extendMark[K comparable](marks map[K]time.Time, key K, until time.Time) {
 	if until.After(marks[key]) {
 		marks[key] = until
 	}
--- a/sessions/entry/callers.go
+++ b/sessions/entry/callers.go
@@ -13,17 +13,17 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// KeyRequest asks for a key.
+// KeyRequest is the body of a request for a key.
 type KeyRequest struct {
 	Service string `json:"service"`
 }
 
-// KeyAnswer contains a key for one request that must not be repeated.
+// KeyAnswer contains an idempotency key for one request that must not be repeated.
 type KeyAnswer struct {
 	Key string `json:"key"`
 }
 
-// serveKey returns a key for an agent of the service that can take work.
+// serveKey returns a key that is bound to an agent of the service that can take work.
 func (e *Entry) serveKey(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var in KeyRequest
 	if err := jsonhttp.Read(w, r, &in); err != nil {
@@ -56,19 +56,19 @@
 	subject := policy.Subject{Kind: policy.RequestKind, Team: call.Team, Service: call.Service, Bytes: len(call.Body)}
 	set := e.policies.Load().set
 	if allowed, name := set.Allowed(subject); !allowed {
-		answerCall(w, http.StatusForbidden, request.NotRunAnswer("", "policy "+name+" does not allow it", 0))
+		writeAnswer(w, http.StatusForbidden, request.NotRunAnswer("", "policy "+name+" does not allow it", 0))
 		return
 	}
 	if once, name := set.NotRepeatable(subject); once && call.Key == "" {
 		jsonhttp.WriteError(w, fault.BadField("key",
-			"policy %s says that this must not be repeated, so it needs one; POST /v1/keys gives it", name))
+			"policy %s does not allow repeating this request, so it needs a key; get one with POST /v1/keys", name))
 		return
 	}
 	answer := e.router.route(r.Context(), call)
-	e.parts.Telemetry.Metrics.Tagged(map[string]string{"outcome": string(answer.Outcome)}).Counter("requests").Inc(1)
-	e.parts.Telemetry.Log.Debug().Str("step", "entry.request").Str("request", answer.ID).Str("team", call.Team).
+	e.deps.Telemetry.Metrics.Tagged(map[string]string{"outcome": string(answer.Outcome)}).Counter("requests").Inc(1)
+	e.deps.Telemetry.Log.Debug().Str("step", "entry.request").Str("request", answer.ID).Str("team", call.Team).
 		Str("peer", answer.Target).Str("outcome", string(answer.Outcome)).Str("reason", answer.Reason).Msg("answered")
-	answerCall(w, statusOf(answer.Outcome), answer)
+	writeAnswer(w, statusOf(answer.Outcome), answer)
 }
 
 func (e *Entry) checkCall(call request.Call) error {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// statusOf returns the HTTP status of an outcome.
+// statusOf returns the HTTP status for an outcome.
 func statusOf(o request.Outcome) int {
 	switch o {
 	case request.Done:
@@ -96,7 +96,7 @@
 	return http.StatusGatewayTimeout
 }
 
-func answerCall(w http.ResponseWriter, status int, answer request.Answer) {
+func writeAnswer(w http.ResponseWriter, status int, answer request.Answer) {
 	if answer.RetryAfterMillis > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt((answer.RetryAfterMillis+999)/1000, 10))
 	}
--- a/sessions/entry/control.go
+++ b/sessions/entry/control.go
@@ -11,47 +11,46 @@
 
 // Periods and timeouts of the control goroutine.
 const (
-	// controlPeriod is how often pending proposals and preparing gangs are checked.
+	// controlPeriod is the interval between checks of pending proposals and preparing gangs.
 	controlPeriod = 200 * time.Millisecond
-	// The next decision starts no sooner than decidePauseFactor times the duration of the last
-	// one after its start. In a burst of sessions decisions are slow and the state changes all
-	// the time; without the pause the goroutine would do nothing else.
+	// decidePauseFactor times the duration of a decision is the minimum time from its start to the
+	// start of the next. During a burst of sessions decisions are slow and the state changes
+	// constantly, so that without the pause the goroutine would do nothing else.
 	decidePauseFactor = 10
-	// stagger is how long an entry waits for each entry of a lower rank before it makes a shared
-	// proposal.
+	// stagger is how long an entry waits per entry of lower rank before it makes a shared proposal.
 	stagger = 700 * time.Millisecond
-	// proposeTimeout limits one proposal.
+	// proposeTimeout bounds one proposal.
 	proposeTimeout = 5 * time.Second
-	// rejectedPause is the pause before a rejected or failed proposal is made again.
+	// rejectedPause is the delay before a rejected or failed proposal is retried.
 	rejectedPause = time.Second
-	// decidePeriod is how often decisions are made while nothing changes, since the waiting times
-	// still grow.
+	// decidePeriod is the interval between decisions while nothing changes. They are still needed
+	// because decisions depend on waiting times, which grow.
 	decidePeriod = 5 * time.Second
 )
 
-// control is the state of the control goroutine, which takes in changes of the ledger and
-// reports of agents, and makes proposals.
+// control is the state of the control goroutine, which processes ledger changes and agent reports,
+// and makes proposals.
 type control struct {
 	entry *Entry
-	// gone has the workers that the platform has declared gone.
+	// gone holds the workers that the platform has declared gone.
 	gone map[string]bool
-	// dirty means that something has changed since the last call of reconcile; dueIn is when to
-	// call it again if nothing changes.
+	// dirty means that something has changed since the last call of reconcile. dueIn is the time
+	// until the next call if nothing changes.
 	dirty bool
 	dueIn time.Duration
 	// firstSeenAt is when each proposal and each preparing placement was first seen.
 	firstSeenAt map[string]time.Time
-	// pausedUntil has the proposals that are not to be made again yet. The zero time means that one
-	// is in progress.
+	// pausedUntil holds the proposals that must not be retried yet. The zero time means that the
+	// proposal is in progress.
 	pausedUntil map[string]time.Time
 	results     chan proposalResult
-	// decided are the proposals of the last decision, which was made at decidedAt for the state of
-	// decidedRevision.
+	// decided holds the proposals of the last decision, which was made at decidedAt for the state
+	// at decidedRevision and took decideDuration.
 	decided        []proposal
 	decidedAt      time.Time
 	decideDuration time.Duration
-	// deferred means that the last decision is out of date, but the pause before the next one
-	// is not over.
+	// deferred means that the last decision is out of date, but the pause before the next one has
+	// not ended.
 	deferred        bool
 	decidedRevision int64
 }
@@ -79,13 +78,13 @@
 	for {
 		select {
 		case u := <-updates:
-			c.takeUpdate(u)
+			c.handleUpdate(u)
 		case p := <-c.entry.polls:
-			c.takePoll(p)
+			c.handlePoll(p)
 		case names := <-gone:
-			c.takeGone(names)
+			c.handleGone(names)
 		case r := <-c.results:
-			c.takeResult(r)
+			c.handleResult(r)
 		case <-timer.C:
 			c.dirty = true
 		case <-ctx.Done():
@@ -98,12 +97,12 @@
 	}
 }
 
-func (c *control) takeUpdate(u ledger.Update) {
+func (c *control) handleUpdate(u ledger.Update) {
 	e := c.entry
 	old := e.log.Load()
 	if u.Err != nil {
 		if old.reachable {
-			e.parts.Telemetry.Log.Warn().Str("step", "entry.follow").Err(u.Err).Msg("log does not answer")
+			e.deps.Telemetry.Log.Warn().Str("step", "entry.follow").Err(u.Err).Msg("cannot read the log")
 		}
 		e.log.Store(&logHealth{lastRead: old.lastRead})
 		return
@@ -119,30 +118,30 @@
 	}
 	if (u.AtEnd || u.FromPeer) && !e.ready.Load() {
 		e.ready.Store(true)
-		e.parts.Telemetry.Log.Info().Str("step", "entry.follow").Int64("revision", e.replica.State().Revision()).Msg("ready")
+		e.deps.Telemetry.Log.Info().Str("step", "entry.follow").Int64("revision", e.replica.State().Revision()).Msg("ready")
 	}
 	c.compilePolicies()
 }
 
 func (c *control) logVerdict(v ledger.Verdict) {
-	t := c.entry.parts.Telemetry
+	t := c.entry.deps.Telemetry
 	t.Metrics.Tagged(map[string]string{"status": string(v.Status)}).Counter("records").Inc(1)
 	switch v.Status {
 	case ledger.Accepted:
 	case ledger.Unreadable:
 		t.Log.Error().Str("step", "ledger.fold").Int64("offset", v.Offset).Str("reason", v.Reason).
-			Msg("record is unreadable and has no effect")
+			Msg("ignored an unreadable record")
 	default:
 		t.Log.Info().Str("step", "ledger.fold").Int64("offset", v.Offset).Str("status", string(v.Status)).
-			Str("reason", v.Reason).Msg("record has no effect")
+			Str("reason", v.Reason).Msg("record was not accepted")
 	}
 }
 
-func (c *control) takePoll(p membership.PollRequest) {
+func (c *control) handlePoll(p membership.PollRequest) {
 	c.dirty = c.entry.agents.set(p) || c.dirty
 }
 
-func (c *control) takeGone(names []string) {
+func (c *control) handleGone(names []string) {
 	gone := make(map[string]bool)
 	for _, name := range names {
 		gone[name] = true
@@ -151,15 +150,15 @@
 	c.gone = gone
 }
 
-func (c *control) takeResult(r proposalResult) {
+func (c *control) handleResult(r proposalResult) {
 	c.dirty = true
 	delete(c.pausedUntil, r.proposal.key)
-	log := c.entry.parts.Telemetry.Log
+	log := c.entry.deps.Telemetry.Log
 	if r.err != nil || r.verdict.Status != ledger.Accepted {
 		c.pausedUntil[r.proposal.key] = time.Now().Add(rejectedPause)
-		c.entry.parts.Telemetry.Metrics.Counter("proposals_without_effect").Inc(1)
+		c.entry.deps.Telemetry.Metrics.Counter("proposals_without_effect").Inc(1)
 		log.Info().Str("step", "entry.propose").Str("want", r.proposal.key).Str("reason", r.verdict.Reason).
-			Err(r.err).Msg("proposal has no effect")
+			Err(r.err).Msg("proposal failed or was rejected")
 		return
 	}
 	log.Info().Str("step", "entry.propose").Str("want", r.proposal.key).
@@ -167,7 +166,7 @@
 }
 
 // reconcile derives the proposals from the current state and starts those that are due. Proposals
-// are not queued: one that no longer follows from the state disappears.
+// are not queued, so one that no longer follows from the state is dropped.
 func (c *control) reconcile(ctx context.Context) {
 	c.dirty, c.dueIn = false, decidePeriod
 	if !c.entry.ready.Load() {
@@ -176,19 +175,19 @@
 	state := c.entry.replica.State()
 	proposals := append(c.reportedProposals(state), c.sharedProposals(state)...)
 	proposals = append(proposals, c.decisions(state)...)
-	c.forgetStale(proposals, state)
+	c.removeStale(proposals, state)
 	c.dueIn = c.nextDue(state, len(proposals) > 0)
-	patience := time.Duration(c.entry.peers.rank()) * stagger
+	delay := time.Duration(c.entry.peers.rank()) * stagger
 	for _, p := range proposals {
-		if c.due(p, patience) {
+		if c.due(p, delay) {
 			c.propose(ctx, p)
 		}
 	}
 }
 
-// nextDue returns how long to wait before the next call of reconcile if nothing changes:
-// controlPeriod while there are proposals or a gang prepares, otherwise decidePeriod, but no longer
-// than to the end of the pause before a deferred decision.
+// nextDue returns the time until the next call of reconcile if nothing changes. It is controlPeriod
+// while there are proposals or a gang is preparing, and decidePeriod otherwise, but it never
+// extends past the pause before a deferred decision.
 func (c *control) nextDue(state ledger.State, pending bool) time.Duration {
 	due := decidePeriod
 	if pending || state.Preparing() {
@@ -200,16 +199,17 @@
 	return max(due, 0)
 }
 
-// due reports whether to make a proposal now. A shared one is left to the entries of lower rank for
-// the duration of patience.
-func (c *control) due(p proposal, patience time.Duration) bool {
+// due reports whether to make a proposal now. A shared proposal is delayed, so that the entries of
+// lower rank can make it first.
+func (c *control) due(p proposal, delay time.Duration) bool {
 	now := time.Now()
 	if until, found := c.pausedUntil[p.key]; found && (until.IsZero() || now.Before(until)) {
 		return false
 	}
 	delete(c.pausedUntil, p.key)
-	// Read the clock after firstSeen, which may set the time to now.
-	return !p.shared || time.Since(c.firstSeen(p.key)) >= patience
+	// Read the clock after firstSeen, which may return the current time: an earlier reading would
+	// make the elapsed time negative.
+	return !p.shared || time.Since(c.firstSeen(p.key)) >= delay
 }
 
 func (c *control) firstSeen(key string) time.Time {
@@ -221,8 +221,9 @@
 	return now
 }
 
-// forgetStale removes the times of proposals that no longer exist.
-func (c *control) forgetStale(proposals []proposal, state ledger.State) {
+// removeStale removes the first-seen times of proposals and placements that no longer exist, and
+// the pauses that have ended.
+func (c *control) removeStale(proposals []proposal, state ledger.State) {
 	keep := make(map[string]bool)
 	for _, p := range proposals {
 		keep[p.key] = true
@@ -243,8 +244,8 @@
 	}
 }
 
-// propose appends a record in a goroutine of its own, because the control goroutine must not
-// wait for I/O. The outcome arrives in results.
+// propose appends a record in its own goroutine, because the control goroutine must not block on
+// I/O. The outcome is sent to results.
 func (c *control) propose(ctx context.Context, p proposal) {
 	c.pausedUntil[p.key] = time.Time{}
 	go func() {
--- a/sessions/entry/control_test.go
+++ b/sessions/entry/control_test.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// TestPreferredProposesAtOnce wants the preferred entry to propose what it has just seen in the
-// same pass, and the next in order to wait its time. On the real clock time passes between two
-// readings: a reading taken before the proposal was noted made each shared one wait for the next
-// pass, 200 ms later.
+// TestPreferredProposesAtOnce checks that the entry of rank zero makes a shared proposal in the
+// pass that first sees it, and that the entry of rank one waits for the stagger. It guards against
+// reading the clock before the first-seen time is set: the real clock advances between the two
+// readings, and each shared proposal then waited for the next pass, 200 ms later.
 func TestPreferredProposesAtOnce(t *testing.T) {
 	for range 1000 {
 		c := newControl(nil)
 		if !c.due(proposal{key: "place/s", shared: true}, 0) {
-			t.Fatal("a want that was just seen is not due for the preferred entry")
+			t.Fatal("a new proposal is not due for the entry of rank zero")
 		}
 	}
 	synctest.Test(t, func(t *testing.T) {
 		c := newControl(nil)
 		w := proposal{key: "place/s", shared: true}
 		if c.due(w, stagger) {
-			t.Error("due at once for the second entry")
+			t.Error("due immediately for the entry of rank one")
 		}
 		time.Sleep(stagger - time.Nanosecond)
 		if c.due(w, stagger) {
-			t.Error("due too soon for the second entry")
+			t.Error("due before the stagger for the entry of rank one")
 		}
 		time.Sleep(time.Nanosecond)
 		if !c.due(w, stagger) {
-			t.Error("not due after its time for the second entry")
+			t.Error("not due after the stagger for the entry of rank one")
 		}
 	})
 }
--- a/sessions/entry/entry.go
+++ b/sessions/entry/entry.go
@@ -1,36 +1,38 @@
 // Package entry implements the process on an entry box. It routes callers' requests to agents,
-// serves operators, follows the ledger, decides and proposes placements, and tells agents what
-// concerns them.
+// serves operators, follows the ledger, decides and proposes placements, and sends agents their
+// assignments and configuration.
 //
 // Any number of entries run at the same time, and safety depends on none of them: the order of the
-// log decides between proposals. To avoid useless proposals, entries propose in the order of their
-// ranks, and each waits a little longer than the one before.
+// log decides between conflicting proposals. To avoid redundant proposals, entries propose in the
+// order of their ranks, each a little later than the one before.
 //
 // # State
 //
-// An entry keeps nothing on disk. It owns a replica of the ledger, the newest report of each agent
-// that polls it, and what it knows of other entries and of agents to avoid. After a restart it
-// reads the ledger and agents poll again.
+// An entry keeps nothing on disk. In memory it owns a replica of the ledger, the latest report of
+// each agent that polls it, the status of the other entries, and a list of agents to avoid. After a
+// restart it reads the ledger, and agents poll it again.
 //
 // # Goroutines
 //
-// One goroutine owns the control state (control.go): it applies the records of the log, takes in
-// the agents' reports, and decides what to propose. It publishes immutable values. Requests run on
-// the goroutines of net/http and read only these values.
+// One goroutine owns the control state (control.go). It applies the records of the log, processes
+// the agents' reports, decides what to propose, and publishes immutable values. Requests run on the
+// goroutines of net/http and read only these values.
 //
 // # Dependencies
 //
-// The platform's log, its list of boxes and its list of gone workers; see Run for how often each is
-// asked. Without the log an entry takes newer states from other entries, still routes requests, and
-// proposes nothing. Without the list of boxes it uses the entries it knows.
+// An entry needs the platform's log, its list of boxes and its list of gone workers. Run documents
+// how often each is queried. While the log is unavailable, an entry fetches newer states from other
+// entries, still routes requests, and proposes nothing. While the list of boxes is unavailable, it
+// uses the entries that it already knows.
 //
 // # Usage
 //
-//	e := entry.New(settings, entry.Parts{...})
+//	e := entry.New(settings, entry.Dependencies{...})
 //	go e.Run(ctx)
 //	http.Serve(listener, e.Handler())
 //	...
-//	e.Leave() // fails the readiness check; close the listener once the load balancer has noticed
+//	e.Leave() // fails the readiness check
+//	// Close the listener after the load balancer has removed the entry.
 package entry
 
 import (
@@ -53,18 +55,19 @@
 // Settings configure an entry.
 type Settings struct {
 	Name string
-	// Region may be empty if there is only one. Requests go to targets in the entry's region while
-	// one there can take them.
+	// Region may be empty if there is only one region. Requests go to targets in the entry's region
+	// as long as one of them can take work.
 	Region string
 	Zone   string
-	// Address is the base URL of this entry for agents and other entries.
+	// Address is the base URL at which agents and other entries reach this entry.
 	Address string
-	// Peers are the base URLs of other entries. Those in the platform's list of boxes are added.
+	// Peers are the base URLs of other entries. Entries in the platform's list of boxes are added
+	// to them.
 	Peers []string
-	// PrepareTimeout is how long a gang may prepare before its placement is given up.
+	// PrepareTimeout is how long a gang may prepare before its placement is stopped.
 	PrepareTimeout time.Duration
-	// SnapshotRecords and SnapshotAge are the number of records and the time after which the next
-	// snapshot is due, whichever comes first.
+	// SnapshotRecords and SnapshotAge are the number of records and the time since the last
+	// snapshot after which the next one is due, whichever comes first.
 	SnapshotRecords int64
 	SnapshotAge     time.Duration
 }
@@ -103,19 +106,19 @@
 	return nil
 }
 
-// Parts are the dependencies of an entry.
-type Parts struct {
+// Dependencies are what an entry works with.
+type Dependencies struct {
 	Platform  hosting.Platform
 	Client    *http.Client
 	Telemetry *telemetry.Telemetry
-	// Random returns a number from 0 to n-1. It is used to spread requests over agents.
+	// Random returns a random number from 0 to n-1. It spreads requests over agents.
 	Random func(n int) int
 }
 
-// Entry is an entry. Its methods are safe for concurrent use.
+// Entry is the process on an entry box. Its methods are safe for concurrent use.
 type Entry struct {
 	settings Settings
-	parts    Parts
+	deps     Dependencies
 	replica  *ledger.Replica
 	proposer *ledger.Proposer
 	peers    *peers
@@ -125,38 +128,39 @@
 	agents   *agentTable
 	log      atomic.Pointer[logHealth]
 	ready    atomic.Bool
-	// staying is cancelled by leave when the entry leaves.
-	staying context.Context
-	leave   context.CancelFunc
-	polling atomic.Pointer[pollTerm]
-	// steppedBack means that agents were sent to entries that reach the log. Only checkPeers uses
-	// it.
-	steppedBack bool
-	// began is when the entry was created. Until there is a snapshot, its age counts from then.
-	began time.Time
+	// leavingCtx ends when the entry starts to leave; startLeaving cancels it.
+	leavingCtx   context.Context
+	startLeaving context.CancelFunc
+	openPolls    atomic.Pointer[pollWindow]
+	// redirecting means that this entry is cut off from the log and has sent its agents to entries
+	// that reach it. Only checkPeers uses this field.
+	redirecting bool
+	// createdAt is when the entry was created. While there is no snapshot, SnapshotAge counts from
+	// this time.
+	createdAt time.Time
 }
 
-// logHealth says whether the log can be read.
+// logHealth is the result of the latest read of the log.
 type logHealth struct {
 	reachable bool
-	// lastRead is when a read last succeeded.
+	// lastRead is the time of the last successful read.
 	lastRead time.Time
 }
 
-// New returns an entry that does nothing until Run. The settings must be valid.
-func New(s Settings, p Parts) *Entry {
+// New returns an entry that does nothing until Run is called. The settings must be valid.
+func New(s Settings, p Dependencies) *Entry {
 	replica := ledger.NewReplica()
 	e := &Entry{
-		settings: s,
-		parts:    p,
-		replica:  replica,
-		proposer: ledger.NewProposer(p.Platform, replica),
-		polls:    make(chan membership.PollRequest),
-		began:    time.Now(),
-		agents:   &agentTable{agents: make(map[string]agentReport)},
+		settings:  s,
+		deps:      p,
+		replica:   replica,
+		proposer:  ledger.NewProposer(p.Platform, replica),
+		polls:     make(chan membership.PollRequest),
+		createdAt: time.Now(),
+		agents:    &agentTable{agents: make(map[string]agentReport)},
 	}
-	e.staying, e.leave = context.WithCancel(context.Background())
-	e.polling.Store(e.newPollTerm())
+	e.leavingCtx, e.startLeaving = context.WithCancel(context.Background())
+	e.openPolls.Store(e.newPollWindow())
 	e.peers = newPeers(s, p)
 	e.router = newRouter(e)
 	e.policies.Store(&policies{set: policy.NewSet(nil, nil)})
@@ -166,30 +170,31 @@
 
 // Run runs the background jobs of the entry until ctx ends:
 //
-//	follow    the log, by long poll
-//	control   on every change, and when time brings something due
-//	peers     every pingPeriod: which entries are alive, and whether this one is cut off
-//	gone      every gonePeriod: which workers the platform has declared gone
-//	snapshot  every snapshotPeriod, if one is due
+//	follow    reads the log by long polling
+//	control   runs on every change, and when a timer expires
+//	peers     checks every pingPeriod which entries are alive, and whether this one is cut off
+//	gone      reads every gonePeriod which workers the platform has declared gone
+//	snapshot  writes a snapshot if one is due, and checks this every snapshotPeriod
 func (e *Entry) Run(ctx context.Context) {
 	updates := make(chan ledger.Update)
 	gone := make(chan []string)
 	var wg conc.WaitGroup
-	wg.Go(func() { ledger.NewFollower(e.parts.Platform, e.peers).Run(ctx, updates) })
+	wg.Go(func() { ledger.NewFollower(e.deps.Platform, e.peers).Run(ctx, updates) })
 	wg.Go(func() { newControl(e).run(ctx, updates, gone) })
 	wg.Go(func() { every(ctx, pingPeriod, e.checkPeers) })
 	wg.Go(func() { every(ctx, gonePeriod, func(ctx context.Context) { e.refreshGone(ctx, gone) }) })
-	wg.Go(func() { every(ctx, snapshotPeriod, e.saveIfDue) })
+	wg.Go(func() { every(ctx, snapshotPeriod, e.snapshotIfDue) })
 	wg.Wait()
 }
 
-// checkPeers pings the other entries, and steps back if they reach the log and this one does not.
+// checkPeers pings the other entries, and redirects the agents to them if they reach the log and
+// this entry does not.
 func (e *Entry) checkPeers(ctx context.Context) {
 	e.peers.ping(ctx)
-	e.stepBackIfCut()
+	e.redirectIfCutOff()
 }
 
-// every calls job now and then once per period, until ctx ends.
+// every calls job immediately and then once per period, until ctx ends.
 func every(ctx context.Context, period time.Duration, job func(context.Context)) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -202,13 +207,13 @@
 	}
 }
 
-// Leave fails the readiness check, so that load balancers send no new requests, and sends the
-// agents to other entries. Requests are still served.
-func (e *Entry) Leave() { e.leave() }
+// Leave makes the readiness check fail, so that load balancers send no new requests, and redirects
+// the agents to other entries. The entry still serves requests that arrive.
+func (e *Entry) Leave() { e.startLeaving() }
 
-func (e *Entry) isLeaving() bool { return e.staying.Err() != nil }
+func (e *Entry) isLeaving() bool { return e.leavingCtx.Err() != nil }
 
-// Info returns the name, place and address of the entry.
+// Info returns the name, region, zone and address of the entry.
 func (e *Entry) Info() membership.EntryInfo {
 	return membership.EntryInfo{
 		Name:    e.settings.Name,
@@ -228,9 +233,9 @@
 func (e *Entry) refreshGone(ctx context.Context, out chan<- []string) {
 	bounded, cancel := context.WithTimeout(ctx, gonePeriod)
 	defer cancel()
-	names, err := e.parts.Platform.GoneWorkers(bounded)
+	names, err := e.deps.Platform.GoneWorkers(bounded)
 	if err != nil {
-		e.parts.Telemetry.Log.Warn().Str("step", "entry.gone").Err(err).Msg("platform does not answer")
+		e.deps.Telemetry.Log.Warn().Str("step", "entry.gone").Err(err).Msg("cannot read the list of gone workers")
 		return
 	}
 	select {
@@ -239,5 +244,5 @@
 	}
 }
 
-// State returns the newest state of the ledger that the entry has applied.
+// State returns the latest state of the ledger that the entry has applied.
 func (e *Entry) State() ledger.State { return e.replica.State() }
--- a/sessions/entry/fuzz_test.go
+++ b/sessions/entry/fuzz_test.go
@@ -18,8 +18,8 @@
 	"yarrowgrade.example/yarrowgrade/sessions/ledger"
 )
 
-// FuzzHandler sends any body to any route of a running entry. It must neither panic nor hang,
-// and whatever it refuses it must explain: a 400 names a field, a 503 says when to come back.
+// FuzzHandler sends arbitrary bodies to the routes of a running entry. The entry must neither panic
+// nor hang, and it must explain each rejection: a 400 names a field, and a 503 has a retry delay.
 func FuzzHandler(f *testing.F) {
 	for _, seed := range []struct{ method, path, body string }{
 		{"POST", "/v1/requests", `{"service":"s","team":"a","deadline_ms":5,"body":"x"}`},
@@ -54,18 +54,18 @@
 	f.Fuzz(func(t *testing.T, method, path, body string) {
 		r, err := http.NewRequest(method, "http://e"+path, strings.NewReader(body))
 		if err != nil || !strings.HasPrefix(path, "/") {
-			return // not a request that can be sent
+			return // not a valid request
 		}
-		synctest.Test(t, func(t *testing.T) { fuzzOne(t, r) })
+		synctest.Test(t, func(t *testing.T) { fuzzRequest(t, r) })
 	})
 }
 
-func fuzzOne(t *testing.T, r *http.Request) {
+func fuzzRequest(t *testing.T, r *http.Request) {
 	ctx, cancel := context.WithCancel(t.Context())
 	network := memnet.New()
 	settings := DefaultSettings()
 	settings.Name, settings.Zone, settings.Address = "e", "z", "http://e"
-	e := New(settings, Parts{
+	e := New(settings, Dependencies{
 		Platform:  standin.New(),
 		Client:    network.Client("http://e"),
 		Telemetry: telemetry.Discard(),
@@ -99,15 +99,15 @@
 	w := httptest.NewRecorder()
 	e.Handler().ServeHTTP(w, r.WithContext(short))
 	stop()
-	judgeAnswer(t, r, w)
+	checkRefusal(t, r, w)
 	time.Sleep(30 * time.Second)
 	cancel()
 	wg.Wait()
 	time.Sleep(2 * time.Minute)
 }
 
-// judgeAnswer checks that a refusal explains itself.
-func judgeAnswer(t *testing.T, r *http.Request, w *httptest.ResponseRecorder) {
+// checkRefusal checks that a 400 names a field and that a 503 has a retry delay.
+func checkRefusal(t *testing.T, r *http.Request, w *httptest.ResponseRecorder) {
 	t.Helper()
 	if w.Code != http.StatusBadRequest && w.Code != http.StatusServiceUnavailable {
 		return
@@ -123,6 +123,6 @@
 		t.Errorf("%s %s: a 400 that names no field: %s", r.Method, r.URL, w.Body)
 	}
 	if w.Code == http.StatusServiceUnavailable && body.RetryAfterMillis == 0 {
-		t.Errorf("%s %s: a 503 without a time to come back: %s", r.Method, r.URL, w.Body)
+		t.Errorf("%s %s: a 503 without a retry delay: %s", r.Method, r.URL, w.Body)
 	}
 }
--- a/sessions/entry/golden_test.go
+++ b/sessions/entry/golden_test.go
@@ -11,7 +11,7 @@
 	"yarrowgrade.example/yarrowgrade/sessions/placement"
 )
 
-// The golden values have every exported field set.
+// The golden values set every exported field.
 var (
 	goldenShape   = placement.Shape{Accelerators: 2, Adjacency: placement.SameRack}
 	goldenSession = ledger.Session{
--- a/sessions/entry/operators.go
+++ b/sessions/entry/operators.go
@@ -18,33 +18,33 @@
 	"yarrowgrade.example/yarrowgrade/sessions/policy"
 )
 
-// SessionView is a session as operators see it.
+// SessionView is a session with its placement, as operators see it.
 type SessionView struct {
 	ledger.Session
 	// Placement is nil while the session waits.
 	Placement *ledger.Placement `json:"placement,omitempty"`
 }
 
-// TeamView is a team with the use of its guarantees and its number of sessions.
+// TeamView is a team with the usage of its guarantees and the number of its unfinished sessions.
 type TeamView struct {
 	ledger.Team
 	Entitlements []placement.Entitlement `json:"entitlements"`
 	Sessions     int                     `json:"sessions"`
 }
 
-// ConfigPut is the body of a change of the configuration.
+// ConfigPut is the body of a request to change a configuration entry.
 type ConfigPut struct {
 	Value    json.RawMessage `json:"value"`
 	Revision int64           `json:"revision"`
 	Author   string          `json:"author"`
 }
 
-// PutAnswer is the answer to an accepted change of the configuration.
+// PutAnswer is the response to an accepted configuration change.
 type PutAnswer struct {
 	Revision int64 `json:"revision"`
 }
 
-// Explanation says why a session runs or waits.
+// Explanation explains why a session runs or waits.
 type Explanation struct {
 	Session ledger.Session `json:"session"`
 	Lines   []string       `json:"lines"`
@@ -53,7 +53,7 @@
 // Status is the status of all known entries.
 type Status struct {
 	Entries []membership.EntryStatus `json:"entries"`
-	// Shortfall lists the guarantees that could not be met now.
+	// Shortfall lists the guarantees that cannot be met at present.
 	Shortfall []placement.Entitlement `json:"shortfall"`
 }
 
@@ -92,9 +92,9 @@
 	}
 }
 
-// serveCreate creates a session and answers once it is in the ledger. Creating an identical session
-// again is no error.
-func (e *Entry) serveCreate(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+// serveCreateSession creates a session and responds after it is in the ledger. Creating an
+// identical session again is not an error.
+func (e *Entry) serveCreateSession(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var spec ledger.SessionSpec
 	if err := jsonhttp.Read(w, r, &spec); err != nil {
 		jsonhttp.WriteError(w, err)
@@ -112,18 +112,18 @@
 		})
 		return
 	}
-	create := ledger.CreateSession{Spec: spec, Trace: e.parts.Telemetry.TraceOf(r.Context())}
+	create := ledger.CreateSession{Spec: spec, Trace: e.deps.Telemetry.TraceOf(r.Context())}
 	_, err := e.propose(r.Context(), ledger.Record{Create: &create})
 	state := e.replica.State()
-	made, found := state.Session(spec.Name)
-	if err != nil && !(found && made.SessionSpec == spec) {
+	created, found := state.Session(spec.Name)
+	if err != nil && !(found && created.SessionSpec == spec) {
 		jsonhttp.WriteError(w, err)
 		return
 	}
-	jsonhttp.Write(w, http.StatusCreated, sessionView(state, made))
+	jsonhttp.Write(w, http.StatusCreated, sessionView(state, created))
 }
 
-func (e *Entry) serveCancel(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
+func (e *Entry) serveCancelSession(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
 	name := ps.ByName("name")
 	if _, found := e.replica.State().Session(name); !found {
 		jsonhttp.WriteError(w, notFound("session", name))
@@ -204,12 +204,12 @@
 	jsonhttp.Write(w, http.StatusOK, entry)
 }
 
-// configKey returns the key in the path. Keys may contain a slash.
+// configKey returns the configuration key in the path. Keys may contain slashes.
 func configKey(ps httprouter.Params) string { return strings.TrimPrefix(ps.ByName("key"), "/") }
 
-// servePut changes one entry of the configuration. A change that is not based on the current
-// revision of the entry is rejected.
-func (e *Entry) servePut(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
+// servePutConfig changes one configuration entry. It rejects a change that is not based on the
+// current revision of that entry.
+func (e *Entry) servePutConfig(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
 	var in ConfigPut
 	if err := jsonhttp.Read(w, r, &in); err != nil {
 		jsonhttp.WriteError(w, err)
@@ -229,8 +229,8 @@
 	jsonhttp.Write(w, http.StatusOK, PutAnswer{Revision: v.Offset})
 }
 
-// serveCheck validates and compiles a policy without storing it.
-func (e *Entry) serveCheck(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
+// serveCheckPolicy validates and compiles a policy without storing it.
+func (e *Entry) serveCheckPolicy(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var p policy.Policy
 	if err := jsonhttp.Read(w, r, &p); err != nil {
 		jsonhttp.WriteError(w, err)
@@ -243,7 +243,7 @@
 	jsonhttp.Write(w, http.StatusOK, p)
 }
 
-// statusTimeout limits the status call to one peer.
+// statusTimeout bounds the status call to one peer.
 const statusTimeout = time.Second
 
 // serveStatus returns the status of this entry and of all known peers.
@@ -251,7 +251,7 @@
 	addresses := e.peers.addresses()
 	statuses := make([]membership.EntryStatus, len(addresses)+1)
 	statuses[0] = e.ownStatus()
-	client := *e.parts.Client
+	client := *e.deps.Client
 	client.Timeout = statusTimeout
 	var wg conc.WaitGroup
 	for i, address := range addresses {
--- a/sessions/entry/peers.go
+++ b/sessions/entry/peers.go
@@ -25,36 +25,36 @@
 	stateTimeout = 3 * time.Second
 )
 
-// peer is another entry.
+// peer is the latest status of another entry.
 type peer struct {
 	info membership.EntryInfo
-	// seen is when it last answered; zero if never.
+	// seen is the time of its last answer. It is zero if the peer never answered.
 	seen time.Time
-	// logReachable says whether it could reach the log then.
+	// logReachable reports whether the peer could reach the log at that time.
 	logReachable bool
 }
 
 func (p peer) isAlive() bool { return !p.seen.IsZero() && time.Since(p.seen) < aliveFor }
 
-// peers keeps track of the other entries. The platform's list of boxes is only a hint where to find
-// them; whether an entry is alive is decided by its answers.
+// peers tracks the other entries. The platform's list of boxes only helps to find them: an entry
+// counts as alive if it answers pings.
 type peers struct {
 	settings Settings
-	parts    Parts
+	deps     Dependencies
 	mu       sync.Mutex
 	byURL    map[string]peer
 }
 
-func newPeers(s Settings, p Parts) *peers {
-	ps := &peers{settings: s, parts: p, byURL: make(map[string]peer)}
+func newPeers(s Settings, p Dependencies) *peers {
+	ps := &peers{settings: s, deps: p, byURL: make(map[string]peer)}
 	for _, address := range s.Peers {
 		ps.byURL[address] = peer{info: membership.EntryInfo{Address: address}}
 	}
 	return ps
 }
 
-// ping pings all known peers and discovers new ones. Both happen at the same time, because an entry
-// that cannot reach the platform would otherwise consider all peers dead.
+// ping pings all known peers and discovers new ones. It does both concurrently, because an entry
+// that cannot reach the platform would otherwise use up the timeout and consider all peers dead.
 func (ps *peers) ping(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
@@ -66,10 +66,10 @@
 	wg.Wait()
 }
 
-// discover adds the entries in the platform's list of boxes. An error is ignored: the known peers
-// remain, and the next ping asks again.
+// discover adds the entries in the platform's list of boxes. It ignores errors: the known peers
+// remain, and the next ping retries.
 func (ps *peers) discover(ctx context.Context) {
-	boxes, err := ps.parts.Platform.Boxes(ctx)
+	boxes, err := ps.deps.Platform.Boxes(ctx)
 	if err != nil {
 		return
 	}
@@ -87,7 +87,7 @@
 
 func (ps *peers) pingOne(ctx context.Context, address string) {
 	var answer membership.PingAnswer
-	err := jsonhttp.Call(ctx, ps.parts.Client, "entry.ping", http.MethodGet, address, "/internal/ping", nil, &answer)
+	err := jsonhttp.Call(ctx, ps.deps.Client, "entry.ping", http.MethodGet, address, "/internal/ping", nil, &answer)
 	if err != nil {
 		return
 	}
@@ -107,7 +107,7 @@
 	return list
 }
 
-// alive returns the peers that are alive, by name.
+// alive returns the live peers, sorted by name.
 func (ps *peers) alive() []membership.EntryInfo {
 	return ps.filter(func(p peer) bool { return p.isAlive() })
 }
@@ -130,8 +130,8 @@
 	return list
 }
 
-// rank returns this entry's place in the order of the live entries. The entry of rank zero proposes
-// first.
+// rank returns the position of this entry in the order of the live entries. The entry of rank zero
+// proposes first.
 func (ps *peers) rank() int {
 	names := []string{ps.settings.Name}
 	for _, info := range ps.alive() {
@@ -145,8 +145,8 @@
 	return 0
 }
 
-// NewerState implements ledger.PeerStates. It asks the live peers in turn or, if there are
-// none, all known ones.
+// NewerState implements ledger.PeerStates. It queries the live peers one after the other or, if
+// there are none, all known peers.
 func (ps *peers) NewerState(ctx context.Context, revision int64) (ledger.State, bool) {
 	addresses := ps.addresses()
 	if alive := ps.alive(); len(alive) > 0 {
@@ -168,14 +168,14 @@
 	defer cancel()
 	var data []byte
 	path := fmt.Sprintf("/internal/state?newer_than=%d", revision)
-	err := jsonhttp.Call(ctx, ps.parts.Client, "entry.state", http.MethodGet, address, path, nil, &data)
+	err := jsonhttp.Call(ctx, ps.deps.Client, "entry.state", http.MethodGet, address, path, nil, &data)
 	if err != nil || len(data) == 0 {
 		return ledger.State{}, false
 	}
 	s, err := ledger.DecodeState(data)
 	if err != nil {
-		ps.parts.Telemetry.Log.Error().Str("step", "entry.state").Str("peer", address).Err(err).
-			Msg("peer's state is unreadable")
+		ps.deps.Telemetry.Log.Error().Str("step", "entry.state").Str("peer", address).Err(err).
+			Msg("cannot decode the state of a peer")
 		return ledger.State{}, false
 	}
 	return s, s.Revision() > revision
--- a/sessions/entry/policies.go
+++ b/sessions/entry/policies.go
@@ -8,13 +8,13 @@
 	"yarrowgrade.example/yarrowgrade/sessions/policy"
 )
 
-// policies is the set of policies compiled from a configuration.
+// policies is the compiled set of policies of one configuration revision.
 type policies struct {
 	revision int64
 	set      *policy.Set
 }
 
-// compilePolicies publishes the policies of the newest configuration if that has changed.
+// compilePolicies compiles and publishes the policies if the configuration has changed.
 func (c *control) compilePolicies() {
 	e := c.entry
 	state := e.replica.State()
@@ -27,8 +27,8 @@
 			continue
 		}
 		var p policy.Policy
-		// The ledger validated the value. One that this version cannot read becomes a policy that
-		// fails to the safe side.
+		// The ledger has validated the value, but this version may be unable to decode it. Such a
+		// value becomes a policy that always fails, so that its safe default applies.
 		if err := json.Unmarshal(entry.Value, &p); err != nil {
 			p.Name = strings.TrimPrefix(entry.Key, ledger.PolicyPrefix)
 		}
@@ -36,12 +36,12 @@
 	}
 	e.policies.Store(&policies{
 		revision: state.ConfigRevision(),
-		set:      policy.NewSet(list, e.policyFailed),
+		set:      policy.NewSet(list, e.recordPolicyFailure),
 	})
 }
 
-func (e *Entry) policyFailed(name string, err error) {
-	e.parts.Telemetry.Metrics.Counter("policy_failures").Inc(1)
-	e.parts.Telemetry.Log.Error().Str("step", "policy.run").Str("policy", name).Err(err).
-		Msg("policy fails to the safe side")
+func (e *Entry) recordPolicyFailure(name string, err error) {
+	e.deps.Telemetry.Metrics.Counter("policy_failures").Inc(1)
+	e.deps.Telemetry.Log.Error().Str("step", "policy.run").Str("policy", name).Err(err).
+		Msg("policy failed; its safe default applies")
 }
--- a/sessions/entry/polls.go
+++ b/sessions/entry/polls.go
@@ -14,7 +14,7 @@
 	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
-// serveJoin records an agent's incarnation in the ledger. The call may be repeated.
+// serveJoin records an agent's incarnation in the ledger. The call is idempotent.
 func (e *Entry) serveJoin(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var worker ledger.Worker
 	if err := jsonhttp.Read(w, r, &worker); err != nil {
@@ -35,13 +35,13 @@
 		jsonhttp.WriteError(w, err)
 		return
 	}
-	e.parts.Telemetry.Log.Info().Str("step", "entry.join").Str("worker", worker.Name).Int64("offset", v.Offset).
+	e.deps.Telemetry.Log.Info().Str("step", "entry.join").Str("worker", worker.Name).Int64("offset", v.Offset).
 		Msg("agent joined")
 	jsonhttp.Write(w, http.StatusOK, membership.JoinAnswer{Joined: v.Offset})
 }
 
-// propose appends a record on behalf of a waiting caller. A rejection becomes an error with status
-// 409.
+// propose appends a record on behalf of a waiting caller. It returns a rejection as an error with
+// status 409.
 func (e *Entry) propose(ctx context.Context, r ledger.Record) (ledger.Verdict, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -55,8 +55,8 @@
 	return v, nil
 }
 
-// servePoll passes an agent's report to the control goroutine and answers as soon as there is
-// something newer for the agent.
+// servePoll passes an agent's report to the control goroutine, and responds as soon as there is a
+// newer view for the agent.
 func (e *Entry) servePoll(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var in membership.PollRequest
 	if err := jsonhttp.Read(w, r, &in); err != nil {
@@ -76,7 +76,7 @@
 	stop := jsonhttp.KeepAlive(w, membership.KeepAliveInterval)
 	v := e.awaitView(r.Context(), in)
 	stop()
-	// KeepAlive has sent the status already, so an error can no longer be answered.
+	// KeepAlive has already sent the status, so an error can no longer be reported to the agent.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
@@ -98,12 +98,11 @@
 }
 
 // awaitView waits up to membership.PollWait for a view that is newer than the revisions in the
-// poll. If there is none, or the agent is replaced in the meantime, it returns a view with
-// nothing new.
+// poll. If there is none, or if the agent has been replaced, it returns a view without changes.
 func (e *Entry) awaitView(ctx context.Context, in membership.PollRequest) membership.View {
 	ctx, cancel := context.WithTimeout(ctx, membership.PollWait)
 	defer cancel()
-	defer context.AfterFunc(e.polling.Load().ctx, cancel)()
+	defer context.AfterFunc(e.openPolls.Load().ctx, cancel)()
 	state, err := e.replica.WaitWorker(ctx, in.Worker, func(s ledger.State) bool {
 		worker, known := s.Worker(in.Worker)
 		replaced := !known || worker.Incarnation != in.Incarnation
@@ -116,9 +115,9 @@
 	return membership.NewView(state, worker, in.ConfigRevision, e.entries())
 }
 
-// entries returns the entries that an agent should poll: all live ones, including this one
-// unless it is leaving. If this entry cannot reach the log and others can, it returns only
-// those.
+// entries returns the entries that an agent should poll: all live entries, including this one
+// unless it is leaving. If this entry cannot reach the log and others can, it returns only those
+// others.
 func (e *Entry) entries() []membership.EntryInfo {
 	if e.isLeaving() {
 		return e.peers.alive()
@@ -129,34 +128,34 @@
 	return append([]membership.EntryInfo{e.Info()}, e.peers.alive()...)
 }
 
-// pollTerm is a period during which polls are held open. Its end answers all of them; it ends when
-// the entry steps back or leaves.
-type pollTerm struct {
+// pollWindow is a period during which the entry holds polls open. At its end all open polls are
+// answered. It ends when the entry is cut off from the log or starts to leave.
+type pollWindow struct {
 	ctx context.Context
 	end context.CancelFunc
 }
 
-func (e *Entry) newPollTerm() *pollTerm {
-	ctx, end := context.WithCancel(e.staying)
-	return &pollTerm{ctx: ctx, end: end}
+func (e *Entry) newPollWindow() *pollWindow {
+	ctx, end := context.WithCancel(e.leavingCtx)
+	return &pollWindow{ctx: ctx, end: end}
 }
 
-// stepBackIfCut answers all open polls when this entry loses the log while other entries reach it.
-// Reports of agents could not be recorded here, so ready gangs would not start and finished ones
-// would not be released. The answers name the other entries. Agents that still poll this entry,
-// because they reach no other, are served as usual.
-func (e *Entry) stepBackIfCut() {
-	cut := e.ready.Load() && !e.log.Load().reachable && len(e.peers.withLog()) > 0
-	if cut && !e.steppedBack {
-		e.parts.Telemetry.Log.Warn().Str("step", "entry.stepBack").
-			Msg("this entry cannot reach the log, others can; agents are sent to them")
-		e.polling.Swap(e.newPollTerm()).end()
-	}
-	e.steppedBack = cut
+// redirectIfCutOff answers all open polls when this entry loses the log while other entries reach
+// it. This entry could not record the agents' reports, so ready gangs would not start and finished
+// gangs would not be released. The responses list only the other entries. Agents that still poll
+// this entry, because they reach no other, are served as usual.
+func (e *Entry) redirectIfCutOff() {
+	cutOff := e.ready.Load() && !e.log.Load().reachable && len(e.peers.withLog()) > 0
+	if cutOff && !e.redirecting {
+		e.deps.Telemetry.Log.Warn().Str("step", "entry.stepBack").
+			Msg("cannot reach the log; redirecting agents to entries that can")
+		e.openPolls.Swap(e.newPollWindow()).end()
+	}
+	e.redirecting = cutOff
 }
 
-// serveLeaving stops sending requests to an agent that is leaving. The ledger learns of it through
-// the agent's poll.
+// serveLeaving handles the leaving notice of an agent: the entry stops routing requests to it. The
+// agent's next poll causes the record in the ledger.
 func (e *Entry) serveLeaving(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var in membership.LeavingNotice
 	if err := jsonhttp.Read(w, r, &in); err != nil {
@@ -167,12 +166,12 @@
 		jsonhttp.WriteError(w, fault.BadField("worker", "must not be empty"))
 		return
 	}
-	e.router.avoidance.leave(incarnation{worker: in.Worker, id: in.Incarnation})
+	e.router.avoidance.markLeaving(incarnation{worker: in.Worker, id: in.Incarnation})
 	jsonhttp.Write(w, http.StatusOK, struct{}{})
 }
 
-// serveState returns the whole state to a peer that cannot read the log, or status 204 if the
-// peer's state is as new.
+// serveState returns the complete state to a peer that cannot read the log, or status 204 if the
+// peer's state is at least as new.
 func (e *Entry) serveState(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	newerThan, err := queryNumber(r, "newer_than")
 	if err != nil {
--- a/sessions/entry/polls_test.go
+++ b/sessions/entry/polls_test.go
@@ -13,16 +13,16 @@
 	"yarrowgrade.example/yarrowgrade/sessions/membership"
 )
 
-// TestStepBack cuts an entry off the log while its peer is not. The polls that it holds end at
-// once with the peer's name, so that what agents report is recorded. Later ones are held as
-// usual: their agents reach no other entry.
+// TestStepBack checks that an entry that loses the log while its peer reaches it answers its open
+// polls immediately and lists only the peer, which can record the agents' reports. Later polls are
+// held as usual, because their agents reach no other entry.
 func TestStepBack(t *testing.T) {
 	peerInfo := membership.EntryInfo{Name: "b", Zone: "z", Address: "http://b"}
 	tests := []struct {
 		name string
-		// own and other say whether this entry and its peer reach the log.
+		// own and other report whether this entry and its peer reach the log.
 		own, other bool
-		stepsBack  bool
+		redirects  bool
 	}{
 		{"both reach it", true, true, false},
 		{"only this one does", true, false, false},
@@ -36,7 +36,7 @@
 					Name:    "a",
 					Zone:    "z",
 					Address: "http://a",
-				}, Parts{Platform: standin.New(), Telemetry: telemetry.Discard()})
+				}, Dependencies{Platform: standin.New(), Telemetry: telemetry.Discard()})
 				defer e.Leave()
 				data, _ := ledger.Record{ID: "join", Join: &ledger.JoinWorker{Worker: ledger.Worker{
 					Name: "w", Zone: "z", Rack: "r", Address: "http://w", Incarnation: "one", Slots: 1,
@@ -54,21 +54,21 @@
 				}
 				hold()
 				synctest.Wait()
-				e.stepBackIfCut()
+				e.redirectIfCutOff()
 				synctest.Wait()
-				if ended := len(views) == 1; ended != tt.stepsBack {
-					t.Errorf("the open poll has ended: %v, want %v", ended, tt.stepsBack)
+				if ended := len(views) == 1; ended != tt.redirects {
+					t.Errorf("open poll answered: %v, want %v", ended, tt.redirects)
 				}
-				if tt.stepsBack {
+				if tt.redirects {
 					if v := <-views; len(v.Entries) != 1 || v.Entries[0] != peerInfo {
-						t.Errorf("it names %v, want only the peer", v.Entries)
+						t.Errorf("the response lists %v, want only the peer", v.Entries)
 					}
 				}
 				hold()
-				e.stepBackIfCut()
+				e.redirectIfCutOff()
 				synctest.Wait()
 				if len(views) != 0 {
-					t.Error("a poll that came after was not held")
+					t.Error("a later poll was not held open")
 				}
 				time.Sleep(2 * membership.PollWait)
 			})
--- a/sessions/entry/proposals.go
+++ b/sessions/entry/proposals.go
@@ -12,24 +12,24 @@
 
 // proposal is a record that this entry wants to append to the ledger.
 type proposal struct {
-	// key identifies the proposal, so that it is made once at a time.
+	// key identifies the proposal, so that it is not in progress twice.
 	key    string
 	record ledger.Record
-	// shared proposals follow from what all entries know. The others follow from what an agent
-	// reported to this entry only.
+	// shared proposals follow from state that all entries have. The others follow from a report
+	// that an agent sent to this entry only.
 	shared bool
 }
 
 func prepareKey(token int64) string { return fmt.Sprintf("prepare/%d", token) }
 
-// reportedProposals returns the proposals that follow from the polls of agents. It forgets agents
-// that have been replaced.
+// reportedProposals returns the proposals that follow from the polls of agents. It removes the
+// reports of agents that have been replaced.
 func (c *control) reportedProposals(state ledger.State) []proposal {
 	var proposals []proposal
 	for _, a := range c.entry.agents.list() {
 		w, found := state.Worker(a.Worker)
 		if !found || w.Incarnation != a.Incarnation {
-			c.entry.agents.forget(a.Worker)
+			c.entry.agents.remove(a.Worker)
 			continue
 		}
 		if a.Leaving && !w.Leaving {
@@ -48,7 +48,7 @@
 	}
 }
 
-// stoppedProposals releases the members that the agent reports as stopped.
+// stoppedProposals returns proposals to release the members that the agent reports as stopped.
 func stoppedProposals(state ledger.State, a agentReport) []proposal {
 	var proposals []proposal
 	for _, s := range a.Stopped {
@@ -73,7 +73,8 @@
 	}
 }
 
-// gangProposals starts, finishes or stops the gangs that the agent leads.
+// gangProposals returns proposals to start, checkpoint, finish or stop the gangs that the agent
+// leads.
 func gangProposals(state ledger.State, a agentReport) []proposal {
 	var proposals []proposal
 	for _, r := range a.Gangs {
@@ -104,7 +105,7 @@
 	return proposals
 }
 
-// minProgressStep is the smallest increase of the saved work that is recorded. 700 gangs with a
+// minProgressStep is the smallest increase in saved progress that is recorded. 700 gangs with a
 // checkpoint every 10 min write about one record/s.
 const minProgressStep = time.Minute
 
@@ -120,13 +121,14 @@
 	}
 }
 
-// asShared returns the proposal as one that any entry can make.
+// asShared returns a copy of the proposal that is marked as shared.
 func (p proposal) asShared() proposal {
 	p.shared = true
 	return p
 }
 
-// sharedProposals returns the proposals that follow from the ledger, the clock and the platform.
+// sharedProposals returns the proposals that follow from the ledger, the clock and the platform,
+// and that any entry can make.
 func (c *control) sharedProposals(state ledger.State) []proposal {
 	var proposals []proposal
 	for _, p := range state.Placements() {
@@ -164,7 +166,7 @@
 }
 
 // decisions returns the starts and reclaims that package placement decides on. It returns none
-// while earlier ones are being proposed, because the state does not show those yet.
+// while earlier ones are in progress, because the state does not contain those yet.
 func (c *control) decisions(state ledger.State) []proposal {
 	for key, until := range c.pausedUntil {
 		if until.IsZero() && (strings.HasPrefix(key, "place/") || strings.HasPrefix(key, "reclaim/")) {
@@ -187,7 +189,7 @@
 	for _, d := range placement.Decide(in, state.Profile()) {
 		c.decided = append(c.decided, decisionProposals(d)...)
 	}
-	c.entry.parts.Telemetry.Metrics.Timer("decide").Record(time.Since(c.decidedAt))
+	c.entry.deps.Telemetry.Metrics.Timer("decide").Record(time.Since(c.decidedAt))
 	return c.decided
 }
 
@@ -212,7 +214,7 @@
 	return proposals
 }
 
-// yieldRank returns a function that asks the policies for the yield rank of a placement.
+// yieldRank returns a function that evaluates the policies for the yield rank of a placement.
 func (e *Entry) yieldRank(state ledger.State) func(ledger.Placement) int {
 	set := e.policies.Load().set
 	return func(p ledger.Placement) int {
--- a/sessions/entry/router.go
+++ b/sessions/entry/router.go
@@ -15,15 +15,16 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// Constants of the router.
+// Limits of the router.
 const (
-	// noTargetRetry is the Retry-After if no target can take a request or its agent did not answer.
+	// noTargetRetry is the retry delay returned if no target can take a request, or if the agent
+	// did not answer.
 	noTargetRetry = time.Second
-	// maxMargin is how much earlier than the caller's deadline an agent must answer, so that the
+	// maxMargin bounds the time that is reserved before the caller's deadline, so that the agent's
 	// answer still reaches the caller.
 	maxMargin = 20 * time.Millisecond
-	// budgetCap is the most retries that can be saved up.
-	budgetCap = 50.0
+	// maxRetryBudget is the largest number of unused retries that can accumulate.
+	maxRetryBudget = 50.0
 )
 
 // router sends requests to agents and retries them within a budget.
@@ -32,22 +33,22 @@
 	avoidance *avoidance
 
 	mu sync.Mutex
-	// inflight counts the requests of this entry that each worker is handling.
+	// inflight is the number of requests from this entry that each worker is handling.
 	inflight map[string]int
-	// budget is the number of retries that are allowed now.
-	budget float64
+	// retryBudget is the number of retries that may be made at present.
+	retryBudget float64
 }
 
 func newRouter(e *Entry) *router {
 	return &router{
-		entry:     e,
-		avoidance: newAvoidance(),
-		inflight:  make(map[string]int),
-		budget:    budgetCap,
+		entry:       e,
+		avoidance:   newAvoidance(),
+		inflight:    make(map[string]int),
+		retryBudget: maxRetryBudget,
 	}
 }
 
-// newKey returns a key for an agent of the service that can take work.
+// newKey returns a key that is bound to an agent of the service that can take work.
 func (r *router) newKey(service string) (request.Key, bool) {
 	w, found := r.pick(service, "", nil)
 	if !found {
@@ -57,21 +58,22 @@
 	return key, err == nil
 }
 
-// pick picks two random candidates and returns the one with the smaller share of its slots in use.
+// pick returns the less utilized of two random candidates (power of two choices).
 func (r *router) pick(service, team string, tried map[string]bool) (ledger.Worker, bool) {
 	candidates := r.candidates(service, team, tried)
 	if len(candidates) == 0 {
 		return ledger.Worker{}, false
 	}
-	a := candidates[r.entry.parts.Random(len(candidates))]
-	b := candidates[r.entry.parts.Random(len(candidates))]
-	if r.load(b) < r.load(a) {
+	a := candidates[r.entry.deps.Random(len(candidates))]
+	b := candidates[r.entry.deps.Random(len(candidates))]
+	if r.utilization(b) < r.utilization(a) {
 		return b, true
 	}
 	return a, true
 }
 
-func (r *router) load(w ledger.Worker) float64 {
+// utilization returns the requests in flight at a worker relative to its slots.
+func (r *router) utilization(w ledger.Worker) float64 {
 	return float64(r.inflightAt(w)) / float64(max(w.Slots, 1))
 }
 
@@ -81,65 +83,66 @@
 	return r.inflight[w.Name]
 }
 
-// candidates returns the agents of the service that may take a request of the team: those of the
-// entry's region or, if there are none, those of other regions. Suspects are returned only if there
-// is no other agent; then the callers' deadlines are a likelier cause than the agents.
+// candidates returns the agents of the service that may take a request of the team: those in the
+// entry's region or, if there are none, those in other regions. It returns suspects only if there
+// is no other agent. In that case the failures are more likely due to short deadlines of the
+// callers than to the agents.
 func (r *router) candidates(service, team string, tried map[string]bool) []ledger.Worker {
-	var near, far, suspects []ledger.Worker
+	var local, remote, suspects []ledger.Worker
 	for _, w := range r.entry.replica.State().Workers() {
 		if w.Service != service || w.Leaving || tried[w.Name] {
 			continue
 		}
-		ok, suspect := r.avoidance.usable(incarnationOf(w), team, r.inflightAt(w))
+		ok, suspect := r.avoidance.eligible(incarnationOf(w), team, r.inflightAt(w))
 		switch {
 		case ok && suspect:
 			suspects = append(suspects, w)
 		case ok && w.Region == r.entry.settings.Region:
-			near = append(near, w)
+			local = append(local, w)
 		case ok:
-			far = append(far, w)
+			remote = append(remote, w)
 		}
 	}
-	if len(near) > 0 {
-		return near
+	if len(local) > 0 {
+		return local
 	}
-	if len(far) > 0 {
-		return far
+	if len(remote) > 0 {
+		return remote
 	}
 	return suspects
 }
 
-// earn adds the retries earned by one request to the budget.
-func (r *router) earn() {
+// addRetries adds the retries that one request allows to the budget.
+func (r *router) addRetries() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	percent := float64(r.entry.replica.State().Limits().RetryPercent)
-	r.budget = min(budgetCap, r.budget+percent/100)
+	r.retryBudget = min(maxRetryBudget, r.retryBudget+percent/100)
 }
 
-// spend takes one retry from the budget and reports whether there was one.
-func (r *router) spend() bool {
+// takeRetry takes one retry from the budget. It returns false if the budget is exhausted.
+func (r *router) takeRetry() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.budget < 1 {
+	if r.retryBudget < 1 {
 		return false
 	}
-	r.budget--
+	r.retryBudget--
 	return true
 }
 
-// route sends a request and returns its outcome. Only a request without a key may be sent to more
-// than one agent.
+// route sends a request to an agent and returns its outcome. Only a request without a key may be
+// sent to more than one agent.
 func (r *router) route(ctx context.Context, call request.Call) request.Answer {
 	id := uuid.NewString()
 	deadline := time.Now().Add(time.Duration(call.DeadlineMillis) * time.Millisecond)
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
-	r.earn()
+	r.addRetries()
 	if call.Key != "" {
 		return r.routeKey(ctx, id, call)
 	}
-	return r.routeAnywhere(ctx, id, call)
+	return r.routeWithRetries(ctx, id, call)
 }
 
 // routeKey sends the request to the incarnation that its key names.
@@ -155,18 +158,18 @@
 	answer, err := r.send(ctx, id, call, w)
 	if err != nil {
 		// The outcome is not NotRun even if the agent was not reached, because another entry may
-		// have sent the same key.
+		// have sent a request with the same key.
 		return request.UnknownAnswer(id, err.Error(), noTargetRetry)
 	}
 	return answer
 }
 
-// routeAnywhere tries agents until one answers with Done, the budget is spent, or the deadline
-// passes. The outcome is NotRun only if no attempt may have run.
-func (r *router) routeAnywhere(ctx context.Context, id string, call request.Call) request.Answer {
+// routeWithRetries tries agents until one answers with Done, no untried candidate or retry is left,
+// or the deadline passes. The outcome is NotRun only if it is certain that no attempt has run.
+func (r *router) routeWithRetries(ctx context.Context, id string, call request.Call) request.Answer {
 	tried := make(map[string]bool)
 	last := request.NotRunAnswer(id, "no target of the service can take it", noTargetRetry)
-	ran := false
+	mayHaveRun := false
 	for {
 		w, found := r.pick(call.Service, call.Team, tried)
 		if !found {
@@ -178,21 +181,21 @@
 			return answer
 		}
 		var reached bool
-		last, reached = attempted(id, answer, err)
-		ran = ran || reached
-		if ctx.Err() != nil || !r.spend() {
+		last, reached = attemptOutcome(id, answer, err)
+		mayHaveRun = mayHaveRun || reached
+		if ctx.Err() != nil || !r.takeRetry() {
 			break
 		}
 	}
-	if ran && last.Outcome == request.NotRun {
+	if mayHaveRun && last.Outcome == request.NotRun {
 		return request.UnknownAnswer(id, "an earlier attempt may have run; the last: "+last.Reason, noTargetRetry)
 	}
 	return last
 }
 
-// attempted returns the outcome of an attempt that did not end as Done, and whether it may have
-// run.
-func attempted(id string, answer request.Answer, err error) (request.Answer, bool) {
+// attemptOutcome returns the outcome of an attempt that did not end as Done, and whether the
+// request may have run.
+func attemptOutcome(id string, answer request.Answer, err error) (request.Answer, bool) {
 	switch {
 	case err == nil:
 		return answer, answer.Outcome != request.NotRun
@@ -202,55 +205,56 @@
 	return request.UnknownAnswer(id, err.Error(), noTargetRetry), true
 }
 
-// errBadAnswer means that an agent's answer belongs to another request or is corrupt.
-var errBadAnswer = errors.New("the agent's answer was crossed or cut")
+// errInvalidAnswer means that an agent's answer belongs to another request or is truncated.
+var errInvalidAnswer = errors.New("the agent's answer was crossed or cut")
 
-// send makes one attempt at one agent.
+// send sends the request to one agent once.
 func (r *router) send(ctx context.Context, id string, call request.Call, w ledger.Worker) (request.Answer, error) {
-	r.count(w.Name, 1)
-	defer r.count(w.Name, -1)
+	r.addInflight(w.Name, 1)
+	defer r.addInflight(w.Name, -1)
 	deadline, _ := ctx.Deadline()
-	left := time.Until(deadline)
-	margin := min(maxMargin, left/10)
+	remaining := time.Until(deadline)
+	margin := min(maxMargin, remaining/10)
 	hop := request.AgentRequest{
 		ID:         id,
 		Service:    call.Service,
 		Team:       call.Team,
 		Key:        call.Key,
-		LeftMillis: (left - margin).Milliseconds(),
+		LeftMillis: (remaining - margin).Milliseconds(),
 		Body:       call.Body,
 	}
 	var answer request.Answer
-	client := r.entry.parts.Client
+	client := r.entry.deps.Client
 	err := jsonhttp.Call(ctx, client, "entry.send", http.MethodPost, w.Address, "/internal/requests", hop, &answer)
 	if err == nil && !answer.Intact(id) {
-		err = errBadAnswer
+		err = errInvalidAnswer
 	}
 	r.recordOutcome(w, call.Team, answer, err)
 	return answer, err
 }
 
-// recordOutcome tells avoidance how an attempt ended. An Unknown outcome counts as a failure,
-// because a slow target is otherwise noticed by nothing but requests that time out.
+// recordOutcome updates avoidance with the result of an attempt. An Unknown outcome counts as a
+// failure, because requests that time out are the only sign of a slow target.
 func (r *router) recordOutcome(w ledger.Worker, team string, answer request.Answer, err error) {
 	agent := incarnationOf(w)
 	switch {
 	case err == nil && answer.Leaving:
-		r.avoidance.leave(agent)
+		r.avoidance.markLeaving(agent)
 	case err == nil && answer.Outcome == request.NotRun:
-		r.avoidance.refuse(agent, team, time.Duration(answer.RetryAfterMillis)*time.Millisecond)
+		r.avoidance.markFull(agent, team, time.Duration(answer.RetryAfterMillis)*time.Millisecond)
 	case err == nil && answer.Outcome == request.Done:
-		r.avoidance.succeed(agent)
+		r.avoidance.recordSuccess(agent)
 	case err == nil:
-		r.avoidance.fail(agent)
+		r.avoidance.recordFailure(agent)
 	case !errors.Is(err, context.Canceled):
-		r.avoidance.fail(agent)
-		r.entry.parts.Telemetry.Metrics.Counter("send_failures").Inc(1)
-		r.entry.parts.Telemetry.Log.Warn().Str("step", "entry.send").Str("peer", w.Name).Err(err).Msg("agent did not answer")
+		r.avoidance.recordFailure(agent)
+		r.entry.deps.Telemetry.Metrics.Counter("send_failures").Inc(1)
+		r.entry.deps.Telemetry.Log.Warn().Str("step", "entry.send").Str("peer", w.Name).Err(err).
+			Msg("no valid answer from the agent")
 	}
 }
 
-func (r *router) count(worker string, n int) {
+func (r *router) addInflight(worker string, n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.inflight[worker] += n
--- a/sessions/entry/router_test.go
+++ b/sessions/entry/router_test.go
@@ -18,10 +18,10 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// agentFunc is a fake agent: it answers a hop, or says how the connection ends.
+// agentFunc is a fake agent. It answers a hop, or returns an error to abort the connection.
 type agentFunc func(hop request.AgentRequest) (request.Answer, error)
 
-func done(hop request.AgentRequest) (request.Answer, error) {
+func succeed(hop request.AgentRequest) (request.Answer, error) {
 	return request.Answer{ID: hop.ID, Outcome: request.Done, Body: "whole", Digest: request.DigestOf("whole")}, nil
 }
 
@@ -33,11 +33,11 @@
 	return request.Answer{}, http.ErrAbortHandler
 }
 
-// newRoutedEntry has one worker for each agent, in order; a nil agent listens nowhere. Requests
-// go to them in order too.
+// newRoutedEntry returns an entry with one worker per agent, and a function that returns the number
+// of calls of each agent. A nil agent does not listen. Requests go to the first candidate.
 func newRoutedEntry(t *testing.T, agents ...agentFunc) (e *Entry, called func() []int) {
 	t.Helper()
-	e = New(Settings{Name: "e"}, Parts{
+	e = New(Settings{Name: "e"}, Dependencies{
 		Platform:  standin.New(),
 		Client:    http.DefaultClient,
 		Telemetry: telemetry.Discard(),
@@ -89,12 +89,12 @@
 }
 
 func TestRouter(t *testing.T) {
-	crossed := func(hop request.AgentRequest) (request.Answer, error) {
+	mismatched := func(hop request.AgentRequest) (request.Answer, error) {
 		hop.ID = "another"
-		return done(hop)
+		return succeed(hop)
 	}
-	cut := func(hop request.AgentRequest) (request.Answer, error) {
-		a, _ := done(hop)
+	truncated := func(hop request.AgentRequest) (request.Answer, error) {
+		a, _ := succeed(hop)
 		a.Body = "whol"
 		return a, nil
 	}
@@ -110,27 +110,27 @@
 		want   request.Outcome
 		calls  string
 	}{
-		{"one that answers", false, []agentFunc{done, done}, request.Done, "[1 0]"},
-		{"a refusal is tried elsewhere", false, []agentFunc{refuse, done}, request.Done, "[1 1]"},
-		{"a lost connection is tried elsewhere", false, []agentFunc{reset, done}, request.Done, "[1 1]"},
+		{"one that answers", false, []agentFunc{succeed, succeed}, request.Done, "[1 0]"},
+		{"a refusal is tried elsewhere", false, []agentFunc{refuse, succeed}, request.Done, "[1 1]"},
+		{"a lost connection is tried elsewhere", false, []agentFunc{reset, succeed}, request.Done, "[1 1]"},
 		{"all refuse", false, []agentFunc{refuse, refuse}, request.NotRun, "[1 1]"},
 		{"none listens", false, []agentFunc{nil, nil}, request.NotRun, "[0 0]"},
 		{"an attempt that may have run, then a refusal", false, []agentFunc{reset, refuse}, request.Unknown, "[1 1]"},
 		{"a refusal, then an attempt that may have run", false, []agentFunc{refuse, reset}, request.Unknown, "[1 1]"},
-		{"a crossed answer is dropped", false, []agentFunc{crossed, done}, request.Done, "[1 1]"},
-		{"a cut answer is dropped", false, []agentFunc{cut, cut}, request.Unknown, "[1 1]"},
-		{"a leaving agent gets no more", false, []agentFunc{leaving, done}, request.Done, "[1 1]"},
+		{"a crossed answer is dropped", false, []agentFunc{mismatched, succeed}, request.Done, "[1 1]"},
+		{"a cut answer is dropped", false, []agentFunc{truncated, truncated}, request.Unknown, "[1 1]"},
+		{"a leaving agent gets no more", false, []agentFunc{leaving, succeed}, request.Done, "[1 1]"},
 		{"no target", false, nil, request.NotRun, "[]"},
-		{"a key goes to its own agent only", true, []agentFunc{refuse, done}, request.NotRun, "[1 0]"},
-		{"a key whose agent is lost is not tried elsewhere", true, []agentFunc{reset, done}, request.Unknown, "[1 0]"},
+		{"a key goes to its own agent only", true, []agentFunc{refuse, succeed}, request.NotRun, "[1 0]"},
+		{"a key whose agent is lost is not tried elsewhere", true, []agentFunc{reset, succeed}, request.Unknown, "[1 0]"},
 		{
 			"a key whose agent does not listen may have run through another entry",
 			true,
-			[]agentFunc{nil, done},
+			[]agentFunc{nil, succeed},
 			request.Unknown,
 			"[0 0]",
 		},
-		{"a crossed answer to a key is dropped", true, []agentFunc{crossed, done}, request.Unknown, "[1 0]"},
+		{"a crossed answer to a key is dropped", true, []agentFunc{mismatched, succeed}, request.Unknown, "[1 0]"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -148,16 +148,16 @@
 				t.Errorf("got %+v after calls %v, want %s after %s", answer, called(), tt.want, tt.calls)
 			}
 			if answer.Outcome != request.Done && answer.RetryAfterMillis == 0 {
-				t.Errorf("no time to come back: %+v", answer)
+				t.Errorf("no retry delay: %+v", answer)
 			}
 		})
 	}
 }
 
-// TestSlowTarget has a target that does not answer in time. After the first request that it
-// costs, the others go elsewhere; where all are like that, they still get what comes.
+// TestSlowTarget checks that only the first request goes to a target that does not answer in time,
+// and the others go elsewhere. If it is the only target, it still gets all requests.
 func TestSlowTarget(t *testing.T) {
-	late := func(hop request.AgentRequest) (request.Answer, error) {
+	timeOut := func(hop request.AgentRequest) (request.Answer, error) {
 		return request.UnknownAnswer(hop.ID, "no answer in time", 0), nil
 	}
 	send := func(e *Entry, n int) {
@@ -165,41 +165,41 @@
 			e.router.route(t.Context(), request.Call{Service: "s", Team: "a", DeadlineMillis: 5000})
 		}
 	}
-	e, called := newRoutedEntry(t, late, done)
+	e, called := newRoutedEntry(t, timeOut, succeed)
 	send(e, 10)
 	if got := fmt.Sprint(called()); got != "[1 10]" {
-		t.Errorf("the slow target and the good one got %s, want [1 10]: one try and its retry, then none", got)
+		t.Errorf("the slow and the healthy target got %s calls, want [1 10]: one attempt at the slow one, then none", got)
 	}
-	e, called = newRoutedEntry(t, late)
+	e, called = newRoutedEntry(t, timeOut)
 	send(e, 10)
 	if got := called()[0]; got != 10 {
-		t.Errorf("the only target got %d of 10", got)
+		t.Errorf("the only target got %d of 10 requests", got)
 	}
 }
 
-// TestLeavingAgent has an agent that answers that it leaves. It gets no further request from
-// this entry.
+// TestLeavingAgent checks that an agent that answers that it is leaving gets no further request
+// from this entry.
 func TestLeavingAgent(t *testing.T) {
 	leaving := func(hop request.AgentRequest) (request.Answer, error) {
 		return request.Answer{ID: hop.ID, Outcome: request.NotRun, Leaving: true}, nil
 	}
-	e, called := newRoutedEntry(t, leaving, done)
+	e, called := newRoutedEntry(t, leaving, succeed)
 	for range 10 {
 		e.router.route(t.Context(), request.Call{Service: "s", Team: "a", DeadlineMillis: 5000})
 	}
 	if got := fmt.Sprint(called()); got != "[1 10]" {
-		t.Errorf("the leaving agent and the other got %s, want [1 10]", got)
+		t.Errorf("the leaving agent and the other one got %s calls, want [1 10]", got)
 	}
 }
 
-// TestRegion has an agent in the entry's region and one in another. The far one gets what the
-// near one does not take.
+// TestRegion checks that a request goes to an agent in the entry's region, and to an agent in
+// another region only if the local one does not take it.
 func TestRegion(t *testing.T) {
 	for _, tt := range []struct {
-		near agentFunc
-		want string
-	}{{done, "[0 1]"}, {refuse, "[1 1]"}, {nil, "[1 0]"}} {
-		e, called := newRoutedEntry(t, done, tt.near)
+		local agentFunc
+		want  string
+	}{{succeed, "[0 1]"}, {refuse, "[1 1]"}, {nil, "[1 0]"}} {
+		e, called := newRoutedEntry(t, succeed, tt.local)
 		e.settings.Region = "north"
 		w, _ := e.replica.State().Worker("w1")
 		w.Region, w.Leaving = "north", false
@@ -213,15 +213,14 @@
 			t.Errorf("got %+v", answer)
 		}
 		if got := fmt.Sprint(called()); got != tt.want {
-			t.Errorf("the far and the near agent got %s, want %s", got, tt.want)
+			t.Errorf("the remote and the local agent got %s calls, want %s", got, tt.want)
 		}
 	}
 }
 
-// TestRetryBudget sends many requests to agents that all refuse. Retries stay a share of the
-// requests.
+// TestRetryBudget checks that retries stay a bounded share of the requests if all agents refuse.
 func TestRetryBudget(t *testing.T) {
-	// No time to come back is named, so that the agents are not left alone in between.
+	// The refusals have no retry delay, so the agents are not avoided between requests.
 	refuseNow := func(hop request.AgentRequest) (request.Answer, error) {
 		return request.NotRunAnswer(hop.ID, "full", 0), nil
 	}
@@ -231,14 +230,14 @@
 		e.router.route(t.Context(), request.Call{Service: "s", Team: "a", DeadlineMillis: 5000})
 	}
 	retries := called()[0] + called()[1] - requests
-	if limit := int(budgetCap) + requests/10; retries > limit || retries < requests/20 {
+	if limit := int(maxRetryBudget) + requests/10; retries > limit || retries < requests/20 {
 		t.Errorf("%d retries for %d requests, want at most %d", retries, requests, limit)
 	}
 }
 
-// TestBadInput sends bodies that must be refused with the name of the field.
+// TestBadInput checks that invalid requests are rejected with the name of the field at fault.
 func TestBadInput(t *testing.T) {
-	e, _ := newRoutedEntry(t, done)
+	e, _ := newRoutedEntry(t, succeed)
 	server := httptest.NewServer(e.Handler())
 	defer server.Close()
 	tests := []struct {
--- a/sessions/entry/routes.go
+++ b/sessions/entry/routes.go
@@ -20,17 +20,17 @@
 
 	// Operators.
 	r.GET("/v1/sessions", e.whenReady(e.serveSessions))
-	r.POST("/v1/sessions", e.whenReady(e.serveCreate))
+	r.POST("/v1/sessions", e.whenReady(e.serveCreateSession))
 	r.GET("/v1/sessions/:name", e.whenReady(e.serveSession))
-	r.DELETE("/v1/sessions/:name", e.whenReady(e.serveCancel))
+	r.DELETE("/v1/sessions/:name", e.whenReady(e.serveCancelSession))
 	r.GET("/v1/sessions/:name/explain", e.whenReady(e.serveExplain))
 	r.GET("/v1/teams", e.whenReady(e.serveTeams))
 	r.GET("/v1/teams/:name", e.whenReady(e.serveTeam))
 	r.GET("/v1/workers", e.whenReady(e.serveWorkers))
 	r.GET("/v1/config", e.whenReady(e.serveConfigs))
 	r.GET("/v1/config/*key", e.whenReady(e.serveConfig))
-	r.PUT("/v1/config/*key", e.whenReady(e.servePut))
-	r.POST("/v1/policies/check", e.serveCheck)
+	r.PUT("/v1/config/*key", e.whenReady(e.servePutConfig))
+	r.POST("/v1/policies/check", e.serveCheckPolicy)
 	r.GET("/v1/status", e.serveStatus)
 
 	// Agents and other entries.
@@ -41,13 +41,13 @@
 	r.GET("/internal/state", e.serveState)
 	r.GET("/internal/status", e.serveOwnStatus)
 
-	// The box's checks.
+	// Health checks and metrics.
 	r.GET("/health", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		jsonhttp.Write(w, http.StatusOK, membership.Health{Healthy: true})
 	})
 	r.GET("/ready", e.serveReady)
-	r.Handler(http.MethodGet, "/metrics", e.parts.Telemetry.MetricsHandler)
-	return e.parts.Telemetry.Handler(r)
+	r.Handler(http.MethodGet, "/metrics", e.deps.Telemetry.MetricsHandler)
+	return e.deps.Telemetry.Handler(r)
 }
 
 // whenReady rejects requests until the entry has read the ledger once.
@@ -61,7 +61,7 @@
 	}
 }
 
-// errNotReady is answered with status 503 and a Retry-After.
+// errNotReady is returned to clients with status 503 and a Retry-After header.
 var errNotReady = errors.New("this entry has not read the ledger yet")
 
 func (e *Entry) servePing(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
--- a/sessions/entry/snapshots.go
+++ b/sessions/entry/snapshots.go
@@ -7,36 +7,36 @@
 	"yarrowgrade.example/yarrowgrade/sessions/ledger"
 )
 
-// saveIfDue writes a snapshot if enough records or time have passed since the last one. The entry
-// of rank zero does it when it is due. The others wait half as long again for each rank, so that
-// they write one only if the entries before them have failed.
-func (e *Entry) saveIfDue(ctx context.Context) {
+// snapshotIfDue writes a snapshot if enough records or enough time have passed since the last one.
+// The entry of rank zero uses the limits of the settings. For each further rank the limits grow by
+// half, so that an entry writes a snapshot only if those of lower rank have failed.
+func (e *Entry) snapshotIfDue(ctx context.Context) {
 	if !e.ready.Load() {
 		return
 	}
 	state := e.replica.State()
 	revision, at := state.LastSnapshot()
-	patience := 1 + float64(e.peers.rank())/2
+	rankFactor := 1 + float64(e.peers.rank())/2
 	records := float64(state.Revision() - revision)
-	age := time.Since(e.began)
+	age := time.Since(e.createdAt)
 	if at != 0 {
 		age = ledger.Age(at, time.Now())
 	}
-	due := records >= patience*float64(e.settings.SnapshotRecords) ||
-		(records > 0 && float64(age) >= patience*float64(e.settings.SnapshotAge))
+	due := records >= rankFactor*float64(e.settings.SnapshotRecords) ||
+		(records > 0 && float64(age) >= rankFactor*float64(e.settings.SnapshotAge))
 	if !due || state.Revision() == 0 {
 		return
 	}
 	bounded, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
-	if err := ledger.WriteSnapshot(bounded, e.parts.Platform, e.settings.Name, state); err != nil {
-		e.parts.Telemetry.Log.Warn().Str("step", "entry.snapshot").Err(err).Msg("snapshot not written")
+	if err := ledger.WriteSnapshot(bounded, e.deps.Platform, e.settings.Name, state); err != nil {
+		e.deps.Telemetry.Log.Warn().Str("step", "entry.snapshot").Err(err).Msg("cannot write the snapshot")
 		return
 	}
 	_, err := e.proposer.Propose(bounded, ledger.Record{Saved: &ledger.Saved{Revision: state.Revision()}})
-	e.parts.Telemetry.Log.Info().Str("step", "entry.snapshot").Int64("revision", state.Revision()).Err(err).
+	e.deps.Telemetry.Log.Info().Str("step", "entry.snapshot").Int64("revision", state.Revision()).Err(err).
 		Msg("snapshot written")
 }
 
-// snapshotTimeout limits the writing of one snapshot.
+// snapshotTimeout bounds the writing of one snapshot.
 const snapshotTimeout = 20 * time.Second
--- a/sessions/gang/gang_test.go
+++ b/sessions/gang/gang_test.go
@@ -223,7 +223,7 @@
 			g.links[1].setCut(true)
 			g.links[2].setCut(true)
 		}},
-		{"its worker is gone", func(g *testGang) { g.platform.LoseWorker(workerName(1)) }},
+		{"its worker is gone", func(g *testGang) { g.platform.RemoveWorker(workerName(1)) }},
 		{"its platform refuses to renew", func(g *testGang) { g.frozen[1].setDown() }},
 		{"asked to stop", func(g *testGang) { g.members[1].Stop() }},
 		{"frozen while it renews, and woken later", func(g *testGang) {
--- a/sessions/gang/member.go
+++ b/sessions/gang/member.go
@@ -282,7 +282,7 @@
 	case err == nil:
 		m.taskLeaseEnd = sentAt.Add(left)
 		return true
-	case errors.Is(err, hosting.ErrGone):
+	case errors.Is(err, hosting.ErrWorkerGone):
 		return false
 	case errors.Is(err, hosting.ErrNoTask):
 		return m.isFinished(ctx)
@@ -316,7 +316,7 @@
 	m.checkpoint(ctx, finalCheckpointTimeout)
 	for ctx.Err() == nil {
 		err := m.workers.StopTask(ctx, m.spec.Worker, m.spec.Token)
-		if err == nil || errors.Is(err, hosting.ErrNoTask) || errors.Is(err, hosting.ErrGone) {
+		if err == nil || errors.Is(err, hosting.ErrNoTask) || errors.Is(err, hosting.ErrWorkerGone) {
 			m.setStatus(Stopped)
 			return
 		}
--- a/sessions/hosting/client.go
+++ b/sessions/hosting/client.go
@@ -13,7 +13,7 @@
 	"yarrowgrade.example/yarrowgrade/internal/jsonhttp"
 )
 
-// Client is a Platform reached over HTTP with JSON.
+// Client is a Platform that is accessed over HTTP with JSON.
 type Client struct {
 	address string
 	client  *http.Client
@@ -25,18 +25,18 @@
 	return &Client{address: address, client: client}
 }
 
-// AppendAnswer is the body of the answer to an append.
+// AppendAnswer is the response body of an append.
 type AppendAnswer struct {
 	Offset int64 `json:"offset"`
 }
 
-// CheckpointAnswer is the body of the answer to a checkpoint.
+// CheckpointAnswer is the response body of a checkpoint.
 type CheckpointAnswer struct {
 	Progress time.Duration `json:"progress_ns"`
 }
 
-// sentinels are the errors that are recognized by their text in an answer.
-var sentinels = []error{ErrExpired, ErrFenced, ErrNoTask, ErrGone, ErrBusy}
+// wireErrors are the errors that the client recognizes by their text in a response.
+var wireErrors = []error{ErrRecordsExpired, ErrFenced, ErrNoTask, ErrWorkerGone, ErrAcceleratorBusy}
 
 // Append implements Log.
 func (c *Client) Append(ctx context.Context, stream string, data []byte) (int64, error) {
@@ -114,9 +114,9 @@
 	if !errors.As(err, &status) {
 		return err
 	}
-	for _, sentinel := range sentinels {
-		if status.Message == sentinel.Error() {
-			return fault.New(step, c.address, sentinel)
+	for _, wireError := range wireErrors {
+		if status.Message == wireError.Error() {
+			return fault.New(step, c.address, wireError)
 		}
 	}
 	return err
--- a/sessions/hosting/golden_test.go
+++ b/sessions/hosting/golden_test.go
@@ -29,14 +29,14 @@
 	goldentest.JSON(t, "checkpoint-answer", CheckpointAnswer{Progress: time.Minute})
 }
 
-// TestGoldenErrors: these errors cross the wire by their text, and the client knows them again.
+// TestGoldenErrors checks the texts by which the client recognizes errors in responses.
 func TestGoldenErrors(t *testing.T) {
 	var texts []string
-	for _, err := range sentinels {
+	for _, err := range wireErrors {
 		texts = append(texts, err.Error())
 	}
 	goldentest.JSON(t, "errors", texts)
 	if len(texts) != 5 {
-		t.Errorf("%d errors cross the wire, want 5", len(texts))
+		t.Errorf("the client recognizes %d errors, want 5", len(texts))
 	}
 }
--- a/sessions/hosting/platform.go
+++ b/sessions/hosting/platform.go
@@ -1,16 +1,16 @@
-// Package hosting defines what the sessions need from a platform: an append-only log, a list of
-// boxes, and workers that run tasks under leases.
+// Package hosting defines the interface of the platform that sessions run on: an append-only log, a
+// list of boxes, and workers that run tasks under leases.
 //
 // There are two implementations: Client, which uses HTTP with JSON, and the in-memory platform of
-// package standin. The package owns no state; the platform does.
+// package standin. This package owns no state; all state is in the platform.
 //
 // # Usage
 //
 //	p := hosting.NewClient("http://127.0.0.1:7400", http.DefaultClient)
 //	offset, err := p.Append(ctx, hosting.LedgerStream, data)
 //
-// After an error of Append the record may have been appended, because only the answer may have been
-// lost.
+// After an error from Append the record may have been appended, because the error may only mean
+// that the response was lost.
 package hosting
 
 import (
@@ -25,18 +25,19 @@
 	SnapshotStream = "snapshot"
 )
 
-// Errors that callers distinguish. Any other error means that the platform gave no usable answer.
+// Errors that callers distinguish. Any other error means that the platform returned no usable
+// response.
 var (
-	// ErrExpired means that the log no longer has records at the offset.
-	ErrExpired = errors.New("records at this offset have expired")
+	// ErrRecordsExpired means that the log no longer keeps records at the offset.
+	ErrRecordsExpired = errors.New("records at this offset have expired")
 	// ErrFenced means that the worker has seen a newer token.
 	ErrFenced = errors.New("the token is older than one that the worker has seen")
-	// ErrNoTask means that the worker runs no task with the token.
+	// ErrNoTask means that the worker is running no task with the token.
 	ErrNoTask = errors.New("no such task")
-	// ErrGone means that the worker is no longer part of the platform.
-	ErrGone = errors.New("the worker is gone")
-	// ErrBusy means that another task still uses one of the accelerators.
-	ErrBusy = errors.New("an accelerator is held by another task")
+	// ErrWorkerGone means that the worker is no longer part of the platform.
+	ErrWorkerGone = errors.New("the worker is gone")
+	// ErrAcceleratorBusy means that another task still uses one of the accelerators.
+	ErrAcceleratorBusy = errors.New("an accelerator is held by another task")
 )
 
 // Record is one record of a stream.
@@ -48,7 +49,7 @@
 // Batch is the result of one read of a stream.
 type Batch struct {
 	Records []Record `json:"records"`
-	// Oldest is the offset of the oldest record kept, or Next if there is none.
+	// Oldest is the offset of the oldest record that is kept, or Next if there is none.
 	Oldest int64 `json:"oldest"`
 	// Next is the offset of the next append. Offsets start at 1.
 	Next int64 `json:"next"`
@@ -56,15 +57,16 @@
 
 // Log is the platform's append-only log.
 type Log interface {
-	// Append adds a record and returns its offset. After an error the record may have been added.
+	// Append appends a record and returns its offset. After an error the record may have been
+	// appended.
 	Append(ctx context.Context, stream string, data []byte) (int64, error)
-	// Read returns up to limit records from the offset on, or from the oldest record if offset is
-	// zero. If there are none, it waits up to wait for the next. It returns ErrExpired if the
-	// record at the offset is no longer kept.
+	// Read returns up to limit records, starting at offset or, if offset is zero, at the oldest
+	// record. If there are none, it waits up to wait for the next one. It returns ErrRecordsExpired
+	// if the record at offset is no longer kept.
 	Read(ctx context.Context, stream string, offset int64, limit int, wait time.Duration) (Batch, error)
 }
 
-// BoxState is the state of a box according to the platform, which may be out of date.
+// BoxState is the state of a box as the platform reports it. It may be out of date.
 type BoxState string
 
 // The states of a box.
@@ -82,7 +84,7 @@
 	TargetBox BoxRole = "target"
 )
 
-// Box is an element of the platform's list of boxes.
+// Box describes one box in the platform's list.
 type Box struct {
 	Name  string   `json:"name"`
 	Role  BoxRole  `json:"role"`
@@ -91,7 +93,7 @@
 	Address string `json:"address"`
 }
 
-// Boxes is the platform's list of live and leaving boxes, which may be out of date.
+// Boxes provides the platform's list of live and leaving boxes, which may be out of date.
 type Boxes interface {
 	Boxes(ctx context.Context) ([]Box, error)
 }
@@ -99,7 +101,7 @@
 // TaskState is the state of a task on a worker.
 type TaskState string
 
-// The states of a task. A lapsed task was stopped by the worker because its lease ended.
+// The states of a task. A lapsed task is one that the worker stopped because its lease expired.
 const (
 	TaskRunning  TaskState = "running"
 	TaskFinished TaskState = "finished"
@@ -113,7 +115,7 @@
 	Token        int64     `json:"token"`
 	Accelerators []int     `json:"accelerators"`
 	State        TaskState `json:"state"`
-	// Progress is the work done, including that of the checkpoint it started from.
+	// Progress is the completed work, including that of the checkpoint that the task started from.
 	Progress time.Duration `json:"progress_ns"`
 }
 
@@ -123,33 +125,33 @@
 	Session      string `json:"session"`
 	Token        int64  `json:"token"`
 	Accelerators []int  `json:"accelerators"`
-	// Lease is how long the task runs without a renewal.
+	// Lease is how long the task may run without a renewal.
 	Lease time.Duration `json:"lease_ns"`
-	// Work is the run time of the whole session. With zero the task runs until it is stopped.
+	// Work is the total run time of the session. If it is zero, the task runs until it is stopped.
 	Work time.Duration `json:"work_ns"`
 	// Checkpoint is the progress to continue from.
 	Checkpoint time.Duration `json:"checkpoint_ns"`
 }
 
-// Workers is the platform's control of tasks on its machines.
+// Workers starts, renews and stops tasks on the workers of the platform.
 type Workers interface {
 	// StartTask starts a task. It returns ErrFenced if the worker has seen a newer token for one of
-	// the accelerators, and ErrBusy if a running task uses one.
+	// the accelerators, and ErrAcceleratorBusy if a running task uses one of them.
 	StartTask(ctx context.Context, spec TaskSpec) error
-	// RenewTask sets the task's lease to end after the given time.
+	// RenewTask renews the task's lease, so that it expires after the given duration.
 	RenewTask(ctx context.Context, worker string, token int64, lease time.Duration) error
-	// CheckpointTask saves the task's work and returns the saved progress.
+	// CheckpointTask writes a checkpoint of the task and returns the saved progress.
 	CheckpointTask(ctx context.Context, worker string, token int64) (time.Duration, error)
 	// StopTask stops the task if it runs, and prevents later starts with the token.
 	StopTask(ctx context.Context, worker string, token int64) error
-	// Tasks returns the tasks that the worker knows.
+	// Tasks returns the tasks that the worker knows, including finished and lapsed ones.
 	Tasks(ctx context.Context, worker string) ([]Task, error)
-	// GoneWorkers returns the workers that the platform has declared gone for good. Their tasks
+	// GoneWorkers returns the workers that the platform has declared permanently gone. Their tasks
 	// have ended.
 	GoneWorkers(ctx context.Context) ([]string, error)
 }
 
-// Platform combines all parts of the platform.
+// Platform combines all interfaces of the platform.
 type Platform interface {
 	Log
 	Boxes
--- a/sessions/hosting/standin/handler.go
+++ b/sessions/hosting/standin/handler.go
@@ -14,37 +14,37 @@
 	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 )
 
-// maxRecordBytes bounds one record of the log.
+// maxRecordBytes is the maximum size of a record of the log.
 const maxRecordBytes = 1 << 20
 
-// Handler serves p over HTTP, in the form that hosting.Client speaks.
+// Handler serves p over HTTP with the protocol of hosting.Client.
 func Handler(p *Platform) http.Handler {
 	r := httprouter.New()
 	r.POST("/log/:stream", p.serveAppend)
 	r.GET("/log/:stream", p.serveRead)
 	r.GET("/boxes", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 		boxes, err := p.Boxes(r.Context())
-		answer(w, boxes, err)
+		writeResult(w, boxes, err)
 	})
 	r.GET("/gone", func(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 		names, err := p.GoneWorkers(r.Context())
-		answer(w, names, err)
+		writeResult(w, names, err)
 	})
 	r.GET("/workers/:worker/tasks", func(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
 		tasks, err := p.Tasks(r.Context(), ps.ByName("worker"))
-		answer(w, tasks, err)
+		writeResult(w, tasks, err)
 	})
 	r.POST("/workers/:worker/tasks", p.serveStart)
 	r.POST("/workers/:worker/tasks/:token/renew", func(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
-		lease := time.Duration(number(r.URL.Query().Get("lease_ms"))) * time.Millisecond
-		answer(w, struct{}{}, p.RenewTask(r.Context(), ps.ByName("worker"), number(ps.ByName("token")), lease))
+		lease := time.Duration(parseNumber(r.URL.Query().Get("lease_ms"))) * time.Millisecond
+		writeResult(w, struct{}{}, p.RenewTask(r.Context(), ps.ByName("worker"), parseNumber(ps.ByName("token")), lease))
 	})
 	r.POST("/workers/:worker/tasks/:token/checkpoint", func(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
-		progress, err := p.CheckpointTask(r.Context(), ps.ByName("worker"), number(ps.ByName("token")))
-		answer(w, hosting.CheckpointAnswer{Progress: progress}, err)
+		progress, err := p.CheckpointTask(r.Context(), ps.ByName("worker"), parseNumber(ps.ByName("token")))
+		writeResult(w, hosting.CheckpointAnswer{Progress: progress}, err)
 	})
 	r.DELETE("/workers/:worker/tasks/:token", func(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
-		answer(w, struct{}{}, p.StopTask(r.Context(), ps.ByName("worker"), number(ps.ByName("token"))))
+		writeResult(w, struct{}{}, p.StopTask(r.Context(), ps.ByName("worker"), parseNumber(ps.ByName("token"))))
 	})
 	return r
 }
@@ -52,32 +52,33 @@
 func (p *Platform) serveAppend(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRecordBytes))
 	if err != nil {
-		answer(w, nil, err)
+		writeResult(w, nil, err)
 		return
 	}
 	offset, err := p.Append(r.Context(), ps.ByName("stream"), data)
-	answer(w, hosting.AppendAnswer{Offset: offset}, err)
+	writeResult(w, hosting.AppendAnswer{Offset: offset}, err)
 }
 
 func (p *Platform) serveRead(w http.ResponseWriter, r *http.Request, ps httprouter.Params) {
 	query := r.URL.Query()
-	wait := time.Duration(number(query.Get("wait_ms"))) * time.Millisecond
-	offset, limit := number(query.Get("offset")), int(number(query.Get("limit")))
+	wait := time.Duration(parseNumber(query.Get("wait_ms"))) * time.Millisecond
+	offset, limit := parseNumber(query.Get("offset")), int(parseNumber(query.Get("limit")))
 	batch, err := p.Read(r.Context(), ps.ByName("stream"), offset, limit, wait)
-	answer(w, batch, err)
+	writeResult(w, batch, err)
 }
 
 func (p *Platform) serveStart(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var spec hosting.TaskSpec
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRecordBytes)).Decode(&spec); err != nil {
-		answer(w, nil, err)
+		writeResult(w, nil, err)
 		return
 	}
-	answer(w, struct{}{}, p.StartTask(r.Context(), spec))
+	writeResult(w, struct{}{}, p.StartTask(r.Context(), spec))
 }
 
-// number parses a decimal number. Anything else is zero, which all calls refuse or treat as unset.
-func number(text string) int64 {
+// parseNumber parses a decimal number. It returns zero for anything else, which all calls reject or
+// treat as unset.
+func parseNumber(text string) int64 {
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
 		return 0
@@ -85,13 +86,13 @@
 	return n
 }
 
-func answer(w http.ResponseWriter, value any, err error) {
+func writeResult(w http.ResponseWriter, value any, err error) {
 	if err == nil {
 		jsonhttp.Write(w, http.StatusOK, value)
 		return
 	}
 	status := http.StatusConflict
-	if errors.Is(err, ErrDown) || errors.Is(err, ErrLost) {
+	if errors.Is(err, ErrDown) || errors.Is(err, ErrAnswerLost) {
 		status = http.StatusServiceUnavailable
 	}
 	jsonhttp.Write(w, status, jsonhttp.ErrorBody{Error: err.Error()})
--- a/sessions/hosting/standin/standin.go
+++ b/sessions/hosting/standin/standin.go
@@ -1,8 +1,8 @@
 // Package standin is a small in-memory platform for sessions, for tests and for `yarrowgraded dev`.
 //
-// It keeps streams, boxes and workers, and can be told to fail: to be down or slow, to lose the
-// answer of an append that took effect, to drop old records, and to list boxes that are not there.
-// It simulates no network, no timing and no load.
+// It keeps streams, boxes and workers, and can inject faults: an unavailable or slow log, a lost
+// response to an append that took effect, expired records, and listed boxes that do not exist. It
+// does not simulate network, timing or load.
 //
 // # Usage
 //
@@ -22,23 +22,23 @@
 	"yarrowgrade.example/yarrowgrade/sessions/hosting"
 )
 
-// Errors of the faults.
+// Errors that the injected faults cause.
 var (
-	// ErrDown is returned by all calls to the log while it is down.
+	// ErrDown is returned by all calls to the log while Faults.Down is set.
 	ErrDown = errors.New("the log is down")
-	// ErrLost is returned by an append that took effect but whose answer was lost.
-	ErrLost = errors.New("the answer was lost")
+	// ErrAnswerLost is returned by an append that took effect but whose response was lost.
+	ErrAnswerLost = errors.New("the answer was lost")
 )
 
-// Faults are the faults of a platform. The zero value is a healthy one.
+// Faults are the faults to inject. The zero value injects none.
 type Faults struct {
 	// Down makes every call to the log fail.
 	Down bool
-	// LoseAnswers is the number of next appends that take effect and return ErrLost.
+	// LoseAnswers is how many of the next appends take effect but return ErrAnswerLost.
 	LoseAnswers int
-	// Delay is added to each append, before it takes effect.
+	// Delay is how long each append waits before it takes effect.
 	Delay time.Duration
-	// Retention is how many records of a stream are kept. Zero keeps all.
+	// Retention is the number of records that each stream keeps. Zero means no limit.
 	Retention int
 }
 
@@ -56,10 +56,10 @@
 }
 
 type worker struct {
-	gone   bool
-	tasks  map[int64]*task
-	fences map[int]int64
-	barred map[int64]bool
+	gone          bool
+	tasks         map[int64]*task
+	fences        map[int]int64
+	stoppedTokens map[int64]bool
 }
 
 // Platform is an in-memory hosting.Platform.
@@ -82,15 +82,15 @@
 	}
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (p *Platform) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
-	p.wake()
+	p.notifyReaders()
 }
 
-// SetBox adds or replaces a box of the list.
+// SetBox adds a box to the list or replaces it.
 func (p *Platform) SetBox(b hosting.Box) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,8 +104,8 @@
 	delete(p.boxes, name)
 }
 
-// LoseWorker ends a worker's tasks and declares the worker gone.
-func (p *Platform) LoseWorker(name string) {
+// RemoveWorker ends the tasks of a worker and declares the worker gone.
+func (p *Platform) RemoveWorker(name string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	w := p.worker(name)
@@ -113,8 +113,8 @@
 	w.tasks = make(map[int64]*task)
 }
 
-// wake lets waiting readers look again. The lock must be held.
-func (p *Platform) wake() {
+// notifyReaders wakes waiting readers to read again. The caller must hold p.mu.
+func (p *Platform) notifyReaders() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -130,7 +130,7 @@
 
 // Append implements hosting.Log.
 func (p *Platform) Append(ctx context.Context, name string, data []byte) (int64, error) {
-	if err := p.delay(ctx); err != nil {
+	if err := p.applyDelay(ctx); err != nil {
 		return 0, err
 	}
 	p.mu.Lock()
@@ -146,15 +146,15 @@
 		s.records = slices.Clone(s.records[drop:])
 		s.first += int64(drop)
 	}
-	p.wake()
+	p.notifyReaders()
 	if p.faults.LoseAnswers > 0 {
 		p.faults.LoseAnswers--
-		return 0, ErrLost
+		return 0, ErrAnswerLost
 	}
 	return offset, nil
 }
 
-func (p *Platform) delay(ctx context.Context) error {
+func (p *Platform) applyDelay(ctx context.Context) error {
 	p.mu.Lock()
 	delay := p.faults.Delay
 	p.mu.Unlock()
@@ -208,7 +208,7 @@
 		offset = s.first
 	}
 	if offset < s.first {
-		return batch, nil, hosting.ErrExpired
+		return batch, nil, hosting.ErrRecordsExpired
 	}
 	for o := offset; o < next && len(batch.Records) < limit; o++ {
 		batch.Records = append(batch.Records, hosting.Record{Offset: o, Data: s.records[o-s.first]})
--- a/sessions/hosting/standin/workers.go
+++ b/sessions/hosting/standin/workers.go
@@ -12,14 +12,15 @@
 func (p *Platform) worker(name string) *worker {
 	w, found := p.workers[name]
 	if !found {
-		w = &worker{tasks: make(map[int64]*task), fences: make(map[int]int64), barred: make(map[int64]bool)}
+		w = &worker{tasks: make(map[int64]*task), fences: make(map[int]int64), stoppedTokens: make(map[int64]bool)}
 		p.workers[name] = w
 	}
 	return w
 }
 
-// settle ends a task whose work is done or whose lease has expired.
-func (t *task) settle(now time.Time) {
+// updateState ends a running task if its work is done or its lease has expired, and updates its
+// progress.
+func (t *task) updateState(now time.Time) {
 	if t.State != hosting.TaskRunning {
 		return
 	}
@@ -41,11 +42,11 @@
 func (p *Platform) liveWorker(name string) (*worker, error) {
 	w := p.worker(name)
 	if w.gone {
-		return nil, hosting.ErrGone
+		return nil, hosting.ErrWorkerGone
 	}
 	now := time.Now()
 	for _, t := range w.tasks {
-		t.settle(now)
+		t.updateState(now)
 	}
 	return w, nil
 }
@@ -61,7 +62,7 @@
 	if _, found := w.tasks[spec.Token]; found {
 		return nil
 	}
-	if err := w.refuses(spec); err != nil {
+	if err := w.checkStart(spec); err != nil {
 		return err
 	}
 	for _, a := range spec.Accelerators {
@@ -83,9 +84,9 @@
 	return nil
 }
 
-// refuses returns why the worker must not start the task, or nil.
-func (w *worker) refuses(spec hosting.TaskSpec) error {
-	if w.barred[spec.Token] {
+// checkStart returns an error if the worker must not start the task.
+func (w *worker) checkStart(spec hosting.TaskSpec) error {
+	if w.stoppedTokens[spec.Token] {
 		return hosting.ErrFenced
 	}
 	for _, a := range spec.Accelerators {
@@ -96,7 +97,7 @@
 	wanted := func(a int) bool { return slices.Contains(spec.Accelerators, a) }
 	for _, t := range w.tasks {
 		if t.State == hosting.TaskRunning && slices.ContainsFunc(t.Accelerators, wanted) {
-			return hosting.ErrBusy
+			return hosting.ErrAcceleratorBusy
 		}
 	}
 	return nil
@@ -148,7 +149,7 @@
 	if err != nil {
 		return err
 	}
-	w.barred[token] = true
+	w.stoppedTokens[token] = true
 	delete(w.tasks, token)
 	return nil
 }
--- a/sessions/ledger/follower.go
+++ b/sessions/ledger/follower.go
@@ -112,7 +112,7 @@
 // it asks the peers for a newer state.
 func (f *Follower) recover(ctx context.Context, out chan<- Update, err error) {
 	send(ctx, out, Update{Err: err})
-	if errors.Is(err, hosting.ErrExpired) {
+	if errors.Is(err, hosting.ErrRecordsExpired) {
 		f.loadSnapshot(ctx, out)
 	}
 	if s, found := f.peers.NewerState(ctx, f.next-1); found {
--- a/sessions/oracle/plan_test.go
+++ b/sessions/oracle/plan_test.go
@@ -269,7 +269,7 @@
 	}
 	x.lostWorkers[st.A] = true
 	x.killAgent(st.A)
-	x.platform.LoseWorker(workerName(st.A))
+	x.platform.RemoveWorker(workerName(st.A))
 }
 
 // leave shuts an agent down gracefully and starts a replacement.
--- a/sessions/oracle/system_test.go
+++ b/sessions/oracle/system_test.go
@@ -134,7 +134,7 @@
 		}
 	}
 	c := s.network.Client(address)
-	e := entry.New(settings, entry.Parts{
+	e := entry.New(settings, entry.Dependencies{
 		Platform:  hosting.NewClient(platformAddress, c),
 		Client:    c,
 		Telemetry: telemetry.Discard(),
@@ -182,7 +182,7 @@
 		settings.Entries = append(settings.Entries, entryAddress(j))
 	}
 	c := s.network.Client(address)
-	a := agent.New(settings, agent.Parts{
+	a := agent.New(settings, agent.Dependencies{
 		Target:    s.targets[i],
 		Platform:  hosting.NewClient(platformAddress, c),
 		Client:    c,
