--- a/cmd/soak/endings_test.go
+++ b/cmd/soak/endings_test.go
@@ -134,7 +134,7 @@
 					cluster: &cluster{platform: &standin.Platform{Workers: workers}},
 					callers: newCallers(&cluster{}, nil, false, nil),
 				}
-				state, _ := w.Beat()
+				state, _ := w.Heartbeat()
 				for i := range test.runs {
 					run := assignment.Start{RunID: assignment.RunID{Task: job.TaskName{Job: id, Index: i}, Run: 1}}
 					if _, err := w.Start(ctx, runner.Order{Incarnation: state.ID, Fence: 1}, run, time.Minute.Milliseconds()); err != nil {
--- a/cmd/soak/faults.go
+++ b/cmd/soak/faults.go
@@ -262,7 +262,7 @@
 		inject func()
 	}{
 		{"crashes", func() { w.Crash(length) }},
-		{"leaves", func() { w.Leave(length) }},
+		{"leaves", func() { w.Drain(length) }},
 		{"is silent", func() {
 			w.SetUnreachable(true)
 			s.endAfter(length, func() { w.SetUnreachable(false) })
--- a/docs/decisions_test.go
+++ b/docs/decisions_test.go
@@ -1,4 +1,4 @@
-// Package docs_test checks that the pages name code that exists.
+// Package docs_test checks that the names of code on the documentation pages exist.
 package docs_test
 
 import (
@@ -12,12 +12,13 @@
 	"testing"
 )
 
-// quoted finds what stands in backquotes.
-var quoted = regexp.MustCompile("`([^`]+)`")
+// backquoted matches text in backquotes.
+var backquoted = regexp.MustCompile("`([^`]+)`")
 
-// TestDecisions: each file, function and constant that the page of decisions names exists, so that a rename can't leave the page behind.
-// A line "- Where:" names files and then functions of the packages of these files; "- Constants:" names constants, variables
-// or fields of the same packages, or of those of files that it names.
+// TestDecisions checks that each file, function and constant that DECISIONS.md names exists, so
+// that a rename cannot leave the page behind. A line "- Where:" names files, followed by functions
+// of the packages of these files. A line "- Constants:" names constants, variables or fields of the
+// same packages, or of the packages of files that it names.
 func TestDecisions(t *testing.T) {
 	page, err := os.ReadFile("DECISIONS.md")
 	if err != nil {
@@ -32,42 +33,42 @@
 			rule, declared = strings.TrimSpace(line[4:]), nil
 		case strings.HasPrefix(line, "- Where:"):
 			declared = map[string]bool{}
-			for _, name := range names(line) {
+			for _, name := range backquotedNames(line) {
 				if strings.Contains(name, "/") {
-					declare(t, rule, name, declared)
+					addDeclared(t, rule, name, declared)
 				} else if !declared[name] {
-					t.Errorf("%s: there is no %s", rule, name)
+					t.Errorf("%s: %s does not exist", rule, name)
 				}
 			}
 		case strings.HasPrefix(line, "- Constants:"):
-			for _, name := range names(line) {
+			for _, name := range backquotedNames(line) {
 				if strings.Contains(name, "/") {
-					declare(t, rule, name, declared)
+					addDeclared(t, rule, name, declared)
 				} else if !declared[name] {
-					t.Errorf("%s: there is no constant %s", rule, name)
+					t.Errorf("%s: constant %s does not exist", rule, name)
 				}
 			}
 		}
 	}
 	if rules < 20 {
-		t.Errorf("the page has %d rules; the check looks in the wrong place", rules)
+		t.Errorf("the page has %d rules, want at least 20: the check does not recognize them", rules)
 	}
 }
 
-// names returns what a line has in backquotes.
-func names(line string) []string {
+// backquotedNames returns the texts in backquotes of a line.
+func backquotedNames(line string) []string {
 	var list []string
-	for _, m := range quoted.FindAllStringSubmatch(line, -1) {
+	for _, m := range backquoted.FindAllStringSubmatch(line, -1) {
 		list = append(list, m[1])
 	}
 	return list
 }
 
-// declare adds what the package of a file declares: Name, Type.Method and Type.Field.
-func declare(t *testing.T, rule, file string, declared map[string]bool) {
+// addDeclared adds the declarations of the package of a file: Name, Type.Method and Type.Field.
+func addDeclared(t *testing.T, rule, file string, declared map[string]bool) {
 	t.Helper()
 	if _, err := os.Stat(filepath.Join("..", file)); err != nil {
-		t.Errorf("%s: there is no file %s", rule, file)
+		t.Errorf("%s: file %s does not exist", rule, file)
 		return
 	}
 	sources, err := filepath.Glob(filepath.Join("..", filepath.Dir(file), "*.go"))
@@ -75,36 +76,36 @@
 		t.Fatal(err)
 	}
 	for _, source := range sources {
-		if err := declareFile(source, declared); err != nil {
+		if err := addDeclaredInFile(source, declared); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// declareFile adds what a file of Go declares.
-func declareFile(path string, declared map[string]bool) error {
+// addDeclaredInFile adds the declarations of a Go file.
+func addDeclaredInFile(path string, declared map[string]bool) error {
 	parsed, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	if err != nil {
 		return err
 	}
 	for _, d := range parsed.Decls {
-		declareOne(d, declared)
+		addDeclaration(d, declared)
 	}
 	return nil
 }
 
-func declareOne(d ast.Decl, declared map[string]bool) {
+func addDeclaration(d ast.Decl, declared map[string]bool) {
 	switch d := d.(type) {
 	case *ast.FuncDecl:
 		declared[receiver(d)+d.Name.Name] = true
 	case *ast.GenDecl:
 		for _, spec := range d.Specs {
-			declareSpec(spec, declared)
+			addSpec(spec, declared)
 		}
 	}
 }
 
-func declareSpec(spec ast.Spec, declared map[string]bool) {
+func addSpec(spec ast.Spec, declared map[string]bool) {
 	switch s := spec.(type) {
 	case *ast.ValueSpec:
 		for _, name := range s.Names {
@@ -129,7 +130,8 @@
 	}
 }
 
-// receiver is the type of a method and a dot, or nothing for a function.
+// receiver returns the type name of a method's receiver followed by a dot, or an empty string for a
+// function.
 func receiver(d *ast.FuncDecl) string {
 	if d.Recv == nil {
 		return ""
--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -9,36 +9,40 @@
 	"testing"
 )
 
-// current are the pages that say what is there today; TestDecisions looks at DECISIONS.md. Accounts of earlier work name the code of their time.
-var current = []string{
+// currentPages are the pages that describe the current state; TestDecisions checks DECISIONS.md.
+// Pages about earlier work name the code of their time.
+var currentPages = []string{
 	"ARCHITECTURE.md", "CAPACITY.md", "CONFIGURATION.md", "DESIGN.md", "GLOSSARY.md", "INTERFACES.md", "INVARIANTS.md",
 	"MEASUREMENTS.md", "OPEN.md", "OPERATIONS.md", "../README.md", "../CONTRIBUTING.md",
 }
 
-// qualified finds names such as leader.Timing, directory.Leader.Incarnation and jobtest.TestSystem.
-var qualified = regexp.MustCompile(`^([a-z]\w*)\.([A-Za-z]\w*(?:\.[A-Za-z]\w*)?)$`)
+// qualifiedName matches names such as leader.Timing, directory.Leader.Incarnation and
+// jobtest.TestSystem.
+var qualifiedName = regexp.MustCompile(`^([a-z]\w*)\.([A-Za-z]\w*(?:\.[A-Za-z]\w*)?)$`)
 
-// TestNames: each name of code that a current page puts in backquotes, with its package before it, is declared there.
+// TestNames checks that each qualified name in backquotes on a current page is declared in its
+// package.
 func TestNames(t *testing.T) {
 	packages := declaredByPackage(t)
-	for _, page := range current {
+	for _, page := range currentPages {
 		text, err := os.ReadFile(page)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, name := range names(string(text)) {
-			m := qualified.FindStringSubmatch(strings.TrimSuffix(name, "()"))
+		for _, name := range backquotedNames(string(text)) {
+			m := qualifiedName.FindStringSubmatch(strings.TrimSuffix(name, "()"))
 			if m == nil || packages[m[1]] == nil {
 				continue
 			}
 			if !packages[m[1]][m[2]] && filepath.Ext(name) != ".go" {
-				t.Errorf("%s: there is no %s", page, name)
+				t.Errorf("%s: %s does not exist", page, name)
 			}
 		}
 	}
 }
 
-// declaredByPackage returns what each package of the module declares, in its tests too, by the name of its folder.
+// declaredByPackage returns the declarations of each package of the module, including those in its
+// tests, by the name of the package's folder.
 func declaredByPackage(t *testing.T) map[string]map[string]bool {
 	t.Helper()
 	packages := map[string]map[string]bool{}
@@ -51,7 +55,7 @@
 			if packages[name] == nil {
 				packages[name] = map[string]bool{}
 			}
-			return declareFile(path, packages[name])
+			return addDeclaredInFile(path, packages[name])
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/e2e/capacity_agent_test.go
+++ b/e2e/capacity_agent_test.go
@@ -21,8 +21,8 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// BenchmarkAgent measures one agent, in a process of its own: idle, and as the leader of a gang of
-// 2, 16 and 64.
+// BenchmarkAgent measures one agent that runs in its own process: idle, and as the leader of a gang
+// of 2, 16 and 64 members.
 func BenchmarkAgent(b *testing.B) {
 	for _, members := range []int{1, 2, 16, 64} {
 		b.Run(fmt.Sprintf("gang=%d", members), func(b *testing.B) {
@@ -33,8 +33,8 @@
 	}
 }
 
-// measureLeader runs the leader of a gang in its own process, and beats for the other members from
-// here.
+// measureLeader runs the leader of a gang in its own process, and sends the heartbeats of the other
+// members from this process.
 func measureLeader(b *testing.B, members int) {
 	p := standin.New()
 	server := httptest.NewServer(standin.Handler(p))
@@ -57,11 +57,11 @@
 		b:        b,
 		platform: p,
 		entries:  []*process{e},
-		client:   client.New(e.address, &http.Client{Timeout: patience}),
+		client:   client.New(e.address, &http.Client{Timeout: waitTimeout}),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
-	beats := countedClient(&bytes)
+	beats := countingClient(&bytes)
 	for i := range members - 1 {
 		go newMember(i, e.address, p, beats).Run(ctx)
 	}
@@ -95,7 +95,7 @@
 	})
 }
 
-// newMember returns an agent of one accelerator that is a member of the gang.
+// newMember returns an agent with one accelerator that is a member of the gang.
 func newMember(i int, entry string, p *standin.Platform, client *http.Client) *agent.Agent {
 	return agent.New(agent.Settings{
 		Worker: ledger.Worker{
@@ -111,8 +111,8 @@
 	}, agent.Dependencies{Platform: p, Client: client, Telemetry: telemetry.Discard(), Random: rand.IntN})
 }
 
-// BenchmarkKey compares what a request costs without a key, with one, and with the key's own round
-// trip.
+// BenchmarkKey compares the cost of a request without a key, with a key, including the round trip
+// to get it, and with a claim that is written to the log instead.
 func BenchmarkKey(b *testing.B) {
 	c := newCluster(b)
 	c.putTeam(plates)
@@ -137,8 +137,8 @@
 		}
 	})
 	b.Run("claim-in-log", func(b *testing.B) {
-		// What a claim in the log would add at least: one append that is read back. The stand-in's
-		// log has no delay.
+		// This is the least that a claim in the log would add: one append that is read back. The
+		// stand-in's log has no delay.
 		log := hosting.NewClient(c.platformURL, http.DefaultClient)
 		for b.Loop() {
 			offset, err := log.Append(context.Background(), "claims", []byte("x"))
--- a/e2e/cli_test.go
+++ b/e2e/cli_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// runProgram runs a program to its end and returns its exit code and output.
+// runProgram runs a program to completion and returns its exit code and output.
 func runProgram(t *testing.T, name string, args ...string) (int, string) {
 	t.Helper()
 	cmd := exec.CommandContext(t.Context(), filepath.Join(binaries, name), args...)
@@ -22,7 +22,8 @@
 	return cmd.ProcessState.ExitCode(), out.String()
 }
 
-// TestBadSettings: a daemon with an invalid setting names it and what is valid.
+// TestBadSettings checks that a daemon with an invalid setting names the setting and its valid
+// values.
 func TestBadSettings(t *testing.T) {
 	entry := []string{"entry", "--name", "e", "--zone", "z", "--platform", "http://127.0.0.1:1"}
 	agent := []string{
@@ -111,6 +112,6 @@
 	}
 	code, out := runProgram(t, "yarrowgrade", "--entry", "http://127.0.0.1:1", "status")
 	if code != 1 || !strings.Contains(out, "client.Status (peer http://127.0.0.1:1)") {
-		t.Errorf("an entry that does not listen: exit %d:\n%s", code, out)
+		t.Errorf("status of an entry that does not listen: exit %d:\n%s", code, out)
 	}
 }
--- a/e2e/cluster_test.go
+++ b/e2e/cluster_test.go
@@ -25,32 +25,33 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// patience bounds every wait. It is far longer than any step takes, so that no result depends on
-// the machine's speed.
-const patience = 60 * time.Second
+// waitTimeout bounds every wait. It is far longer than any step takes, so that no result depends on
+// the speed of the machine.
+const waitTimeout = 60 * time.Second
 
-// binaries is where TestMain built the programs.
+// binaries is the directory in which TestMain built the programs.
 var binaries string
 
 func TestMain(m *testing.M) { os.Exit(loopbacktest.Run(m, &binaries)) }
 
-// process is one program that the test started.
+// process is a program that the test started.
 type process struct {
 	*loopback.Process
 	t       testing.TB
 	name    string
 	address string
-	// inbound carries what others send to the process, platform what it sends to the platform.
+	// inbound carries the traffic that others send to the process; platform carries the traffic
+	// from the process to the platform.
 	inbound, platform *loopback.Link
 }
 
-// newProcess returns a process of the daemon, with its log in a file.
+// newProcess returns a process of the daemon that logs to a file.
 func newProcess(t testing.TB, name, address, log string, args ...string) *process {
 	path := filepath.Join(binaries, "yarrowgraded")
 	return &process{Process: &loopback.Process{Path: path, Args: args, Log: log}, t: t, name: name, address: address}
 }
 
-// start starts the program, also after it has ended.
+// start starts the program, or restarts it after it has ended.
 func (p *process) start() {
 	p.t.Helper()
 	if err := p.Start(); err != nil {
@@ -65,10 +66,10 @@
 	}
 }
 
-// kill ends the process at once.
+// kill kills the process at once.
 func (p *process) kill() { p.Kill() }
 
-// newLink returns a link that ends with the test.
+// newLink returns a link that is closed at the end of the test.
 func newLink(t testing.TB) *loopback.Link {
 	t.Helper()
 	l, err := loopback.NewLink()
@@ -79,13 +80,13 @@
 	return l
 }
 
-// target is a target that records what it runs.
+// target is a target that counts the requests that it runs.
 type target struct {
 	server *httptest.Server
 	mu     sync.Mutex
-	// runs counts how often each body arrived.
+	// runs counts the requests by body.
 	runs map[string]int
-	// hold, if not nil, delays requests until it is closed.
+	// hold, if not nil, blocks requests until it is closed.
 	hold chan struct{}
 }
 
@@ -113,7 +114,7 @@
 	targets     []*target
 }
 
-// The cluster.
+// Parameters of the cluster.
 const (
 	entryCount   = 2
 	agentCount   = 6
@@ -121,19 +122,20 @@
 	service      = "parkpay"
 )
 
-// newCluster starts the processes and waits until all agents have joined. extra flags go to the
-// agents. All traffic between processes, and to the platform, goes through links that can be cut;
-// the test itself calls the processes directly.
+// newCluster starts the processes and waits until all agents have joined. extra flags are passed to
+// the agents. All traffic between processes, and to the platform, goes through links that can be
+// cut; the test itself calls the processes directly.
 func newCluster(t testing.TB, extra ...string) *cluster {
 	t.Helper()
-	// This folder must be removed after stop has read the logs in it, so it is created first.
+	// The log directory must be removed after stop has read the logs in it, so it is created first:
+	// cleanups run in reverse order.
 	c := &cluster{t: t, platform: standin.New(), logs: t.TempDir()}
 	server := httptest.NewServer(standin.Handler(c.platform))
 	c.platformURL = server.URL
 	t.Cleanup(server.Close)
 	t.Cleanup(c.stop)
-	// The servers of the test listen before free addresses are searched, so that they don't take
-	// one of these.
+	// The servers of the test start to listen before free addresses are picked, so that they do not
+	// take one of those addresses.
 	for range agentCount {
 		tg := &target{runs: make(map[string]int)}
 		tg.server = httptest.NewServer(tg)
@@ -161,7 +163,7 @@
 	return c
 }
 
-// startAll starts the entries and agents. extra flags go to the agents.
+// startAll starts the entries and agents. extra flags are passed to the agents.
 func (c *cluster) startAll(addresses []string, inbound, outbound []*loopback.Link, extra []string) {
 	for i := range entryCount {
 		name, peer := fmt.Sprintf("entry-%d", i+1), inbound[(i+1)%entryCount].URL()
@@ -188,7 +190,7 @@
 	return p
 }
 
-// stop ends all processes, and logs their logs if the test failed.
+// stop kills all processes, and prints their logs if the test failed.
 func (c *cluster) stop() {
 	for _, p := range append(c.entries, c.agents...) {
 		p.kill()
@@ -209,13 +211,13 @@
 }
 
 func (c *cluster) client(entry int) *client.Client {
-	return client.New(c.entries[entry].address, &http.Client{Timeout: patience})
+	return client.New(c.entries[entry].address, &http.Client{Timeout: waitTimeout})
 }
 
-// eventually waits until ok, and fails the test if that takes longer than patience.
+// eventually waits until ok returns true, and fails the test after waitTimeout.
 func (c *cluster) eventually(what string, ok func() bool) {
 	c.t.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); {
 		if ok() {
 			return
 		}
@@ -225,7 +227,7 @@
 			return
 		}
 	}
-	c.t.Fatalf("not in %v: %s", patience, what)
+	c.t.Fatalf("not within %v: %s", waitTimeout, what)
 }
 
 func (c *cluster) putTeam(team ledger.Team) {
@@ -235,7 +237,7 @@
 	}
 }
 
-// createGang creates a session of 16 adjacent accelerators and waits until it runs.
+// createGang creates a session of 16 accelerators in one rack and waits until it runs.
 func (c *cluster) createGang(name string) ledger.Placement {
 	c.t.Helper()
 	_, err := c.client(0).CreateSession(c.t.Context(), ledger.SessionSpec{
@@ -247,7 +249,7 @@
 	return c.awaitRunning(name, 0)
 }
 
-// createUrgent creates an urgent session of one worker.
+// createUrgent creates an urgent session on one worker.
 func (c *cluster) createUrgent(at *client.Client, name string) {
 	c.t.Helper()
 	_, err := at.CreateSession(c.t.Context(), ledger.SessionSpec{
@@ -261,7 +263,7 @@
 	}
 }
 
-// awaitRunning waits until the session runs under a placement newer than the token.
+// awaitRunning waits until the session runs under a placement with a token above newerThan.
 func (c *cluster) awaitRunning(name string, newerThan int64) ledger.Placement {
 	c.t.Helper()
 	var p ledger.Placement
@@ -271,7 +273,8 @@
 	c.eventually(what, func() bool {
 		for i := range c.entries {
 			v, err := c.client(i).Session(c.t.Context(), name)
-			if err != nil || v.Placement == nil || v.Placement.Phase != ledger.Running || v.Placement.Token <= newerThan {
+			if err != nil || v.Placement == nil || v.Placement.Phase != ledger.Running ||
+				v.Placement.Token <= newerThan {
 				continue
 			}
 			p = *v.Placement
@@ -282,7 +285,7 @@
 	return p
 }
 
-// tasks counts the workers that run a task of the token.
+// tasks returns the number of workers that run a task of the token.
 func (c *cluster) tasks(token int64) int {
 	n := 0
 	for _, a := range c.agents {
@@ -320,7 +323,7 @@
 	return n
 }
 
-// holdAll delays the requests at all targets until release is called.
+// holdAll blocks the requests at all targets until release is called.
 func (c *cluster) holdAll() (release func()) {
 	hold := make(chan struct{})
 	for _, tg := range c.targets {
--- a/e2e/cut_test.go
+++ b/e2e/cut_test.go
@@ -10,19 +10,20 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// TestCutFromLog cuts each entry in turn off the platform, while it still reaches the agents. What
-// runs goes on, both entries serve requests and payments, and sessions are placed by the other one.
-// What that one accepted is in force for the cut one at the latest when the cut ends.
+// TestCutFromLog cuts each entry in turn off from the platform, while it still reaches the agents.
+// Running tasks continue, both entries serve requests and payments, and the other entry places
+// sessions. The changes that the other entry accepted take effect at the cut entry at the latest
+// when the cut ends.
 func TestCutFromLog(t *testing.T) {
-	c := newCluster(t, fast...)
+	c := newCluster(t, fastGangTiming...)
 	c.putTeam(plates)
 	p := c.createGang("rebuild")
 	all := []string{"rebuild"}
 	for i := range c.entries {
 		cut, other := c.entries[i], c.client(1-i)
 		cut.platform.Cut()
-		// Two sessions on workers of their own: often one of their agents polls the entry that is
-		// cut.
+		// The two sessions run on different workers, so it is likely that the agent of one of them
+		// polls the entry that is cut off.
 		names := []string{fmt.Sprintf("swap-%d-a", i), fmt.Sprintf("swap-%d-b", i)}
 		for _, name := range names {
 			c.createUrgent(other, name)
@@ -37,10 +38,10 @@
 			c.payOnce(t, e)
 		}
 		if n := c.tasks(p.Token); n != len(p.Members) {
-			t.Errorf("%d of %d tasks run while an entry is cut off the log", n, len(p.Members))
+			t.Errorf("%d of %d tasks run while an entry is cut off from the log", n, len(p.Members))
 		}
 		cut.platform.Heal()
-		c.eventually("the entry has read on", func() bool {
+		c.eventually("the entry has caught up with the log", func() bool {
 			v, err := c.client(i).Session(t.Context(), names[1])
 			return err == nil && v.Placement != nil && v.Placement.Phase == ledger.Running
 		})
@@ -48,12 +49,12 @@
 	}
 	for _, name := range all {
 		if v, err := c.client(0).Session(t.Context(), name); err != nil || v.Restarts != 0 {
-			t.Errorf("%s: %+v, %v; want it never restarted", name, v, err)
+			t.Errorf("%s: %+v, %v; want no restarts", name, v, err)
 		}
 	}
 }
 
-// payOnce makes a payment through an entry, and checks that it ran once.
+// payOnce makes a payment through an entry, and checks that it runs once.
 func (c *cluster) payOnce(t *testing.T, entry int) {
 	t.Helper()
 	key, err := c.client(entry).Key(t.Context(), service)
@@ -68,11 +69,11 @@
 
 // TestCutGang cuts the links of a gang's leader and of another member, in one direction and in
 // both. No part of the gang runs alone for longer than its bound, and the gang runs again under a
-// newer token even while the link is cut.
+// newer token after the link is healed.
 func TestCutGang(t *testing.T) {
 	tests := []struct {
 		name string
-		// member is the index, in the gang, of the agent that is cut.
+		// member is the index, within the gang, of the agent whose link is cut.
 		member int
 		cut    func(p *process)
 	}{
@@ -85,7 +86,7 @@
 			p.platform.Cut()
 		}},
 	}
-	c := newCluster(t, fast...)
+	c := newCluster(t, fastGangTiming...)
 	c.putTeam(plates)
 	p := c.createGang("rebuild")
 	for _, tt := range tests {
@@ -93,22 +94,22 @@
 			victim := c.agent(p.Members[tt.member].Worker)
 			tt.cut(victim)
 			c.eventually("no part of the gang runs", func() bool { return c.tasks(p.Token) == 0 })
-			partial := c.partialFor(p, 2*time.Second)
+			partial := c.partlyRunning(p, 2*time.Second)
 			victim.inbound.Heal()
 			victim.platform.Heal()
 			if partial {
-				t.Errorf("a part of token %d came back", p.Token)
+				t.Errorf("a part of the gang runs again under token %d", p.Token)
 			}
 			p = c.awaitRunning("rebuild", p.Token)
 		})
 	}
 }
 
-// partialFor watches for some time whether only a part of the gang runs.
-func (c *cluster) partialFor(p ledger.Placement, d time.Duration) bool {
+// partlyRunning reports whether, at any time within d, only a part of the gang runs.
+func (c *cluster) partlyRunning(p ledger.Placement, d time.Duration) bool {
 	c.t.Helper()
 	began, partial := time.Now(), false
-	c.eventually("the watch has ended", func() bool {
+	c.eventually("the observation period has ended", func() bool {
 		n := c.tasks(p.Token)
 		partial = partial || (n > 0 && n < len(p.Members))
 		return time.Since(began) > d
@@ -116,9 +117,9 @@
 	return partial
 }
 
-// TestCutHome cuts the agent that a payment's key names, in one direction and in both, before and
-// while the payment runs. It runs at most once, and whoever asks after the cut gets its one
-// outcome.
+// TestCutHome cuts the link to the agent that a payment's key names, in one direction and in both,
+// before the payment is sent. The payment runs at most once, and all callers that ask after the cut
+// get the same outcome.
 func TestCutHome(t *testing.T) {
 	c := newCluster(t)
 	c.putTeam(plates)
@@ -134,6 +135,6 @@
 		answers := c.sendToAll(body, key)
 		first, second := <-answers, <-answers
 		home.inbound.Heal()
-		c.settle(t, key, body, first, second)
+		c.checkOutcome(t, key, body, first, second)
 	}
 }
--- a/e2e/failure_test.go
+++ b/e2e/failure_test.go
@@ -10,19 +10,19 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// fast lets gangs notice a lost member within seconds; the bound is 4 s.
-var fast = []string{"--gang-beat", "500ms", "--gang-fresh", "2s", "--gang-lease", "2s"}
+// fastGangTiming makes gangs detect a lost member within seconds; the bound is 4 s.
+var fastGangTiming = []string{"--gang-beat", "500ms", "--gang-fresh", "2s", "--gang-lease", "2s"}
 
 // TestKills kills an entry, then the agent of a gang's leader, then both at once. The session is
-// kept, and runs again each time under a newer token.
+// kept, and runs again after each loss of the leader's agent under a newer token.
 func TestKills(t *testing.T) {
-	c := newCluster(t, fast...)
+	c := newCluster(t, fastGangTiming...)
 	c.putTeam(plates)
 	p := c.createGang("rebuild")
 
 	c.entries[0].kill()
 	if n := c.tasks(p.Token); n != len(p.Members) {
-		t.Errorf("%d of %d tasks run after an entry was killed; gangs need no entry", n, len(p.Members))
+		t.Errorf("%d of %d tasks run after an entry was killed; a gang does not depend on entries", n, len(p.Members))
 	}
 	c.entries[0].start()
 	c.eventually("the entry is back", func() bool {
@@ -43,14 +43,14 @@
 	c.entries[1].start()
 	third := c.awaitRunning("rebuild", second.Token)
 	if c.tasks(p.Token)+c.tasks(second.Token) != 0 {
-		t.Errorf("tasks of older tokens run beside token %d", third.Token)
+		t.Errorf("tasks of older tokens run at the same time as token %d", third.Token)
 	}
 }
 
 // TestFrozenMember freezes the agent of a gang's member for longer than its lease. The whole gang
-// stops, and the agent doesn't go on after it wakes.
+// stops, and the agent does not continue after it is resumed.
 func TestFrozenMember(t *testing.T) {
-	c := newCluster(t, fast...)
+	c := newCluster(t, fastGangTiming...)
 	c.putTeam(plates)
 	p := c.createGang("rebuild")
 	frozen := c.agent(p.Members[1].Worker)
@@ -59,12 +59,12 @@
 	frozen.signal(syscall.SIGCONT)
 	second := c.awaitRunning("rebuild", p.Token)
 	if n := c.tasks(p.Token); n != 0 {
-		t.Errorf("%d tasks of the old token run beside token %d", n, second.Token)
+		t.Errorf("%d tasks of the old token run at the same time as token %d", n, second.Token)
 	}
 }
 
 // TestFrozenHome freezes the agent that a payment's key names, before and while the payment runs.
-// It runs at most once, and whoever asks after that gets its one outcome.
+// The payment runs at most once, and all callers that ask later get the same outcome.
 func TestFrozenHome(t *testing.T) {
 	c := newCluster(t)
 	c.putTeam(plates)
@@ -80,7 +80,7 @@
 		}
 		first, second := <-answers, <-answers
 		home.signal(syscall.SIGCONT)
-		c.settle(t, key, body, first, second)
+		c.checkOutcome(t, key, body, first, second)
 	}
 }
 
@@ -112,8 +112,9 @@
 	return answers
 }
 
-// settle asks for the outcome of a key until it is final, and compares all outcomes with what ran.
-func (c *cluster) settle(t *testing.T, key, body string, outcomes ...request.Answer) {
+// checkOutcome asks for the outcome of a key until it is final, and compares all outcomes with the
+// number of times that the payment ran.
+func (c *cluster) checkOutcome(t *testing.T, key, body string, outcomes ...request.Answer) {
 	t.Helper()
 	c.eventually("the key has an outcome", func() bool {
 		answer, err := c.client(0).Send(t.Context(), call(body, key))
@@ -126,7 +127,7 @@
 	}
 	for _, a := range outcomes {
 		if a.Outcome == request.NotRun && runs > 0 {
-			t.Errorf("%s ran, but a caller was told not_run: %s", body, a.Reason)
+			t.Errorf("%s ran, but a caller got the outcome not_run: %s", body, a.Reason)
 		}
 		if a.Outcome == request.Done && a.Body != "ran "+body {
 			t.Errorf("%s got the answer %q", body, a.Body)
@@ -135,7 +136,7 @@
 }
 
 // TestKilledHome kills the agent that a payment's key names while the payment is at its target, and
-// restarts it. The key names the old incarnation, so nobody runs the payment again.
+// restarts the agent. The key names the old incarnation, so the payment is not run again.
 func TestKilledHome(t *testing.T) {
 	c := newCluster(t)
 	c.putTeam(plates)
@@ -181,10 +182,10 @@
 	}
 }
 
-// TestLogDown takes the log down for longer than a lease. What runs goes on, requests are served,
-// and changes are accepted after that.
+// TestLogDown makes the log unavailable for longer than a lease. Running tasks continue, requests
+// are served, and changes are accepted again when the log is back.
 func TestLogDown(t *testing.T) {
-	c := newCluster(t, fast...)
+	c := newCluster(t, fastGangTiming...)
 	c.putTeam(plates)
 	p := c.createGang("rebuild")
 	c.platform.SetFaults(faultDown)
@@ -193,7 +194,7 @@
 		status, err := c.client(0).Status(t.Context())
 		return err == nil && !status.Entries[0].LogReachable
 	})
-	// Longer than the bound of 4 s: a lease that needed the log would have lapsed.
+	// This is longer than the bound of 4 s: a lease that depended on the log would have expired.
 	c.eventually("the bound has passed", func() bool { return time.Since(began) > 6*time.Second })
 	if n := c.tasks(p.Token); n != len(p.Members) {
 		t.Errorf("%d of %d tasks run while the log is down", n, len(p.Members))
@@ -213,8 +214,8 @@
 	})
 }
 
-// TestFrozenEntry freezes each entry in turn. Sessions are placed by the other one, and after it
-// wakes the frozen one proposes nothing that takes effect twice.
+// TestFrozenEntry freezes each entry in turn. The other entry places sessions, and after the frozen
+// one is resumed, none of its proposals takes effect twice.
 func TestFrozenEntry(t *testing.T) {
 	c := newCluster(t)
 	c.putTeam(plates)
@@ -228,7 +229,7 @@
 			return err == nil && v.Placement != nil && v.Placement.Phase == ledger.Running
 		})
 		frozen.signal(syscall.SIGCONT)
-		c.eventually("the entry that woke has read on", func() bool {
+		c.eventually("the resumed entry has caught up with the log", func() bool {
 			v, err := c.client(i).Session(t.Context(), name)
 			return err == nil && v.Placement != nil && v.Placement.Phase == ledger.Running
 		})
@@ -236,7 +237,7 @@
 	for i := range c.entries {
 		v, err := c.client(0).Session(t.Context(), fmt.Sprintf("swap-%d", i))
 		if err != nil || v.Restarts != 0 || v.Placement == nil || c.tasks(v.Placement.Token) != 1 {
-			t.Errorf("session %d: %+v, %v; want it to run once, never restarted", i, v, err)
+			t.Errorf("session %d: %+v, %v; want it to run once, without restarts", i, v, err)
 		}
 	}
 }
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -64,11 +64,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.eventually("the change is in force on all", func() bool { return c.inForce(put.Revision) })
+	c.eventually("the configuration is in force on all entries and agents", func() bool {
+		return c.configInForce(put.Revision)
+	})
 }
 
-// inForce reports whether both entries and all agents have the configuration of the revision.
-func (c *cluster) inForce(revision int64) bool {
+// configInForce reports whether both entries and all agents have the configuration of the revision,
+// or a newer one.
+func (c *cluster) configInForce(revision int64) bool {
 	status, err := c.client(0).Status(c.t.Context())
 	if err != nil {
 		return false
@@ -90,8 +93,8 @@
 	return true
 }
 
-// TestPlannedStops stops an agent and an entry while requests are held at their targets. None may
-// be cut.
+// TestPlannedStops stops an agent and an entry while requests are held at their targets. No request
+// may be aborted.
 func TestPlannedStops(t *testing.T) {
 	c := newCluster(t)
 	c.putTeam(plates)
@@ -100,12 +103,12 @@
 	answers := c.sendHeld(t, requests)
 	c.agents[0].signal(syscall.SIGTERM)
 	c.entries[1].signal(syscall.SIGTERM)
-	c.eventually("the agent has left for both the entry and the ledger", func() bool {
+	c.eventually("the agent is draining, according to the entry and the ledger", func() bool {
 		workers, err := c.client(0).Workers(t.Context())
 		return err == nil && workers[0].Leaving
 	})
 	// The requests are held until the entry has closed its listener at the end of its drain. Only
-	// then does it show whether it waits for them.
+	// then does the test show whether the entry waits for them.
 	c.eventually("the entry has closed its listener", func() bool {
 		conn, err := net.Dial("tcp", strings.TrimPrefix(c.entries[1].address, "http://"))
 		if err == nil {
@@ -113,12 +116,12 @@
 		}
 		return err != nil
 	})
-	// New requests avoid the leaving agent while its old ones are still held.
+	// New requests avoid the draining agent while its old ones are still held.
 	before := c.targets[0].total()
 	release()
 	for range requests {
 		if a := <-answers; a.Outcome != request.Done {
-			t.Errorf("a request in flight was cut: %+v", a)
+			t.Errorf("a request in flight was aborted: %+v", a)
 		}
 	}
 	for i := range 20 {
@@ -134,13 +137,13 @@
 	<-c.entries[1].Done()
 	for _, p := range []*process{c.agents[0], c.entries[1]} {
 		if code := p.ExitCode(); code != 0 {
-			t.Errorf("%s ended with %d, want 0", p.name, code)
+			t.Errorf("%s exited with code %d, want 0", p.name, code)
 		}
 	}
 }
 
-// sendHeld sends requests through both entries and waits until all are at their targets, which hold
-// them.
+// sendHeld sends requests through both entries and waits until all have reached their targets,
+// which hold them.
 func (c *cluster) sendHeld(t *testing.T, requests int) <-chan request.Answer {
 	t.Helper()
 	answers := make(chan request.Answer, requests)
--- a/e2e/swarm_test.go
+++ b/e2e/swarm_test.go
@@ -25,45 +25,46 @@
 )
 
 const (
-	// window is how long a steady state is measured: more than a poll of each agent.
-	window = 35 * time.Second
-	// settle is the pause before that, until what the start has caused is over.
-	settle = 15 * time.Second
+	// measureWindow is the duration of the measurement of a steady state. It is longer than a poll
+	// of any agent.
+	measureWindow = 35 * time.Second
+	// settleTime is the pause before the measurement, in which the effects of the start subside.
+	settleTime = 15 * time.Second
 )
 
-// countedConn counts the bytes of a connection, both ways.
-type countedConn struct {
+// countingConn counts the bytes of a connection in both directions.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c countedConn) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// countedListener counts the bytes of all connections that it accepts.
-type countedListener struct {
+// countingListener counts the bytes of all connections that it accepts.
+type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
-func (l countedListener) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{Conn: c, bytes: l.bytes}, nil
+	return countingConn{Conn: c, bytes: l.bytes}, nil
 }
 
-func countedClient(bytes *atomic.Int64) *http.Client {
+func countingClient(bytes *atomic.Int64) *http.Client {
 	dialer := &net.Dialer{}
 	return &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 4,
@@ -72,19 +73,19 @@
 			if err != nil {
 				return nil, err
 			}
-			return countedConn{Conn: c, bytes: bytes}, nil
+			return countingConn{Conn: c, bytes: bytes}, nil
 		},
 	}}
 }
 
-// usage is the processor time and memory of a process.
+// usage is the resource consumption of a process.
 type usage struct {
 	cpu   time.Duration
 	bytes int64
 	rss   int64
 }
 
-// clockTick is the unit of /proc/PID/stat.
+// clockTick is the unit of the processor times in /proc/PID/stat.
 const clockTick = 10 * time.Millisecond
 
 func usageOf(b *testing.B, pid int, bytes int64) usage {
@@ -100,17 +101,17 @@
 	return usage{cpu: time.Duration(user+system) * clockTick, bytes: bytes, rss: pages * int64(os.Getpagesize())}
 }
 
-// report reports what a process uses in a steady state.
+// report reports the resource consumption of a process in a steady state.
 func report(b *testing.B, pid int, bytes func() int64) {
 	before := usageOf(b, pid, bytes())
-	time.Sleep(window)
+	time.Sleep(measureWindow)
 	after := usageOf(b, pid, bytes())
-	b.ReportMetric(100*float64(after.cpu-before.cpu)/float64(window), "%core")
-	b.ReportMetric(float64(after.bytes-before.bytes)/window.Seconds(), "B/s")
+	b.ReportMetric(100*float64(after.cpu-before.cpu)/float64(measureWindow), "%core")
+	b.ReportMetric(float64(after.bytes-before.bytes)/measureWindow.Seconds(), "B/s")
 	b.ReportMetric(float64(after.rss)/(1<<20), "MB")
 }
 
-// swarm is many agents in this process, with entries in processes of their own.
+// swarm is a set of many agents in this process, with entries in processes of their own.
 type swarm struct {
 	b        *testing.B
 	platform *standin.Platform
@@ -118,7 +119,7 @@
 	// client calls the first entry.
 	client *client.Client
 	agents []*agent.Agent
-	// stops ends each agent.
+	// stops holds the functions that stop the agents.
 	stops      []context.CancelFunc
 	agentBytes atomic.Int64
 	logBytes   atomic.Int64
@@ -131,13 +132,13 @@
 		b.Fatal(err)
 	}
 	server := &http.Server{Handler: standin.Handler(s.platform)}
-	go func() { _ = server.Serve(countedListener{Listener: l, bytes: &s.logBytes}) }()
+	go func() { _ = server.Serve(countingListener{Listener: l, bytes: &s.logBytes}) }()
 	b.Cleanup(func() { _ = server.Close() })
 	addresses := freeAddresses(b, entries)
 	for i, address := range addresses {
 		s.startEntry(i, address, addresses, "http://"+l.Addr().String())
 	}
-	s.client = client.New(s.entries[0].address, &http.Client{Timeout: patience})
+	s.client = client.New(s.entries[0].address, &http.Client{Timeout: waitTimeout})
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
 	for i := range agents {
@@ -186,7 +187,7 @@
 		Timing:  gang.DefaultTiming(),
 	}, agent.Dependencies{
 		Platform:  s.platform,
-		Client:    countedClient(&s.agentBytes),
+		Client:    countingClient(&s.agentBytes),
 		Telemetry: telemetry.Discard(),
 		Random:    rand.IntN,
 	})
@@ -204,8 +205,8 @@
 	return list
 }
 
-// lose ends the first n agents and declares their workers gone.
-func (s *swarm) lose(n int) {
+// loseWorkers stops the first n agents and reports their workers as gone.
+func (s *swarm) loseWorkers(n int) {
 	for i := range n {
 		s.stops[i]()
 		s.platform.RemoveWorker(fmt.Sprintf("w%04d", i))
@@ -223,21 +224,21 @@
 
 func (s *swarm) eventually(ok func() bool) { s.eventuallyEvery(2*time.Millisecond, ok) }
 
-// eventuallyEvery waits until ok, with a pause between two checks: long if a check costs the entry
-// much.
+// eventuallyEvery waits until ok returns true, and checks at the given interval. The interval
+// should be long if a check is costly for the entry.
 func (s *swarm) eventuallyEvery(pause time.Duration, ok func() bool) {
 	s.b.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(pause) {
+	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(pause) {
 		if time.Now().After(end) {
-			s.b.Fatal("not in time")
+			s.b.Fatal("condition not met in time")
 		}
 	}
 }
 
 func (s *swarm) bytes() int64 { return s.agentBytes.Load() + s.logBytes.Load() }
 
-// propagation changes the configuration and returns how long the last agent takes to have it.
-func (s *swarm) propagation() time.Duration {
+// measurePropagation changes the configuration and returns the time until the last agent has it.
+func (s *swarm) measurePropagation() time.Duration {
 	limits := ledger.DefaultLimits()
 	entry, _ := s.client.Config(context.Background(), ledger.LimitsKey)
 	began := time.Now()
@@ -256,8 +257,8 @@
 	return time.Since(began)
 }
 
-// urgent creates an urgent session and returns how long it takes until its task runs.
-func (s *swarm) urgent(i int) time.Duration {
+// measureUrgentStart creates an urgent session and returns the time until its task runs.
+func (s *swarm) measureUrgentStart(i int) time.Duration {
 	began := time.Now()
 	name := fmt.Sprintf("urgent-%d", i)
 	spec := ledger.SessionSpec{
@@ -286,7 +287,7 @@
 	return false
 }
 
-// fill creates the teams of the design size, and sessions of one accelerator.
+// fill creates the teams of the design size, and sessions of one accelerator each.
 func (s *swarm) fill(sessions int) {
 	s.b.Helper()
 	for i := range teamCount {
@@ -311,18 +312,18 @@
 	}
 }
 
-func (s *swarm) slowestUrgent(n int) time.Duration {
+func (s *swarm) slowestUrgentStart(n int) time.Duration {
 	var starts []time.Duration
 	for i := range n {
-		starts = append(starts, s.urgent(i))
+		starts = append(starts, s.measureUrgentStart(i))
 	}
 	return slowest(starts)
 }
 
-// running counts the sessions that run.
+// running returns the number of running sessions.
 func (s *swarm) running() int { return s.runningOutside(nil) }
 
-// runningOutside counts the sessions that run on other workers than these.
+// runningOutside returns the number of sessions that run on workers other than the given ones.
 func (s *swarm) runningOutside(workers map[string]bool) int {
 	sessions, err := s.client.Sessions(context.Background())
 	if err != nil {
--- a/e2e/trace_test.go
+++ b/e2e/trace_test.go
@@ -15,14 +15,14 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// traceSink is a stand-in for an OTLP/HTTP collector.
-type traceSink struct {
+// traceCollector is a stand-in for an OTLP/HTTP collector.
+type traceCollector struct {
 	mu sync.Mutex
-	// spans has the names of the spans of each trace, by service.
+	// spans holds the names of the spans by trace and service.
 	spans map[string]map[string][]string
 }
 
-func (s *traceSink) ServeHTTP(_ http.ResponseWriter, r *http.Request) {
+func (s *traceCollector) ServeHTTP(_ http.ResponseWriter, r *http.Request) {
 	body := io.Reader(r.Body)
 	if r.Header.Get("Content-Encoding") == "gzip" {
 		zip, err := gzip.NewReader(r.Body)
@@ -57,9 +57,9 @@
 	}
 }
 
-// spansOf returns how many spans entries and agents made in the trace that has an entry's span of
-// the given name.
-func (s *traceSink) spansOf(name string) (entry, agent int) {
+// spansOf returns the number of spans of entries and agents in the trace that has a span of an
+// entry with the given name.
+func (s *traceCollector) spansOf(name string) (entry, agent int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, services := range s.spans {
@@ -70,11 +70,11 @@
 	return 0, 0
 }
 
-// TestTraces follows one request through the hops: caller to entry, entry to agent, agent to
-// target. And a session: operator to entry, entry to log, and over the ledger the agents to their
-// workers.
+// TestTraces follows a request through its hops: caller to entry, entry to agent, agent to target.
+// It also follows a session: operator to entry, entry to log, and through the ledger from the
+// agents to their workers.
 func TestTraces(t *testing.T) {
-	sink := &traceSink{spans: map[string]map[string][]string{}}
+	sink := &traceCollector{spans: map[string]map[string][]string{}}
 	server := httptest.NewServer(sink)
 	t.Cleanup(server.Close)
 	t.Setenv("YARROWGRADE_TRACE_ADDRESS", server.URL)
@@ -83,14 +83,15 @@
 	if answer, err := c.client(0).Send(t.Context(), call("traced", "")); err != nil || answer.Outcome != request.Done {
 		t.Fatalf("%+v, %v", answer, err)
 	}
-	// The entry serves and sends; the agent serves and sends.
+	// Both the entry and the agent have a server and a client span.
 	c.eventually("both processes' spans are in one trace", func() bool {
 		entry, agent := sink.spansOf("POST /v1/requests")
 		return entry >= 2 && agent >= 2
 	})
 	c.createGang("traced-gang")
 	c.eventually("the start of the gang is in the trace of the operator's call", func() bool {
-		// The entry serves the call and appends; two agents at least list and start tasks.
+		// The entry serves the call and appends to the log; at least two agents list and start
+		// tasks.
 		entry, agent := sink.spansOf("POST /v1/sessions")
 		return entry >= 2 && agent >= 4
 	})
--- a/jobs/jobstore/hedged_read_test.go
+++ b/jobs/jobstore/hedged_read_test.go
@@ -47,13 +47,13 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 			slow.delay = delay
-			fullReads, probes := slow.Whole.Load(), slow.Brief.Load()
+			fullReads, probes := slow.FullReads.Load(), slow.Probes.Load()
 			log.Heal()
 			time.Sleep(time.Second + delay)
-			if got := slow.Whole.Load() - fullReads; got > 4 {
+			if got := slow.FullReads.Load() - fullReads; got > 4 {
 				t.Errorf("%d full reads that take %v each, want at most 4", got, delay)
 			}
-			if got := slow.Brief.Load() - probes; got > 6 {
+			if got := slow.Probes.Load() - probes; got > 6 {
 				t.Errorf("%d probes in %v, want at most 6", got, time.Second+delay)
 			}
 			if age := time.Since(r.SyncedAt()); age > time.Second {
@@ -116,7 +116,7 @@
 			r.SetLeading(true)
 			go r.Run(ctx)
 			time.Sleep(time.Second)
-			log.SetFault("entry", jobtest.Fault{Deaf: true})
+			log.SetFault("entry", jobtest.Fault{SilentLongPolls: true})
 			for i := range 20 {
 				id := job.ID(fmt.Sprintf("%016x", 100+i))
 				appendRecords(t, log, submission(t, id, "next"))
--- a/jobs/jobstore/jobstore_test.go
+++ b/jobs/jobstore/jobstore_test.go
@@ -279,7 +279,7 @@
 		r := jobstore.NewReplica(log.Client("entry"), noReaders, zerolog.Nop())
 		go r.Run(ctx)
 		time.Sleep(50 * time.Millisecond)
-		log.SetFault("entry", jobtest.Fault{Deaf: true})
+		log.SetFault("entry", jobtest.Fault{SilentLongPolls: true})
 		for began := time.Now(); time.Since(began) < 5*time.Second; time.Sleep(10 * time.Millisecond) {
 			if age := time.Since(r.SyncedAt()); age > 800*time.Millisecond {
 				t.Fatalf("the replica was last in sync %v ago", age)
--- a/jobs/jobtest/blame_test.go
+++ b/jobs/jobtest/blame_test.go
@@ -14,11 +14,11 @@
 
 var blameSeeds = flag.Int("jobtest.blame", 8, "number of seeds of TestBlame")
 
-// outside are causes of crashes that no task is to blame for. The last, a loss of power, happens at
-// most once a day.
-var outside = []struct {
+// externalCauses are causes of worker crashes that are unrelated to any task. The last one, a power
+// loss, happens at most once per day.
+var externalCauses = []struct {
 	name   string
-	strike func(s *system, r *rand.Rand)
+	inject func(s *system, r *rand.Rand)
 }{
 	{"one", func(s *system, r *rand.Rand) { s.worker[r.IntN(workerCount)].CrashProcess(3 * time.Second) }},
 	{"rack", func(s *system, r *rand.Rand) {
@@ -33,45 +33,45 @@
 			time.AfterFunc(time.Duration(n)*2400*time.Millisecond, func() { w.CrashProcess(1200 * time.Millisecond) })
 		}
 	}},
-	{"leaves", func(s *system, r *rand.Rand) { s.worker[r.IntN(workerCount)].Leave(2 * time.Second) }},
+	{"leaves", func(s *system, r *rand.Rand) { s.worker[r.IntN(workerCount)].Drain(2 * time.Second) }},
 	{"cut", func(s *system, r *rand.Rand) {
 		d := &disturbance{system: s, agent: r.IntN(workerCount), length: 9 * time.Second}
 		d.cutAgent()
 	}},
-	{"power", func(s *system, _ *rand.Rand) { s.loseAll() }},
+	{"power", func(s *system, _ *rand.Rand) { s.powerCycle() }},
 }
 
-// blame is what became of the jobs of a day on which some tasks crash their workers, and workers
-// crash for other reasons.
-type blame struct {
-	// sound and bad count the jobs of either kind, soundFailed and badFailed those of them that
-	// failed.
-	sound, soundFailed int
-	bad, badFailed     int
-	// crashes counts the workers that bad jobs crashed; starts, all runs.
+// blameStats counts the outcomes of the jobs on a day on which some tasks crash their workers, and
+// workers also crash for other reasons.
+type blameStats struct {
+	// healthy and crashing count the jobs without and with a task that crashes its workers;
+	// healthyFailed and crashingFailed count those of them that failed.
+	healthy, healthyFailed   int
+	crashing, crashingFailed int
+	// crashes counts the workers that were crashed by tasks; starts counts all runs.
 	crashes, starts int
 }
 
-func (b *blame) add(other blame) {
-	b.sound += other.sound
-	b.soundFailed += other.soundFailed
-	b.bad += other.bad
-	b.badFailed += other.badFailed
+func (b *blameStats) add(other blameStats) {
+	b.healthy += other.healthy
+	b.healthyFailed += other.healthyFailed
+	b.crashing += other.crashing
+	b.crashingFailed += other.crashingFailed
 	b.crashes += other.crashes
 	b.starts += other.starts
 }
 
-// playBlame plays a day of two minutes.
-func playBlame(t *testing.T, seed uint64, sh shape) (b blame) {
+// simulateBlame simulates a day of about two minutes.
+func simulateBlame(t *testing.T, seed uint64, opts systemOptions) (b blameStats) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		s := newSystem(ctx, t, seed, sh)
+		s := newSystem(ctx, t, seed, opts)
 		s.workers.FailureShare = 0
 		r := rand.New(rand.NewPCG(seed, 3))
 		time.Sleep(3 * time.Second)
-		var sound, bad []job.ID
+		var healthy, crashing []job.ID
 		var culprits []job.TaskName
-		causes := outside
+		causes := externalCauses
 		for n := range 30 {
 			j := s.simpleJob(1+r.IntN(5), 2*time.Second)
 			j.Steps[0].Gang = r.IntN(4) == 0
@@ -80,21 +80,21 @@
 				after := time.Duration(r.IntN(3)*r.IntN(500)) * time.Millisecond
 				away := time.Duration(2+r.IntN(2)*6) * time.Second
 				s.workers.CrashOn(culprit, after, away)
-				bad, culprits = append(bad, j.ID), append(culprits, culprit)
+				crashing, culprits = append(crashing, j.ID), append(culprits, culprit)
 			} else {
-				sound = append(sound, j.ID)
+				healthy = append(healthy, j.ID)
 			}
 			s.submit(j, r.IntN(2))
 			if n%4 == 3 {
 				cause := r.IntN(len(causes))
-				if causes[cause].strike(s, r); cause == len(outside)-1 {
-					causes = outside[:cause]
+				if causes[cause].inject(s, r); cause == len(externalCauses)-1 {
+					causes = externalCauses[:cause]
 				}
 			}
 			time.Sleep(time.Duration(r.IntN(1500)) * time.Millisecond)
 		}
 		time.Sleep(90 * time.Second)
-		b.judge(s, sound, bad, culprits)
+		b.addDay(s, healthy, crashing, culprits)
 		b.starts = s.workers.Starts
 		for _, v := range s.workers.Report() {
 			t.Error(v)
@@ -106,58 +106,59 @@
 	return b
 }
 
-// judge adds what became of the jobs at the end of a day.
-func (b *blame) judge(s *system, sound, bad []job.ID, culprits []job.TaskName) {
-	for _, id := range sound {
-		b.sound++
+// addDay adds the outcomes of the jobs at the end of a day.
+func (b *blameStats) addDay(s *system, healthy, crashing []job.ID, culprits []job.TaskName) {
+	for _, id := range healthy {
+		b.healthy++
 		phase := s.phase(id)
 		if phase == job.Completed {
 			continue
 		}
-		s.t.Logf("sound job %s is %v", id, phase)
-		b.soundFailed++
+		s.t.Logf("healthy job %s is %v", id, phase)
+		b.healthyFailed++
 		if phase == job.Failed && !s.workers.MayFail(id) {
-			s.t.Errorf("LOST: job %s is given up without cause", id)
+			s.t.Errorf("LOST: job %s failed without cause", id)
 		}
 	}
-	for i, id := range bad {
-		b.bad++
+	for i, id := range crashing {
+		b.crashing++
 		b.crashes += s.workers.CrashesBy(culprits[i])
 		if s.phase(id) == job.Failed {
-			b.badFailed++
+			b.crashingFailed++
 		}
 	}
 }
 
-// mostSoundFailed bounds the share of sound jobs that fail because too many of their workers
-// crashed.
-const mostSoundFailed = 0.01
+// maxHealthyFailed is the largest allowed share of healthy jobs that fail because too many of their
+// workers crashed.
+const maxHealthyFailed = 0.01
 
-// TestBlame plays days on which some tasks crash their workers, while workers crash, drain and are
-// cut off for other reasons. Each job with such a task must fail within the bound, and almost no
-// sound job may. Replay a failing seed with -jobtest.seed=N -jobtest.blame=1.
-func TestBlame(t *testing.T) { blameDays(t, shape{}) }
+// TestBlame simulates days on which some tasks crash their workers, while workers crash, drain and
+// are partitioned for other reasons. Each job with such a task must fail, and almost no healthy job
+// may. Replay a failing seed with -jobtest.seed=N -jobtest.blame=1.
+func TestBlame(t *testing.T) { simulateBlameDays(t, systemOptions{}) }
 
-// TestBlameOfSameIDs plays such days with workers that mostly restart under the ID that they had.
-func TestBlameOfSameIDs(t *testing.T) { blameDays(t, shape{sameID: sameIDShare}) }
+// TestBlameOfSameIDs is TestBlame with workers that mostly restart under their previous ID.
+func TestBlameOfSameIDs(t *testing.T) { simulateBlameDays(t, systemOptions{sameID: sameIDShare}) }
 
-func blameDays(t *testing.T, sh shape) {
+func simulateBlameDays(t *testing.T, opts systemOptions) {
 	t.Helper()
-	var sum blame
+	var sum blameStats
 	for n := range *blameSeeds {
 		seed := *firstSeed + uint64(n)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			b := playBlame(t, seed, sh)
-			if b.badFailed != b.bad {
-				t.Errorf("%d of %d jobs whose task crashes its workers are given up", b.badFailed, b.bad)
+			b := simulateBlame(t, seed, opts)
+			if b.crashingFailed != b.crashing {
+				t.Errorf("%d of %d jobs with a task that crashes its workers failed, want all",
+					b.crashingFailed, b.crashing)
 			}
 			sum.add(b)
 		})
 	}
-	if float64(sum.soundFailed) > mostSoundFailed*float64(sum.sound) {
-		t.Errorf("%d of %d sound jobs are not completed", sum.soundFailed, sum.sound)
+	if float64(sum.healthyFailed) > maxHealthyFailed*float64(sum.healthy) {
+		t.Errorf("%d of %d healthy jobs are not completed", sum.healthyFailed, sum.healthy)
 	}
-	t.Logf("days %d, sound jobs %d, of these not completed %d, bad jobs %d, of these given up %d, "+
-		"workers crashed by them %d, starts %d",
-		*blameSeeds, sum.sound, sum.soundFailed, sum.bad, sum.badFailed, sum.crashes, sum.starts)
+	t.Logf("days %d, healthy jobs %d, of these not completed %d, jobs that crash workers %d, of these failed %d, "+
+		"workers crashed %d, starts %d",
+		*blameSeeds, sum.healthy, sum.healthyFailed, sum.crashing, sum.crashingFailed, sum.crashes, sum.starts)
 }
--- a/jobs/jobtest/capacity_test.go
+++ b/jobs/jobtest/capacity_test.go
@@ -8,13 +8,13 @@
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
-// TestShrunkWorkers: whatever fails when the capacity of workers that overcommit shrinks, nothing
-// starts beyond it after the bound, and after it has grown again it is used. The workers check the
-// bound.
+// TestShrunkWorkers checks that after the capacity of overcommitting workers shrinks, no start
+// exceeds the new capacity once ShrinkBound has passed, whichever component fails meanwhile, and
+// that capacity is used again after it grows back. The workers check the bound.
 func TestShrunkWorkers(t *testing.T) {
 	tests := []struct {
 		name   string
-		strike func(s *system, leader *process)
+		inject func(s *system, leader *process)
 		heal   time.Duration
 	}{
 		{"calm", func(*system, *process) {}, 0},
@@ -42,14 +42,14 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			within(t, func(t *testing.T, s *system) { playShrink(t, s, test.strike, test.heal) })
+			runWithSystem(t, func(t *testing.T, s *system) { testShrink(t, s, test.inject, test.heal) })
 		})
 	}
 }
 
-// playShrink shrinks the capacity of all workers of a busy system to a quarter, while something
-// fails, and grows it again.
-func playShrink(t *testing.T, s *system, strike func(s *system, leader *process), heal time.Duration) {
+// testShrink shrinks the capacity of all workers of a busy system to a quarter while a fault is
+// injected, and then restores it.
+func testShrink(t *testing.T, s *system, inject func(s *system, leader *process), heal time.Duration) {
 	t.Helper()
 	s.workers.Work = time.Second
 	for _, w := range s.worker {
@@ -60,7 +60,7 @@
 	before := s.workers.StartsIn("zone-1")
 	whole := s.capacityOf(0)
 	quarter := job.Resources{CPU: whole.CPU / 4, Memory: whole.Memory / 4, Accelerators: whole.Accelerators / 4}
-	strike(s, s.leader())
+	inject(s, s.leader())
 	for _, w := range s.worker {
 		w.SetCapacity(quarter)
 	}
@@ -68,7 +68,7 @@
 	s.keepBusy(15 * time.Second)
 	shrunk := s.workers.StartsIn("zone-1") - before
 	if shrunk == 0 {
-		t.Error("nothing started in the capacity that is left: the test proves nothing")
+		t.Error("nothing started in the remaining capacity: the test is inconclusive")
 	}
 	for _, w := range s.worker {
 		w.SetCapacity(whole)
@@ -76,12 +76,12 @@
 	before = s.workers.StartsIn("zone-1")
 	s.keepBusy(8 * time.Second)
 	if grown := s.workers.StartsIn("zone-1") - before; grown <= shrunk {
-		t.Errorf("%d started in 8 s of the whole capacity, %d in 15 s of a quarter of it", grown, shrunk)
+		t.Errorf("%d runs started within 8 s at full capacity, %d within 15 s at a quarter of it", grown, shrunk)
 	}
 }
 
 // capacityOf returns the capacity that a worker reports.
 func (s *system) capacityOf(i int) job.Resources {
-	state, _ := s.worker[i].Beat()
+	state, _ := s.worker[i].Heartbeat()
 	return state.Capacity
 }
--- a/jobs/jobtest/counted.go
+++ b/jobs/jobtest/counted.go
@@ -7,22 +7,22 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// CountedLog counts the reads of a log.
+// CountedLog wraps a log and counts its reads.
 type CountedLog struct {
 	topic.Log
-	// Whole counts full reads, Brief the probes that only find out whether the log answers.
-	Whole, Brief atomic.Int64
+	// FullReads counts full reads, and Probes those that only check whether the log responds.
+	FullReads, Probes atomic.Int64
 }
 
 // Read implements topic.Log.
 func (l *CountedLog) Read(ctx context.Context, q topic.Query) (topic.Batch, error) {
 	if q.Probe {
-		l.Brief.Add(1)
+		l.Probes.Add(1)
 	} else {
-		l.Whole.Add(1)
+		l.FullReads.Add(1)
 	}
 	return l.Log.Read(ctx, q)
 }
 
-// Reads returns the number of all reads.
-func (l *CountedLog) Reads() int64 { return l.Whole.Load() + l.Brief.Load() }
+// Reads returns the total number of reads.
+func (l *CountedLog) Reads() int64 { return l.FullReads.Load() + l.Probes.Load() }
--- a/jobs/jobtest/crash_test.go
+++ b/jobs/jobtest/crash_test.go
@@ -10,102 +10,103 @@
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
-// TestTaskThatCrashesWorkers: the job of a task that crashes each worker that starts it fails,
-// whatever else fails meanwhile.
+// TestTaskThatCrashesWorkers checks that a job fails if one of its tasks crashes each worker that
+// starts it, whatever else fails meanwhile.
 //
-// Users saw a task of an urgent job start on worker after worker, every 3.1 to 3.5 s for two
-// minutes: 33 runs, each of which took its worker, with all that ran there, away for 3 s. A few
-// such jobs crashed one of eleven workers each second, and sound jobs were late. Runs that end with
-// their worker were told apart from failed ones and counted nowhere, so no limit ended this.
+// It guards against a task of an urgent job that starts on worker after worker, every 3.1 to 3.5 s
+// for two minutes: 33 runs, each of which took down its worker and all other runs on it for 3 s. A
+// few such jobs crashed one of eleven workers each second and delayed healthy jobs. Runs that ended
+// with their worker did not count as failed runs, so no limit applied to them.
 func TestTaskThatCrashesWorkers(t *testing.T) {
 	quick := crash{after: 10 * time.Millisecond, away: 3 * time.Second}
 	tests := []struct {
 		name  string
 		crash crash
 		gang  bool
-		// strike is called at each crash of a worker.
-		strike func(s *system, crashes int)
+		// inject is called at each crash of a worker.
+		inject func(s *system, crashes int)
 	}{
 		{name: "calm", crash: quick},
 		{name: "the start gets no answer", crash: crash{after: 0, away: 3 * time.Second}},
 		{name: "after a while", crash: crash{after: 700 * time.Millisecond, away: 3 * time.Second}},
 		{name: "back when its lease is over", crash: crash{after: 10 * time.Millisecond, away: 9 * time.Second}},
 		{name: "a member of a gang", crash: quick, gang: true},
-		{name: "leader killed at each crash", crash: quick, strike: func(s *system, _ int) {
+		{name: "leader killed at each crash", crash: quick, inject: func(s *system, _ int) {
 			for i, e := range s.entries {
 				if e == s.leader() {
 					go s.restart(e, func() { s.startEntry(i) }, time.Second)
 				}
 			}
 		}},
-		{name: "agents killed at each crash", crash: quick, strike: func(s *system, _ int) {
+		{name: "agents killed at each crash", crash: quick, inject: func(s *system, _ int) {
 			for i, a := range s.agents {
 				go s.restart(a, func() { s.startAgent(i) }, 500*time.Millisecond)
 			}
 		}},
-		{name: "answers of the store lost", crash: quick, strike: func(s *system, _ int) {
+		{name: "answers of the store lost", crash: quick, inject: func(s *system, _ int) {
 			s.setFault("", jobtest.Fault{Lost: 0.5, Late: true})
 			time.AfterFunc(2*time.Second, func() { s.setFault("", jobtest.Fault{}) })
 		}},
-		{name: "all without power at the second crash", crash: quick, strike: func(s *system, crashes int) {
+		{name: "all without power at the second crash", crash: quick, inject: func(s *system, crashes int) {
 			if crashes == 2 {
-				s.loseAll()
+				s.powerCycle()
 			}
 		}},
 	}
 	for _, test := range tests {
-		play := func(t *testing.T, s *system) { playCrashes(t, s, test.crash, test.gang, test.strike) }
-		t.Run(test.name, func(t *testing.T) { within(t, play) })
-		t.Run(test.name+", under the same ids", func(t *testing.T) { withinShape(t, shape{sameID: 1}, play) })
+		run := func(t *testing.T, s *system) { testCrashes(t, s, test.crash, test.gang, test.inject) }
+		t.Run(test.name, func(t *testing.T) { runWithSystem(t, run) })
+		t.Run(test.name+", under the same ids", func(t *testing.T) { runWithOptions(t, systemOptions{sameID: 1}, run) })
 	}
 }
 
-// playCrashes submits a sound job and one with a task that crashes its workers, and checks that
-// only the latter fails. strike, if set, is called at each crash.
-func playCrashes(t *testing.T, s *system, c crash, gang bool, strike func(s *system, crashes int)) {
+// testCrashes submits a healthy job and one with a task that crashes its workers, and checks that
+// only the latter fails. inject, if set, is called at each crash.
+func testCrashes(t *testing.T, s *system, c crash, gang bool, inject func(s *system, crashes int)) {
 	t.Helper()
-	sound := s.simpleJob(6, 2*time.Second)
-	s.submit(sound, 1)
-	bad := s.simpleJob(3, time.Second)
-	bad.Steps[0].Gang = gang
-	culprit := job.TaskName{Job: bad.ID}
+	healthy := s.simpleJob(6, 2*time.Second)
+	s.submit(healthy, 1)
+	crashing := s.simpleJob(3, time.Second)
+	crashing.Steps[0].Gang = gang
+	culprit := job.TaskName{Job: crashing.ID}
 	s.workers.CrashOn(culprit, c.after, c.away)
-	s.submit(bad, 0)
-	s.awaitCrashes(culprit, 90*time.Second, strike)
-	if n := s.workers.CrashesBy(culprit); n < 2 || n > mostCrashes {
-		t.Errorf("the task crashed %d workers, want 2 to %d", n, mostCrashes)
+	s.submit(crashing, 0)
+	s.awaitCrashes(culprit, 90*time.Second, inject)
+	if n := s.workers.CrashesBy(culprit); n < 2 || n > maxCrashes {
+		t.Errorf("the task crashed %d workers, want 2 to %d", n, maxCrashes)
 	}
-	if phase := s.phase(bad.ID); phase != job.Failed {
-		t.Errorf("its job is %v, want failed", phase)
+	if phase := s.phase(crashing.ID); phase != job.Failed {
+		t.Errorf("the job of the task is %v, want failed", phase)
 	}
-	if s.workers.AnyRun(bad.ID) {
-		t.Error("its job still runs")
+	if s.workers.AnyRun(crashing.ID) {
+		t.Error("the job of the task still runs")
 	}
-	if phase := s.phase(sound.ID); phase != job.Completed {
-		t.Errorf("the sound job is %v, want completed", phase)
+	if phase := s.phase(healthy.ID); phase != job.Completed {
+		t.Errorf("the healthy job is %v, want completed", phase)
 	}
 }
 
-// crash says how long after its start a task crashes its workers, and how long they are away.
+// crash is the time from the start of a task to the crash of its worker, and the downtime of the
+// worker.
 type crash struct{ after, away time.Duration }
 
-// mostCrashes is how many workers a task may crash: three, and two more starts.
-const mostCrashes = 5
+// maxCrashes is the number of workers that a task may crash: three, and two more starts.
+const maxCrashes = 5
 
-// awaitCrashes lets time pass, and calls strike at each crash by a task.
-func (s *system) awaitCrashes(name job.TaskName, length time.Duration, strike func(s *system, crashes int)) {
+// awaitCrashes waits for the given time, and calls inject at each crash caused by a task.
+func (s *system) awaitCrashes(name job.TaskName, length time.Duration, inject func(s *system, crashes int)) {
 	seen := 0
 	for began := time.Now(); time.Since(began) < length; time.Sleep(20 * time.Millisecond) {
 		if n := s.workers.CrashesBy(name); n > seen {
 			seen = n
-			if strike != nil {
-				strike(s, n)
+			if inject != nil {
+				inject(s, n)
 			}
 		}
 	}
 }
 
-// phase returns the phase of a job, as the first entry says.
+// phase returns the phase of a job as reported by the first entry.
 func (s *system) phase(id job.ID) job.Phase {
 	s.t.Helper()
 	phase, err := s.entries[0].admission.Phase(s.ctx, admission.Call{Job: id})
@@ -115,14 +116,14 @@
 	return phase
 }
 
-// TestSoundJobsAreKept: jobs whose workers crash for other reasons are completed, even if that
-// happens often.
+// TestSoundJobsAreKept checks that jobs whose workers crash for other reasons are completed, even
+// if that happens often.
 func TestSoundJobsAreKept(t *testing.T) {
 	tests := []struct {
 		name   string
-		strike func(s *system, round int)
+		inject func(s *system, round int)
 	}{
-		{"power is lost for all", func(s *system, _ int) { s.loseAll() }},
+		{"power is lost for all", func(s *system, _ int) { s.powerCycle() }},
 		{"a rack is lost", func(s *system, _ int) {
 			for _, w := range s.worker[:rackSize] {
 				w.Crash(time.Second)
@@ -132,11 +133,11 @@
 		{"workers crash in turn", func(s *system, round int) {
 			s.worker[round%workerCount].CrashProcess(2 * time.Second)
 		}},
-		{"workers leave", func(s *system, round int) { s.worker[round%workerCount].Leave(2 * time.Second) }},
+		{"workers leave", func(s *system, round int) { s.worker[round%workerCount].Drain(2 * time.Second) }},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			within(t, func(t *testing.T, s *system) {
+			runWithSystem(t, func(t *testing.T, s *system) {
 				s.workers.Work = 4 * time.Second
 				var jobs []job.ID
 				for range 6 {
@@ -146,12 +147,12 @@
 				}
 				for round := range 4 {
 					time.Sleep(2500 * time.Millisecond)
-					test.strike(s, round)
+					test.inject(s, round)
 				}
 				time.Sleep(40 * time.Second)
 				completed := func(id job.ID) bool { return s.phase(id) == job.Completed }
 				if open := slices.DeleteFunc(slices.Clone(jobs), completed); len(open) > 0 {
-					t.Errorf("%d of %d sound jobs are not completed", len(open), len(jobs))
+					t.Errorf("%d of %d healthy jobs are not completed", len(open), len(jobs))
 				}
 			})
 		})
--- a/jobs/jobtest/disturb_test.go
+++ b/jobs/jobtest/disturb_test.go
@@ -7,17 +7,17 @@
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
-// disturbance is one drawn fault of a day.
+// disturbance is one random fault of a day.
 type disturbance struct {
 	*system
-	// entry and agent are the indexes of those that it may strike.
+	// entry and agent are the indexes of the entry and the agent that the fault may affect.
 	entry, agent int
 	length       time.Duration
-	// store is how the store fails, if it does.
+	// store is the fault of the store, for the kinds that inject one.
 	store jobtest.Fault
 }
 
-// disturb draws a fault and injects it. Faults overlap; each ends by itself.
+// disturb injects a random fault. Faults overlap; each ends on its own.
 func (s *system) disturb() {
 	r := s.random
 	d := &disturbance{system: s, entry: r.IntN(entryCount), agent: r.IntN(workerCount)}
@@ -31,7 +31,7 @@
 		{Lost: 0.4, Late: true},
 	}
 	d.store = stores[r.IntN(len(stores))]
-	// The order of the kinds decides what a seed draws.
+	// The order of the kinds determines what a seed draws.
 	kinds := []func(){
 		d.restartEntry,
 		d.restartAgent,
@@ -75,27 +75,28 @@
 	d.after(func() { d.setFault("", jobtest.Fault{}) })
 }
 
-// cut drops all messages from one process to another.
+// cut drops all messages from one process to another for a time.
 func (d *disturbance) cut(from, to *process, length time.Duration) {
 	d.network.Cut("http://"+from.name, "http://"+to.name, true)
 	time.AfterFunc(length, func() { d.network.Cut("http://"+from.name, "http://"+to.name, false) })
 }
 
-// cutAgent lets no entry hear one agent.
+// cutAgent drops all messages from one agent to the entries.
 func (d *disturbance) cutAgent() {
 	for _, e := range d.entries {
 		d.cut(d.agents[d.agent], e, d.length)
 	}
 }
 
-// cutEntry lets one entry hear no agent.
+// cutEntry drops all messages from the agents to one entry.
 func (d *disturbance) cutEntry() {
 	for _, a := range d.agents {
 		d.cut(a, d.entries[d.entry], d.length)
 	}
 }
 
-// isolateEntry lets one entry hear nobody for a long time, while it still reaches the log.
+// isolateEntry drops all messages to one entry for a long time, while the entry still reaches the
+// log.
 func (d *disturbance) isolateEntry() {
 	for _, p := range append(slices.Clone(d.agents), d.entries...) {
 		d.cut(p, d.entries[d.entry], 3*d.length)
@@ -116,7 +117,7 @@
 	d.after(func() { w.SetLate(0) })
 }
 
-func (d *disturbance) drainWorker() { d.worker().Leave(d.length) }
+func (d *disturbance) drainWorker() { d.worker().Drain(d.length) }
 
 func (d *disturbance) freezeEntry() {
 	address := "http://" + d.entries[d.entry].name
--- a/jobs/jobtest/draw_test.go
+++ b/jobs/jobtest/draw_test.go
@@ -7,7 +7,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// drawJob draws a job, as callers submit them, and its queue.
+// drawJob returns a random job, as callers submit it, and its queue.
 func (s *system) drawJob() (*job.Job, int) {
 	s.number++
 	queue := s.random.IntN(3)
@@ -43,7 +43,7 @@
 		j.RoundCount, j.FirstRound, j.RoundInterval = 2, time.Now().Add(time.Second), 3*time.Second
 	case 1:
 		j.Steps = []job.Step{s.drawServing()}
-		s.lasting = append(s.lasting, j)
+		s.longRunning = append(s.longRunning, j)
 	case 2:
 		for i := range j.Steps {
 			j.Steps[i].BestEffort, j.Steps[i].Gang, j.Steps[i].SameRack = true, false, false
@@ -52,7 +52,7 @@
 	return j, queue
 }
 
-// drawServing draws a step that serves users until it is cancelled.
+// drawServing returns a random step that serves users until it is cancelled.
 func (s *system) drawServing() job.Step {
 	return job.Step{
 		Tasks:             1 + s.random.IntN(3),
--- a/jobs/jobtest/golden_test.go
+++ b/jobs/jobtest/golden_test.go
@@ -17,7 +17,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// lineBuffer gathers the log lines of all processes.
+// lineBuffer collects the log lines of all processes.
 type lineBuffer struct {
 	mu    sync.Mutex
 	lines bytes.Buffer
@@ -30,8 +30,7 @@
 	return b.lines.Write(line)
 }
 
-// fields returns the names of the fields of the log lines of each step and event, those of all its
-// lines together.
+// fields returns the names of the fields that occur in the log lines of each step and event.
 func (b *lineBuffer) fields(t *testing.T) map[string][]string {
 	t.Helper()
 	b.mu.Lock()
@@ -55,15 +54,15 @@
 	return found
 }
 
-// TestGoldenLogLines: the command-line tool reads these lines of the leader, and of the agents, by
-// their events and fields. A job that is stopped for an urgent one and ends later writes all of
+// TestGoldenLogLines compares the fields of the log lines of the leader and the agents that the
+// command-line tool reads. A job that is preempted for an urgent one and ends later produces all of
 // them.
 func TestGoldenLogLines(t *testing.T) {
 	var logs lineBuffer
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		logger := zerolog.New(&logs).With().Timestamp().Logger()
-		s := newSystem(ctx, t, 1, shape{logger: &logger})
+		s := newSystem(ctx, t, 1, systemOptions{logger: &logger})
 		defer func() {
 			cancel()
 			time.Sleep(30 * time.Second)
@@ -73,13 +72,13 @@
 		s.workers.SetWork(20 * time.Second)
 		wide := s.wideJob(1, 20*time.Second)
 		s.submit(wide, 1)
-		// What is lost so far is less than what the urgent job is worth.
+		// The work lost so far is worth less than the urgent job, so it is preempted.
 		time.Sleep(500 * time.Millisecond)
 		s.workers.SetWork(time.Second)
 		urgent := s.wideJob(0, time.Second)
 		s.submit(urgent, 0)
-		s.completed(urgent.ID, 30*time.Second)
-		s.completed(wide.ID, 2*time.Minute)
+		s.awaitCompleted(urgent.ID, 30*time.Second)
+		s.awaitCompleted(wide.ID, 2*time.Minute)
 		time.Sleep(2 * time.Second)
 	})
 	lines := make(map[string][]string)
@@ -91,11 +90,11 @@
 	}
 	goldentest.JSON(t, "log-fields", lines)
 	if !strings.Contains(logs.lines.String(), `"why":"it yields to `) {
-		t.Error("no line says for which task a run is stopped")
+		t.Error("no line names the task for which a run is stopped")
 	}
 }
 
-// wideJob is a job that takes all accelerators of all workers.
+// wideJob returns a job that takes all accelerators of all workers.
 func (s *system) wideJob(priority int, length time.Duration) *job.Job {
 	j := s.simpleJob(workerCount, length)
 	j.Priority, j.Steps[0].Resources.Accelerators = priority, 8
--- a/jobs/jobtest/late_starts_test.go
+++ b/jobs/jobtest/late_starts_test.go
@@ -8,21 +8,21 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// TestLateStart: a start that got no answer, and that a later incarnation of its worker carries out
-// under the same ID, never runs beside the next run of its task.
+// TestLateStart checks that a start that got no response, and that a later incarnation of its
+// worker executes under the same ID, never runs at the same time as the next run of its task.
 //
-// The run was given up with the former incarnation, or with its lease, and its task started
-// elsewhere while the late start ran.
+// It guards against a run that is given up with its incarnation or lease, so that its task starts
+// elsewhere while the late start runs.
 func TestLateStart(t *testing.T) {
 	tests := []struct {
 		name string
-		// answered says that the start is sent again and answered, so that the run is known to have
-		// been there before the worker crashes.
+		// answered is set if the start is sent again and answered, so that the run is known to have
+		// been on the worker before the crash.
 		answered bool
-		// reachable is how long after its crash the worker is reached again.
+		// reachable is the time from the crash of the worker until it is reachable again.
 		reachable time.Duration
-		// strike fails something else when the worker crashes.
-		strike func(s *system, w int)
+		// inject injects another fault when the worker crashes.
+		inject func(s *system, w int)
 	}{
 		{"the later incarnation is reached while the run is there", false, 9 * time.Second, nil},
 		{"it is not reached until the run's lease is over", false, 25 * time.Second, nil},
@@ -33,11 +33,12 @@
 		{"the leader is killed too", false, 9 * time.Second, func(s *system, _ int) {
 			s.killLeader(time.Second)
 		}},
-		{"the leader and the agent are killed too, and the worker crashes again", false, 2900 * time.Millisecond, (*system).killAllWhoKnow},
+		{"the leader and the agent are killed too, and the worker crashes again", false,
+			2900 * time.Millisecond, (*system).killLeaderAndAgent},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			withinShape(t, shape{sameID: 1}, func(t *testing.T, s *system) {
+			runWithOptions(t, systemOptions{sameID: 1}, func(t *testing.T, s *system) {
 				s.workers.SetWork(20 * time.Second)
 				j := s.simpleJob(1, 20*time.Second)
 				w := s.submitDelayed(j, 5*time.Second)
@@ -46,8 +47,8 @@
 				}
 				s.worker[w].CrashProcess(100 * time.Millisecond)
 				s.worker[w].SetUnreachable(true)
-				if test.strike != nil {
-					test.strike(s, w)
+				if test.inject != nil {
+					test.inject(s, w)
 				}
 				time.Sleep(test.reachable)
 				s.worker[w].SetUnreachable(false)
@@ -55,18 +56,19 @@
 				if phase := s.phase(j.ID); phase != job.Completed {
 					t.Errorf("the job is %v, want completed", phase)
 				}
-				if s.workers.Strays > 0 {
-					t.Errorf("%d late starts ran beside the next run", s.workers.Strays)
+				if s.workers.StaleStarts > 0 {
+					t.Errorf("%d late starts overlapped the next run", s.workers.StaleStarts)
 				}
 			})
 		})
 	}
 }
 
-// killAllWhoKnow kills the leader and the agent of a worker, so that those who follow have not seen
-// the start that is under way. The worker's next incarnation has seen their fence by the time that
-// the late start comes, so it crashes once more; its zone is cordoned, so the next run is elsewhere.
-func (s *system) killAllWhoKnow(w int) {
+// killLeaderAndAgent kills the leader and the agent of a worker, so that their successors have not
+// seen the start that is in flight. By the time the late start arrives, the worker's next
+// incarnation has seen their fence, so the worker crashes once more. Its zone is cordoned, so the
+// next run is on another worker.
+func (s *system) killLeaderAndAgent(w int) {
 	s.cordon(zoneOf(w))
 	s.killLeader(time.Second)
 	go s.restart(s.agents[w], func() { s.startAgent(w) }, 2*time.Second)
@@ -77,8 +79,8 @@
 	time.AfterFunc(10*time.Second, func() { s.worker[w].SetUnreachable(false) })
 }
 
-// submitDelayed submits a job of one task, of which the first start gets no answer and is carried
-// out after a delay, and returns the worker of that start.
+// submitDelayed submits a job with one task whose first start gets no response and is executed
+// after a delay, and returns the index of the worker of that start.
 func (s *system) submitDelayed(j *job.Job, delay time.Duration) (worker int) {
 	s.t.Helper()
 	each := func(delay time.Duration) (delayed int) {
@@ -103,12 +105,13 @@
 	return 0
 }
 
-// TestHoldEndsUnderNextLeader: a task that waits for a late start starts again as soon as that can't
-// come any more, also if the leader that has held it is gone.
+// TestHoldEndsUnderNextLeader checks that a task that is held for a late start starts again as soon
+// as that start can no longer arrive, even if the leader that held it is gone.
 //
-// It waited for 20 s: that its worker's list had closed the start was heard by the former leader only.
+// It guards against a hold of 20 s: only the former leader had learned from the worker's list that
+// the start was closed.
 func TestHoldEndsUnderNextLeader(t *testing.T) {
-	withinShape(t, shape{sameID: 1}, func(t *testing.T, s *system) {
+	runWithOptions(t, systemOptions{sameID: 1}, func(t *testing.T, s *system) {
 		s.workers.SetWork(time.Second)
 		j := s.simpleJob(1, time.Second)
 		w := s.submitDelayed(j, time.Hour)
@@ -117,7 +120,7 @@
 		began := time.Now()
 		time.Sleep(3 * time.Second)
 		s.killLeader(time.Second)
-		// The next leader hears the agent, places the task and the run ends within 3 s.
-		s.completed(j.ID, time.Until(began.Add(assignment.MaxOrderDelay+3*time.Second)))
+		// Within 3 s the next leader hears from the agent, places the task, and the run ends.
+		s.awaitCompleted(j.ID, time.Until(began.Add(assignment.MaxOrderDelay+3*time.Second)))
 	})
 }
--- a/jobs/jobtest/log.go
+++ b/jobs/jobtest/log.go
@@ -1,9 +1,9 @@
-// Package jobtest holds fakes for tests of jobs: a keyed log that can be down, slow, and lose or
-// delay appends, and workers that hold leases, check fences, keep gangs together, and check the
-// rules for what they are told to do.
+// Package jobtest provides fakes for tests of jobs: a keyed log with injectable faults
+// (unavailability, delay, lost and delayed appends), and workers that hold leases, check fences,
+// run gangs, and verify that the orders they receive obey the rules of scheduling.
 //
-// Both work in memory and on the runtime's clock, which tests can pause. The tests of this package
-// play days of drawn jobs and faults against the real entries and agents.
+// Both run in memory and on the runtime's clock, which tests can control with synctest. The tests
+// of this package simulate days of random jobs and faults against the real entries and agents.
 //
 // # Usage
 //
@@ -23,43 +23,43 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// Fault is how the log treats a client.
+// Fault describes how the log fails for a client.
 type Fault struct {
-	// Silent calls have no effect and get no answer.
+	// Silent makes calls hang without effect until their context ends.
 	Silent bool
-	// Refuse lets calls fail at once, without an effect.
+	// Refuse makes calls fail at once, without effect.
 	Refuse bool
-	// Reset lets calls fail at once; half of the appends take effect all the same.
+	// Reset makes calls fail at once; a random half of the appends take effect nevertheless.
 	Reset bool
-	// Deaf reads, those that wait for new records, get no answer. All others do.
-	Deaf bool
-	// Delay is added to each answer.
+	// SilentLongPolls makes reads that wait for new records hang; other calls are answered.
+	SilentLongPolls bool
+	// Delay is added to the latency of each call.
 	Delay time.Duration
-	// Lost is the share of appends that take effect and get no answer. With Late they take effect
-	// seconds later.
+	// Lost is the share of appends that take effect but get no response. With Late, they take
+	// effect 1 to 5 s later.
 	Lost float64
 	Late bool
 }
 
-// Log is a keyed topic in memory.
+// Log is an in-memory keyed topic.
 type Log struct {
 	mu      sync.Mutex
 	records []topic.StoredRecord
-	// first is the offset of the oldest record that reads can start from.
+	// first is the offset of the oldest record that can be read.
 	first int64
-	// epochs and sequences hold the newest of each producer, and answers the offset that each of
-	// its appends got.
+	// epochs and sequences hold the newest epoch and sequence number of each producer; answers
+	// holds the offset returned for each of its appends.
 	epochs    map[string]int64
 	sequences map[string]int64
 	answers   map[string]map[int64]int64
-	// faults are by the name of the client.
+	// faults maps the names of clients to their faults.
 	faults map[string]Fault
 	random *rand.Rand
 	// changed is closed and replaced at each append.
 	changed chan struct{}
 }
 
-// NewLog returns an empty topic without faults. The seed draws which answers are lost.
+// NewLog returns an empty log without faults. The seed determines which responses are lost.
 func NewLog(seed uint64) *Log {
 	return &Log{
 		epochs:    map[string]int64{},
@@ -71,32 +71,33 @@
 	}
 }
 
-// SetFault sets the fault of a client. The empty name stands for all clients without a fault of
-// their own.
+// SetFault sets the fault of a client. The empty name sets the fault of all clients that have none
+// of their own.
 func (l *Log) SetFault(client string, f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults[client] = f
 }
 
-// Heal ends all faults.
+// Heal clears all faults.
 func (l *Log) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	clear(l.faults)
 }
 
-// Expire drops all records but the newest of each key.
+// Expire makes all existing records unavailable to Read, as if their retention had ended. Newest
+// still returns the newest record of each key.
 func (l *Log) Expire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.first = int64(len(l.records))
 }
 
-// Client returns the log as the process of the name reaches it.
+// Client returns the client of the log for the named process.
 func (l *Log) Client(name string) *LogClient { return &LogClient{log: l, name: name} }
 
-// LogClient is the log as one process reaches it. It implements topic.Log.
+// LogClient is the connection of one process to the log. It implements topic.Log.
 type LogClient struct {
 	log  *Log
 	name string
@@ -104,13 +105,13 @@
 
 var _ topic.Log = (*LogClient)(nil)
 
-// callDelay is how long each call takes.
+// callDelay is the base latency of each call.
 const callDelay = 4 * time.Millisecond
 
 var errReset = errors.New("connection reset")
 
-// applyFault applies the part of the client's fault that comes before a call, and returns it for
-// the rest.
+// applyFault applies the part of the client's fault that precedes the call, and returns the fault
+// so that the caller can apply the rest.
 func (c *LogClient) applyFault(ctx context.Context) (Fault, error) {
 	c.log.mu.Lock()
 	fault, ok := c.log.faults[c.name]
@@ -161,8 +162,9 @@
 	return offset, err
 }
 
-// append carries an append out. As on the users' platform, an append that repeats a sequence number
-// of its producer gets the first one's answer, before other conditions are checked.
+// append appends records if the condition holds. As on the users' platform, an append that repeats
+// a sequence number of its producer returns the result of the first one, before the other
+// conditions are checked.
 func (l *Log) append(records []topic.Record, condition topic.Condition) (int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -208,7 +210,7 @@
 	if fault.Reset {
 		return topic.Batch{}, errReset
 	}
-	if fault.Deaf && q.Wait > 0 {
+	if fault.SilentLongPolls && q.Wait > 0 {
 		<-ctx.Done()
 		return topic.Batch{}, ctx.Err()
 	}
@@ -270,7 +272,7 @@
 	return batch, nil
 }
 
-// sleep waits, and returns the error of ctx if it has ended.
+// sleep pauses for d, or until ctx ends, and returns the error of ctx.
 func sleep(ctx context.Context, d time.Duration) error {
 	pause.For(ctx, d)
 	return ctx.Err()
--- a/jobs/jobtest/orders.go
+++ b/jobs/jobtest/orders.go
@@ -12,85 +12,85 @@
 
 var errLost = errors.New("the answer was lost")
 
-// order applies the worker's faults to an order, and carries it out at once or late.
-func (w *Worker) order(ctx context.Context, o runner.Order, carry func() error) (int64, error) {
+// order applies the worker's faults to an order, and executes it now or later.
+func (w *Worker) order(ctx context.Context, o runner.Order, apply func() error) (int64, error) {
 	if err := sleep(ctx, time.Millisecond); err != nil {
 		return 0, err
 	}
-	w.all.mu.Lock()
-	defer w.all.mu.Unlock()
+	w.workers.mu.Lock()
+	defer w.workers.mu.Unlock()
 	if !w.up || w.unreachable {
 		return 0, w.unavailable(ctx)
 	}
-	if w.all.random.Float64() < w.lateShare {
-		return 0, w.carryOutAfter(ctx, time.Duration(2+w.all.random.IntN(10))*time.Second, o, carry)
+	if w.workers.random.Float64() < w.lateShare {
+		return 0, w.executeAfter(ctx, time.Duration(2+w.workers.random.IntN(10))*time.Second, o, apply)
 	}
-	return w.clock(time.Now()), w.carryOut(o, carry)
+	return w.clock(time.Now()), w.execute(o, apply)
 }
 
-// carryOutAfter carries an order out after a delay, if the worker is up then, and returns the error
-// of its caller, which gives up before. The lock must be held; it is released meanwhile.
-func (w *Worker) carryOutAfter(ctx context.Context, delay time.Duration, o runner.Order, carry func() error) error {
+// executeAfter executes an order after a delay if the worker is up by then. It blocks until ctx
+// ends and returns errLost. The caller must hold the lock, which is released while waiting.
+func (w *Worker) executeAfter(ctx context.Context, delay time.Duration, o runner.Order, apply func() error) error {
 	time.AfterFunc(delay, func() {
-		w.all.mu.Lock()
-		defer w.all.mu.Unlock()
+		w.workers.mu.Lock()
+		defer w.workers.mu.Unlock()
 		if w.up {
-			w.late = true
-			w.logLate(o, w.carryOut(o, carry))
-			w.late = false
+			w.executingLate = true
+			w.logLate(o, w.execute(o, apply))
+			w.executingLate = false
 		}
 	})
-	w.all.mu.Unlock()
+	w.workers.mu.Unlock()
 	<-ctx.Done()
-	w.all.mu.Lock()
+	w.workers.mu.Lock()
 	return errLost
 }
 
-// carryOut checks the incarnation and the fence, and then carries the order out. The lock must be
-// held.
-func (w *Worker) carryOut(o runner.Order, carry func() error) error {
+// execute checks the incarnation and the fence of an order, and then applies it. The caller must
+// hold the lock.
+func (w *Worker) execute(o runner.Order, apply func() error) error {
 	if !o.Incarnation.SharesInstance(w.state.ID) {
 		return runner.ErrOtherIncarnation
 	}
 	if o.Fence < w.fence {
 		return runner.ErrFenced
 	}
-	w.stray = w.late && o.Incarnation != w.state.ID && w.fence <= o.Fence
+	w.staleOrder = w.executingLate && o.Incarnation != w.state.ID && w.fence <= o.Fence
 	w.fence = o.Fence
 	w.advance(time.Now())
-	return carry()
+	return apply()
 }
 
-// logLate logs what became of an order that came late. The lock must be held.
+// logLate logs the result of an order that was executed late. The caller must hold the lock.
 func (w *Worker) logLate(o runner.Order, err error) {
-	w.all.Logger.Info().Str("step", "jobtest.late").Str("worker", w.name).
+	w.workers.Logger.Info().Str("step", "jobtest.late").Str("worker", w.name).
 		Stringer("sent_to", o.Incarnation).Stringer("incarnation", w.state.ID).
-		Int64("fence", o.Fence).Err(err).Msg("order is carried out late")
+		Int64("fence", o.Fence).Err(err).Msg("order executed late")
 }
 
-// logStart logs a run that starts. The lock must be held.
+// logStart logs the start of a run. The caller must hold the lock.
 func (w *Worker) logStart(s assignment.Start) {
-	w.all.Logger.Info().Str("step", "jobtest.start").Str("worker", w.name).
+	w.workers.Logger.Info().Str("step", "jobtest.start").Str("worker", w.name).
 		Stringer("task", s.Task).Int("run", s.Run).Stringer("incarnation", w.state.ID).
-		Bool("late", w.late).Bool("stray", w.stray).Int64("fence", w.fence).Msg("run starts")
+		Bool("late", w.executingLate).Bool("stray", w.staleOrder).Int64("fence", w.fence).Msg("run started")
 }
 
-// extend extends the lease to a time of the worker's clock, in milliseconds.
+// extend extends the lease up to a time of the worker's clock, in milliseconds.
 func (w *Worker) extend(until int64) {
 	w.leaseEnd = max(w.leaseEnd, min(until, w.clock(time.Now())+maxLease.Milliseconds()))
 }
 
 // Start implements runner.Worker.
 func (w *Worker) Start(ctx context.Context, o runner.Order, s assignment.Start, until int64) (int64, error) {
-	carry := func() error { return w.start(s, until) }
-	w.all.mu.Lock()
+	apply := func() error { return w.start(s, until) }
+	w.workers.mu.Lock()
 	if w.startDelay > 0 && w.up && !w.unreachable {
 		w.delayedStarts++
-		defer w.all.mu.Unlock()
-		return 0, w.carryOutAfter(ctx, w.startDelay, o, carry)
+		defer w.workers.mu.Unlock()
+		return 0, w.executeAfter(ctx, w.startDelay, o, apply)
 	}
-	w.all.mu.Unlock()
-	return w.order(ctx, o, carry)
+	w.workers.mu.Unlock()
+	return w.order(ctx, o, apply)
 }
 
 func (w *Worker) start(s assignment.Start, until int64) error {
@@ -106,35 +106,35 @@
 		w.extend(until)
 		return runner.ErrAlreadyRan
 	}
-	step := w.all.stepOf(s.Task)
+	step := w.workers.stepOf(s.Task)
 	w.extend(until)
 	if !w.overcommits && !step.Reserved().FitsIn(w.free()) {
 		return runner.ErrNoCapacity
 	}
 	w.logStart(s)
-	w.all.checkStart(w, s)
-	w.all.checkCapacity(w, s, step.Reserved())
+	w.workers.checkStart(w, s)
+	w.workers.checkCapacity(w, s, step.Reserved())
 	r := &run{
-		id:        s.RunID,
-		resources: step.Reserved(),
-		arrivedAt: now,
-		work:      w.all.workOf(s.Task),
-		fails:     w.all.random.Float64() < w.all.FailureShare,
-		speed:     100,
-		lostUntil: now,
+		id:         s.RunID,
+		resources:  step.Reserved(),
+		arrivedAt:  now,
+		work:       w.workers.workOf(s.Task),
+		fails:      w.workers.random.Float64() < w.workers.FailureShare,
+		speed:      100,
+		advancedAt: now,
 	}
 	if r.resumedFrom, _ = time.ParseDuration(s.Checkpoint); !step.Gang {
 		r.startedAt = now
 	}
 	w.runs[s.Task] = r
-	w.all.Starts++
-	w.all.startsIn[w.state.Zone]++
-	w.all.everStarted[s.Task.Job] = true
-	return w.crashBy(r)
+	w.workers.Starts++
+	w.workers.startsIn[w.state.Zone]++
+	w.workers.everStarted[s.Task.Job] = true
+	return w.scheduleCrash(r)
 }
 
-// workOf returns how long a task works: one to three seconds unless Work is set, the same in each
-// run.
+// workOf returns the duration of a task: Work if it is set, and otherwise 1 to 3 s, the same in
+// each run.
 func (ws *Workers) workOf(name job.TaskName) time.Duration {
 	if ws.Work > 0 {
 		return ws.Work
@@ -144,7 +144,7 @@
 
 func (w *Worker) free() job.Resources { return w.freeOf(w.state.Capacity) }
 
-// freeOf returns what of a capacity is not in use.
+// freeOf returns the part of a capacity that is not in use.
 func (w *Worker) freeOf(capacity job.Resources) job.Resources {
 	free := capacity
 	for _, r := range w.runs {
@@ -188,21 +188,21 @@
 		if until > w.clock(time.Now()) {
 			w.extend(until)
 		}
-		w.forget(seen)
+		w.pruneEnds(seen)
 		return nil
 	})
 	if err != nil {
 		return l, clock, err
 	}
 	for waited := time.Duration(0); ; waited += tick {
-		w.all.mu.Lock()
+		w.workers.mu.Lock()
 		if !o.Incarnation.SharesInstance(w.state.ID) || !w.up || w.unreachable {
 			err := w.unavailable(ctx)
-			w.all.mu.Unlock()
+			w.workers.mu.Unlock()
 			return l, 0, err
 		}
 		l, clock = w.listing(), w.clock(time.Now())
-		w.all.mu.Unlock()
+		w.workers.mu.Unlock()
 		if len(l.Ends) > 0 || waited >= wait {
 			return l, clock, nil
 		}
@@ -212,11 +212,11 @@
 	}
 }
 
-// forget drops the ends that the leader has stored.
-func (w *Worker) forget(seen int64) {
-	if w.late && seen > 0 {
-		w.all.Logger.Info().Str("step", "jobtest.forget").Str("worker", w.name).Int64("up_to", seen).
-			Int("ends", len(w.ends)).Msg("ends are forgotten late")
+// pruneEnds drops the ends that the leader has stored.
+func (w *Worker) pruneEnds(seen int64) {
+	if w.executingLate && seen > 0 {
+		w.workers.Logger.Info().Str("step", "jobtest.forget").Str("worker", w.name).Int64("up_to", seen).
+			Int("ends", len(w.ends)).Msg("late order removed acknowledged ends")
 	}
 	var rest []assignment.End
 	for _, e := range w.ends {
@@ -224,10 +224,10 @@
 			rest = append(rest, e)
 			continue
 		}
-		// If the lease has ended since, the acknowledgement may be of an older leader and doesn't
-		// count.
+		// If the lease has expired since, the acknowledgement may come from an older leader and
+		// does not count.
 		if !w.leaseOverAt.After(w.endedAt[e.Number]) {
-			w.all.acknowledge(e)
+			w.workers.acknowledge(e)
 		}
 	}
 	w.ends = rest
@@ -244,7 +244,7 @@
 		l.Runs = append(l.Runs, assignment.Run{
 			RunID:         r.id,
 			Percent:       percent,
-			Checkpoint:    w.saved(r),
+			Checkpoint:    w.lastCheckpoint(r),
 			LatencyMillis: w.latencyMillis(r),
 		})
 	}
--- a/jobs/jobtest/provoked_test.go
+++ b/jobs/jobtest/provoked_test.go
@@ -7,45 +7,45 @@
 	"time"
 )
 
-// keptSeeds are provoked days on which a sound job was given up after one crash.
-var keptSeeds = []uint64{6053, 6086, 6098}
+// regressionSeeds are days on which a healthy job was given up after one crash.
+var regressionSeeds = []uint64{6053, 6086, 6098}
 
-// TestProvokedStarts plays days as TestSystemOfManyStarts does, on which workers carry orders out
-// late, crash meanwhile and are out of reach: it guards against a task that runs twice at once
-// since a start is carried out by a later incarnation of its worker.
+// TestProvokedStarts simulates days like TestSystemOfManyStarts, on which workers execute orders
+// late and meanwhile crash and are unreachable. It guards against a task that runs twice at once
+// because a later incarnation of its worker executes a start.
 func TestProvokedStarts(t *testing.T) {
-	playDrawn(t, shape{sameID: 0.9}, provoke)
+	simulateDays(t, systemOptions{sameID: 0.9}, provoke)
 }
 
-// TestProvokedKeptSeeds guards against a sound job that is given up after one crash, since starts
-// that were never sent counted as crashes too.
+// TestProvokedKeptSeeds guards against a healthy job that is given up after one crash because
+// starts that were never sent counted as crashes too.
 func TestProvokedKeptSeeds(t *testing.T) {
-	playSeeds(t, keptSeeds, shape{sameID: 0.9}, provoke)
+	simulateSeeds(t, regressionSeeds, systemOptions{sameID: 0.9}, provoke)
 }
 
-// TestProvokedAgents plays such days with agents and leaders that are killed: it guards against the
-// same faults where those who know of a start are gone.
+// TestProvokedAgents simulates such days with agents and leaders that are killed. It guards against
+// the same faults when the processes that know of a start are gone.
 func TestProvokedAgents(t *testing.T) {
-	playDrawn(t, shape{sameID: 0.9}, func(s *system, seed uint64) {
+	simulateDays(t, systemOptions{sameID: 0.9}, func(s *system, seed uint64) {
 		provoke(s, seed)
 		s.killProcesses(seed)
 	})
 }
 
-// TestProvokedSuccessors plays days on which a worker's agent and the leader are new while a start of
-// theirs is late, and the worker crashes again: it guards against a task that runs twice since nobody
-// who is left knows of the start.
+// TestProvokedSuccessors simulates days on which the agent of a worker and the leader are replaced
+// while a start of theirs is late, and the worker crashes again. It guards against a task that runs
+// twice because no remaining process knows of the start.
 func TestProvokedSuccessors(t *testing.T) {
-	playFew(t, shape{sameID: 0.9}, func(s *system, seed uint64) {
-		s.faultsUntil = time.Now().Add(provokedFor + 2*lastFault)
-		go s.killWhoKnows(rand.New(rand.NewPCG(seed, 19)))
+	simulateFewDays(t, systemOptions{sameID: 0.9}, func(s *system, seed uint64) {
+		s.faultsUntil = time.Now().Add(provokedDuration + 2*maxLastFault)
+		go s.replaceAgentsAndLeaders(rand.New(rand.NewPCG(seed, 19)))
 	})
 }
 
-// killWhoKnows lets starts on one worker after the other be late, crashes it, and kills its agent and
-// the leader. Once those that follow are heard, it crashes the worker again.
-func (s *system) killWhoKnows(r *rand.Rand) {
-	for end := time.Now().Add(provokedFor); time.Now().Before(end); {
+// replaceAgentsAndLeaders delays starts on a random worker, crashes it, and kills its agent and
+// sometimes the leader. Once their successors have been heard, it crashes the worker again.
+func (s *system) replaceAgentsAndLeaders(r *rand.Rand) {
+	for end := time.Now().Add(provokedDuration); time.Now().Before(end); {
 		i := r.IntN(workerCount)
 		w := s.worker[i]
 		w.SetLate(0.6)
@@ -67,16 +67,16 @@
 }
 
 const (
-	// provokedFor is how long workers and processes are disturbed on a provoked day.
-	provokedFor = 25 * time.Second
-	// lastFault bounds how long the last disturbance goes on.
-	lastFault = 3 * time.Second
+	// provokedDuration is the time for which workers and processes are disturbed on a provoked day.
+	provokedDuration = 25 * time.Second
+	// maxLastFault is the longest time that the last disturbance lasts.
+	maxLastFault = 3 * time.Second
 )
 
-// provoke disturbs one worker after the other: most orders to it are late, its process crashes, and
-// in half of the cases it is out of reach then.
+// provoke disturbs one random worker after another: most orders to it are late, its process
+// crashes, and in half of the cases it then becomes unreachable.
 func provoke(s *system, seed uint64) {
-	s.faultsUntil = time.Now().Add(provokedFor + lastFault)
+	s.faultsUntil = time.Now().Add(provokedDuration + maxLastFault)
 	restarting, stop := context.WithCancel(s.ctx)
 	go s.restartWorkers(restarting, rand.New(rand.NewPCG(seed, 4)))
 	r := rand.New(rand.NewPCG(seed, 9))
@@ -93,10 +93,10 @@
 			time.AfterFunc(2*time.Second, func() { w.SetLate(0) })
 		}
 	}()
-	time.AfterFunc(provokedFor, stop)
+	time.AfterFunc(provokedDuration, stop)
 }
 
-// killProcesses restarts agents in drawn ways, and now and then the leader.
+// killProcesses restarts agents at random, and occasionally the leader.
 func (s *system) killProcesses(seed uint64) {
 	ctx, stop := context.WithCancel(s.ctx)
 	r := rand.New(rand.NewPCG(seed, 11))
@@ -112,5 +112,5 @@
 			s.restart(s.agents[i], func() { s.startAgent(i) }, time.Duration(50+r.IntN(900))*time.Millisecond)
 		}
 	}()
-	time.AfterFunc(provokedFor, stop)
+	time.AfterFunc(provokedDuration, stop)
 }
--- a/jobs/jobtest/recovery_test.go
+++ b/jobs/jobtest/recovery_test.go
@@ -12,16 +12,18 @@
 	"yarrowgrade.example/yarrowgrade/jobs/jobtest"
 )
 
-// within runs a test in a bubble with a system that has started.
-func within(t *testing.T, f func(t *testing.T, s *system)) { withinShape(t, shape{}, f) }
+// runWithSystem runs a test in a synctest bubble with a default system that has started.
+func runWithSystem(t *testing.T, f func(t *testing.T, s *system)) {
+	runWithOptions(t, systemOptions{}, f)
+}
 
-// withinShape is within for a system that differs from an ordinary one.
-func withinShape(t *testing.T, sh shape, f func(t *testing.T, s *system)) {
+// runWithOptions is runWithSystem with options for the system.
+func runWithOptions(t *testing.T, opts systemOptions, f func(t *testing.T, s *system)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		s := newSystem(ctx, t, 1, sh)
+		s := newSystem(ctx, t, 1, opts)
 		defer func() {
-			// Messages to a frozen process wait until it is thawed.
+			// Messages to a frozen process block until it is thawed.
 			s.network.Heal()
 			cancel()
 			time.Sleep(30 * time.Second)
@@ -43,11 +45,11 @@
 			return e
 		}
 	}
-	s.t.Fatal("nobody leads")
+	s.t.Fatal("no entry leads")
 	return nil
 }
 
-// killLeader kills the entry that leads, if one does at present, and restarts it after the time.
+// killLeader kills the entry that leads, if any, and restarts it after the downtime away.
 func (s *system) killLeader(away time.Duration) {
 	for i, e := range s.entries {
 		if leader, _, _ := e.replica.Leader(); leader.Address == e.name {
@@ -73,8 +75,8 @@
 	}
 }
 
-// completed waits until a job is completed, and returns how long that took.
-func (s *system) completed(id job.ID, limit time.Duration) time.Duration {
+// awaitCompleted waits until a job is completed, and returns the time that this took.
+func (s *system) awaitCompleted(id job.ID, limit time.Duration) time.Duration {
 	s.t.Helper()
 	began := time.Now()
 	for time.Since(began) < limit {
@@ -87,8 +89,8 @@
 	return 0
 }
 
-// TestTakeover: how long jobs wait after the leader is lost in different ways. The bounds follow
-// from the timing, with a second for the job itself.
+// TestTakeover checks the delay of jobs after the leader is lost in different ways. The bounds
+// follow from the timing, plus one second for the job itself.
 func TestTakeover(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -110,20 +112,20 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			within(t, func(t *testing.T, s *system) {
+			runWithSystem(t, func(t *testing.T, s *system) {
 				lost := s.leader()
 				test.lose(s, lost)
-				// Polls that the lost leader held are answered by now.
+				// Polls that the lost leader held have been answered by now.
 				time.Sleep(time.Second)
 				j := s.simpleJob(2, time.Second)
 				for i, e := range s.entries {
 					if e == lost {
-						s.number = i // submit begins at the entry after it
+						s.number = i // submit begins at the next entry
 					}
 				}
 				j.ID = "00000000000000ff"
 				s.submit(j, 1)
-				took := s.completed(j.ID, 60*time.Second)
+				took := s.awaitCompleted(j.ID, 60*time.Second)
 				t.Logf("completed %v after the loss", took)
 				if took > test.bound {
 					t.Errorf("completed %v after the loss, want at most %v", took, test.bound)
@@ -133,10 +135,10 @@
 	}
 }
 
-// TestOutage: while the log is down for all, the leader goes on leading, and running work goes on.
-// After that new jobs start at once.
+// TestOutage checks that while the log is unavailable to all processes, the leader keeps its lead
+// and running work continues.
 func TestOutage(t *testing.T) {
-	within(t, func(t *testing.T, s *system) {
+	runWithSystem(t, func(t *testing.T, s *system) {
 		s.workers.Work = 8 * time.Second
 		running := s.simpleJob(2, 8*time.Second)
 		s.submit(running, 1)
@@ -147,30 +149,30 @@
 		s.log.SetFault("", jobtest.Fault{})
 		time.Sleep(2 * time.Second)
 		if after := s.leader(); after != before {
-			t.Errorf("leadership went from %s to %s", before.name, after.name)
+			t.Errorf("the leader changed from %s to %s", before.name, after.name)
 		}
-		s.completed(running.ID, 5*time.Second)
+		s.awaitCompleted(running.ID, 5*time.Second)
 		if s.workers.Starts != 2 {
-			t.Errorf("%d runs started, want 2: work was lost by the outage", s.workers.Starts)
+			t.Errorf("%d runs started, want 2: the outage lost work", s.workers.Starts)
 		}
 	})
 }
 
-// TestResign: after an entry resigns, another one leads at once. The old leader, which follows for
-// some seconds more, must not claim the lead again.
+// TestResign checks that another entry leads right after an entry resigns. The old leader, which
+// follows for some more seconds, must not claim the lead again.
 func TestResign(t *testing.T) {
 	for seed := range 5 {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			within(t, func(t *testing.T, s *system) {
+			runWithSystem(t, func(t *testing.T, s *system) {
 				time.Sleep(time.Duration(seed) * 70 * time.Millisecond)
 				leaving := s.leader()
 				began := time.Now()
 				leaving.candidate.Resign()
 				j := s.simpleJob(2, time.Second)
 				s.submit(j, 1)
-				s.completed(j.ID, 20*time.Second)
+				s.awaitCompleted(j.ID, 20*time.Second)
 				if took := time.Since(began); took > 3*time.Second {
-					t.Errorf("a job of a second is completed %v after leadership was given up", took)
+					t.Errorf("a job of 1 s is completed %v after the leader resigned", took)
 				}
 				if s.leader() == leaving {
 					t.Errorf("%s leads again", leaving.name)
@@ -180,8 +182,8 @@
 	}
 }
 
-// loseAll cuts the power of all processes and workers for a second.
-func (s *system) loseAll() {
+// powerCycle cuts the power of all processes and workers for about a second.
+func (s *system) powerCycle() {
 	for _, p := range append(slices.Clone(s.entries), s.agents...) {
 		s.kill(p)
 	}
@@ -197,28 +199,28 @@
 	}
 }
 
-// TestPowerLoss: after a loss of power one of the entries leads within 0.3 s, and accepted jobs go
-// on.
+// TestPowerLoss checks that an entry leads within 0.3 s after a power loss, and that accepted jobs
+// continue.
 func TestPowerLoss(t *testing.T) {
-	within(t, func(t *testing.T, s *system) {
+	runWithSystem(t, func(t *testing.T, s *system) {
 		s.workers.Work = 2 * time.Second
 		j := s.simpleJob(2, 2*time.Second)
 		s.submit(j, 1)
 		time.Sleep(500 * time.Millisecond)
 		lost := s.leader().incarnation
-		s.loseAll()
+		s.powerCycle()
 		time.Sleep(300 * time.Millisecond)
 		if leader, _, _ := s.entries[0].replica.Leader(); leader.Term != 2 || lost != 1 {
-			t.Errorf("0.3 s after the start the leader is %+v, want one of term 2", leader)
+			t.Errorf("the leader 0.3 s after the restart is %+v, want one of term 2", leader)
 		}
-		s.completed(j.ID, 4*time.Second)
+		s.awaitCompleted(j.ID, 4*time.Second)
 	})
 }
 
-// TestLargerLeads: the entry with the most processor time leads while it is up. When it is lost a
-// small one takes over, and hands the lead back later. Running work goes on.
+// TestLargerLeads checks that the entry with the most processor time leads while it is up. When it
+// is lost, a small entry takes over, and hands the lead back later. Running work continues.
 func TestLargerLeads(t *testing.T) {
-	withinShape(t, shape{cores: []float64{0.2, 0.2, 0.8}}, func(t *testing.T, s *system) {
+	runWithOptions(t, systemOptions{cores: []float64{0.2, 0.2, 0.8}}, func(t *testing.T, s *system) {
 		const large = 2
 		s.workers.Work = 20 * time.Second
 		running := s.simpleJob(2, 20*time.Second)
@@ -231,24 +233,24 @@
 		time.Sleep(3 * time.Second)
 		small := s.leader()
 		if small == s.entries[large] {
-			t.Fatal("3 s after the large entry was lost nobody else leads")
+			t.Fatal("no other entry leads 3 s after the large entry was lost")
 		}
 		s.startEntry(large)
 		time.Sleep(4 * time.Second)
 		if got := s.leader(); got != s.entries[large] {
 			t.Errorf("%s leads 4 s after the large entry came back", got.name)
 		}
-		s.completed(running.ID, 20*time.Second)
+		s.awaitCompleted(running.ID, 20*time.Second)
 		if s.workers.Starts != 2 {
-			t.Errorf("%d runs started, want 2: work was lost by a handover", s.workers.Starts)
+			t.Errorf("%d runs started, want 2: a handover lost work", s.workers.Starts)
 		}
 	})
 }
 
-// TestSmallEntriesLead: after all large entries were lost for good, small ones lead soon, and keep
-// the lead.
+// TestSmallEntriesLead checks that after all large entries are lost for good, a small one leads
+// soon and keeps the lead.
 func TestSmallEntriesLead(t *testing.T) {
-	withinShape(t, shape{cores: []float64{0.2, 0.8, 0.8}}, func(t *testing.T, s *system) {
+	runWithOptions(t, systemOptions{cores: []float64{0.2, 0.8, 0.8}}, func(t *testing.T, s *system) {
 		for _, e := range s.entries[1:] {
 			s.network.Freeze("http://" + e.name)
 			e.cancel()
@@ -260,7 +262,7 @@
 		before, _, _ := s.entries[0].replica.Leader()
 		time.Sleep(10 * time.Second)
 		if after, _, _ := s.entries[0].replica.Leader(); after != before {
-			t.Errorf("the lead went from %+v to %+v", before, after)
+			t.Errorf("the leader changed from %+v to %+v", before, after)
 		}
 	})
 }
--- a/jobs/jobtest/rig_test.go
+++ b/jobs/jobtest/rig_test.go
@@ -30,7 +30,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/topic"
 )
 
-// The system under test.
+// Parameters of the system under test.
 const (
 	entryCount  = 3
 	workerCount = 6
@@ -45,21 +45,21 @@
 	seeds     = flag.Int("jobtest.seeds", 30, "number of seeds of TestSystem")
 )
 
-// process is an entry or an agent. It can be killed and restarted.
+// process is an entry or an agent, which can be killed and restarted.
 type process struct {
 	name        string
 	incarnation int
 	cancel      context.CancelFunc
-	// cores is the processor time of the entries, if they report it.
+	// cores is the processor time that an entry reports, or zero.
 	cores     float64
 	admission *admission.Service
 	runner    *runner.Runner
-	// replica and candidate are an entry's.
+	// replica and candidate are set for entries.
 	replica   *jobstore.Replica
 	candidate *leader.Candidate
 }
 
-// system is the real entries and agents on an in-memory network, log and workers.
+// system consists of real entries and agents on an in-memory network, log and workers.
 type system struct {
 	t         *testing.T
 	ctx       context.Context
@@ -73,36 +73,37 @@
 	worker    []*jobtest.Worker
 	entries   []*process
 	agents    []*process
-	// accepted, refused and cancelled hold what callers were told. refused is true if every attempt
-	// certainly was.
+	// accepted, refused and cancelled hold the responses that callers got. refused is true if every
+	// attempt was certainly refused.
 	accepted  map[job.ID]bool
 	refused   map[job.ID]bool
 	cancelled map[job.ID]bool
-	// lasting are the long-running jobs, which run until they are cancelled.
-	lasting []*job.Job
-	number  int
-	// faultsUntil is when the faults that a test injects beside play's own are over.
+	// longRunning lists the long-running jobs, which run until they are cancelled.
+	longRunning []*job.Job
+	number      int
+	// faultsUntil is the time by which the faults that a test injects in addition to those of
+	// simulate have ended.
 	faultsUntil time.Time
-	// readers is the number of entries by which reads of the log are paced.
+	// readers is the number of entries that determines the pace of reads of the log.
 	readers int
 }
 
-// shape is how a system differs from an ordinary one.
-type shape struct {
-	// readers is how many entries there are as far as the pace of reads goes; zero is as many as
-	// there are.
+// systemOptions describes the differences from a default system. The zero value is the default.
+type systemOptions struct {
+	// readers is the number of entries that the pace of reads is based on; zero means the actual
+	// number.
 	readers int
-	// cores is the processor time of the entries, if they are to tell it.
+	// cores is the processor time that each entry reports. Entries beyond its length report none.
 	cores []float64
-	// sameID and unborn are how workers name their incarnations; see jobtest.Workers.
-	sameID float64
-	unborn bool
-	// logger gets the log lines of all processes, if it is set.
+	// sameID and noStartTimes set the fields SameIDShare and NoStartTimes of jobtest.Workers.
+	sameID       float64
+	noStartTimes bool
+	// logger, if set, receives the log lines of all processes.
 	logger *zerolog.Logger
 }
 
 // newSystem starts entries, agents and workers.
-func newSystem(ctx context.Context, t *testing.T, seed uint64, sh shape) *system {
+func newSystem(ctx context.Context, t *testing.T, seed uint64, opts systemOptions) *system {
 	s := &system{
 		t:         t,
 		ctx:       ctx,
@@ -116,18 +117,18 @@
 		accepted:  map[job.ID]bool{},
 		refused:   map[job.ID]bool{},
 		cancelled: map[job.ID]bool{},
-		readers:   cmp.Or(sh.readers, entryCount),
+		readers:   cmp.Or(opts.readers, entryCount),
 	}
 	if testing.Verbose() {
 		zerolog.TimeFieldFormat = time.RFC3339Nano
 		s.logger = zerolog.New(zerolog.NewTestWriter(t)).With().Timestamp().Logger()
 	}
-	if sh.logger != nil {
-		s.logger = *sh.logger
+	if opts.logger != nil {
+		s.logger = *opts.logger
 	}
 	s.workers.Logger = s.logger
 	s.workers.FailureShare = 0.03
-	s.workers.SameIDShare, s.workers.NoStartTimes = sh.sameID, sh.unborn
+	s.workers.SameIDShare, s.workers.NoStartTimes = opts.sameID, opts.noStartTimes
 	record := []topic.Record{{Key: "config", Value: []byte("1")}}
 	if _, err := s.config.Client("operator").Append(ctx, record, topic.Condition{}); err != nil {
 		t.Fatal(err)
@@ -140,8 +141,8 @@
 	}
 	for i := range entryCount {
 		s.entries = append(s.entries, &process{name: fmt.Sprintf("entry-%d", i)})
-		if i < len(sh.cores) {
-			s.entries[i].cores = sh.cores[i]
+		if i < len(opts.cores) {
+			s.entries[i].cores = opts.cores[i]
 		}
 	}
 	s.start()
@@ -159,10 +160,10 @@
 	}
 }
 
-// zoneOf returns the availability zone of a worker. Each rack is one.
+// zoneOf returns the availability zone of a worker. Each rack is its own zone.
 func zoneOf(worker int) string { return fmt.Sprintf("zone-%d", worker/rackSize) }
 
-// cordonPrefix begins the keys of records that cordon an availability zone.
+// cordonPrefix is the prefix of the keys of cordon records.
 const cordonPrefix = "cordon/"
 
 // operatorFormat decodes operators' records in tests.
@@ -172,13 +173,13 @@
 	CheckCordon:  func([]byte) error { return nil },
 }
 
-// cordon cordons an availability zone. It counts from the answer of the log.
+// cordon cordons an availability zone. The cordon counts from the response of the log.
 func (s *system) cordon(zone string) {
 	s.putCordon(zone, []byte("{}"))
 	s.workers.Cordon(zone)
 }
 
-// uncordon ends a cordon. From before the record is written nothing is judged by it.
+// uncordon ends a cordon. The workers stop checking it before the record is written.
 func (s *system) uncordon(zone string) {
 	s.workers.Uncordon(zone)
 	s.putCordon(zone, nil)
@@ -191,14 +192,15 @@
 	}
 }
 
-// setFault sets how the store fails for a process, or for all.
+// setFault sets the fault of the store for a process, or for all if name is empty. Operators still
+// reach the store.
 func (s *system) setFault(name string, f jobtest.Fault) {
 	s.log.SetFault(name, f)
 	s.config.SetFault(name, f)
 	s.config.SetFault("operator", jobtest.Fault{})
 }
 
-// decodeCatalog returns the configuration of the tests: queues of priorities 0 to 2, and a team.
+// decodeCatalog returns the configuration of the tests: queues of priorities 0 to 2, and one team.
 func decodeCatalog([]byte) (*catalog.Catalog, error) {
 	teams := []catalog.Team{{Name: "team", Keys: []string{"key"}, GuaranteedAccelerators: 16}}
 	c := catalog.Catalog{Version: 1, Teams: teams}
@@ -223,8 +225,8 @@
 	log, announced := s.log.Client(p.name), s.directory.Client(p.name)
 	logger := s.logger.With().Str("entry", p.name).Logger()
 	directory := directory.NewDirectory(announced, zerolog.Nop())
-	inLine := func() bool { return directory.IsStandby(p.name) }
-	replica := jobstore.NewReplica(log, func() int { return s.readers }, logger).WithStandby(inLine)
+	isStandby := func() bool { return directory.IsStandby(p.name) }
+	replica := jobstore.NewReplica(log, func() int { return s.readers }, logger).WithStandby(isStandby)
 	p.replica = replica
 	follower := catalog.NewFollower(s.config.Client(p.name), operatorFormat, logger)
 	latency := replica.Latency()
@@ -266,7 +268,7 @@
 	}
 }
 
-// handler returns what an entry serves for agents and other entries.
+// handler returns the handler of the requests that an entry serves for agents and other entries.
 func (p *process) handler(writer *jobstore.Writer) http.Handler {
 	r := httprouter.New()
 	r.HandlerFunc(http.MethodPost, assignment.Path, p.candidate.ServePoll)
@@ -302,7 +304,7 @@
 	go p.runner.Run(ctx)
 	go func(r *runner.Runner) {
 		for ctx.Err() == nil {
-			if state, ok := s.worker[i].Beat(); ok {
+			if state, ok := s.worker[i].Heartbeat(); ok {
 				r.Heartbeat(ctx, state)
 			}
 			time.Sleep(time.Second)
@@ -310,7 +312,7 @@
 	}(p.runner)
 }
 
-// restart kills a process and restarts it later.
+// restart kills a process and restarts it after the downtime away.
 func (s *system) restart(p *process, start func(), away time.Duration) {
 	s.network.Kill("http://" + p.name)
 	p.cancel()
@@ -318,11 +320,11 @@
 	start()
 }
 
-// submit submits a job, at up to three entries, and records what the caller was told.
+// submit submits a job at up to three entries, and records the outcome that the caller sees.
 func (s *system) submit(j *job.Job, queue int) {
 	s.workers.Expect(j)
 	path := fmt.Sprintf("/q%d/%s", queue, j.ID)
-	doubt := false
+	uncertain := false
 	for try := range 3 {
 		in := s.entries[(s.number+1+try)%entryCount].admission
 		ctx, cancel := context.WithTimeout(s.ctx, 3*time.Second)
@@ -338,14 +340,14 @@
 			s.accepted[j.ID] = true
 			return
 		case !errors.Is(err, admission.ErrNotReady):
-			doubt = true
+			uncertain = true
 		}
 		time.Sleep(300 * time.Millisecond)
 	}
-	s.refused[j.ID] = !doubt
+	s.refused[j.ID] = !uncertain
 }
 
-// cancel cancels a job at some entry.
+// cancel cancels a job at a random entry.
 func (s *system) cancel(id job.ID, queue int) {
 	in := s.entries[s.random.IntN(entryCount)].admission
 	ctx, done := context.WithTimeout(s.ctx, 3*time.Second)
@@ -353,7 +355,7 @@
 	a, err := in.Admit(host, fmt.Sprintf("/q%d/%s", queue, id), "key")
 	if err == nil {
 		_ = in.Cancel(ctx, a)
-		// The job may be cancelled even if no answer says so.
+		// The job may be cancelled even if no response confirms it.
 		s.cancelled[id] = true
 	}
 }
@@ -364,15 +366,15 @@
 	p.cancel()
 }
 
-// cutAgents lets an entry hear no agent until the network is healed.
+// cutAgents drops all messages from the agents to an entry until the network is healed.
 func (s *system) cutAgents(e *process) {
 	for _, a := range s.agents {
 		s.network.Cut("http://"+a.name, "http://"+e.name, true)
 	}
 }
 
-// failOperatorLog sets how the log of operators' records fails for all processes. Operators still
-// reach it.
+// failOperatorLog sets the fault of the log of operators' records for all processes. Operators
+// still reach it.
 func (s *system) failOperatorLog(f jobtest.Fault) {
 	s.config.SetFault("", f)
 	s.config.SetFault("operator", jobtest.Fault{})
--- a/jobs/jobtest/rules.go
+++ b/jobs/jobtest/rules.go
@@ -9,19 +9,19 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// violate records a violation of a rule. The lock must be held.
-func (ws *Workers) violate(format string, args ...any) {
+// addViolation records a violation of a rule. The caller must hold the lock.
+func (ws *Workers) addViolation(format string, args ...any) {
 	at := time.Since(ws.started).Round(time.Millisecond)
 	ws.Violations = append(ws.Violations, fmt.Sprintf("%v: ", at)+fmt.Sprintf(format, args...))
 }
 
-// checkStart checks a start that a worker is about to carry out. The lock must be held.
+// checkStart checks a start that a worker is about to execute. The caller must hold the lock.
 func (ws *Workers) checkStart(w *Worker, s assignment.Start) {
 	broken := len(ws.Violations)
 	ws.checkRules(w, s)
-	if w.stray && len(ws.Violations) > broken {
+	if w.staleOrder && len(ws.Violations) > broken {
 		ws.Violations = ws.Violations[:broken]
-		ws.Strays++
+		ws.StaleStarts++
 	}
 }
 
@@ -30,39 +30,39 @@
 	step := j.Steps[s.Task.Step]
 	for _, other := range ws.workers {
 		if r := other.runs[s.Task]; r != nil && other.up && other != w {
-			ws.violate("TWICE: %v run %d starts on %s while run %d is on %s",
+			ws.addViolation("TWICE: %v run %d starts on %s while run %d is on %s",
 				s.Task, s.Run, w.name, r.id.Run, other.name)
 		}
 	}
 	if ws.acked[s.Task] && !step.LongRunning {
-		ws.violate("TWICE: %v run %d starts on %s after its end was taken note of", s.Task, s.Run, w.name)
+		ws.addViolation("TWICE: %v run %d starts on %s after its end was acknowledged", s.Task, s.Run, w.name)
 	}
 	for _, after := range step.DependsOn {
 		for i := range j.Steps[after].Tasks {
 			if !ws.done[job.TaskName{Job: j.ID, Round: s.Task.Round, Step: after, Index: i}] {
-				ws.violate("ORDER: %v starts before step %d is done", s.Task, after)
+				ws.addViolation("ORDER: %v starts before step %d is completed", s.Task, after)
 			}
 		}
 	}
 	if step.RequiredLabel != "" && !slices.Contains(w.state.Labels, step.RequiredLabel) {
-		ws.violate("ROUTE: %v starts on %s, which has not the label %q", s.Task, w.name, step.RequiredLabel)
+		ws.addViolation("ROUTE: %v starts on %s, which lacks the label %q", s.Task, w.name, step.RequiredLabel)
 	}
 	if j.Service != w.state.Service {
-		ws.violate("ROUTE: %v starts on %s, which serves %q", s.Task, w.name, w.state.Service)
+		ws.addViolation("ROUTE: %v starts on %s, which serves %q", s.Task, w.name, w.state.Service)
 	}
-	ws.checkBound(w, s, step)
+	ws.checkMaxPerWorker(w, s, step)
 	ws.checkCordon(w, s)
 	ws.checkCrashes(w, s)
 	if j.MaxAttempts > 0 && len(ws.failures[s.Task]) >= j.MaxAttempts && !step.LongRunning {
-		ws.violate("BUDGET: %v run %d starts after %d failures", s.Task, s.Run, len(ws.failures[s.Task]))
+		ws.addViolation("BUDGET: %v run %d starts after %d failures", s.Task, s.Run, len(ws.failures[s.Task]))
 	}
 	if s.Spec != j.Spec {
-		ws.violate("UNASKED: %v starts with the spec %q", s.Task, s.Spec)
+		ws.addViolation("UNASKED: %v starts with the spec %q", s.Task, s.Spec)
 	}
 }
 
-// checkBound checks that no more tasks of a step are on the worker than the step allows.
-func (ws *Workers) checkBound(w *Worker, s assignment.Start, step job.Step) {
+// checkMaxPerWorker checks that the worker has no more tasks of a step than the step allows.
+func (ws *Workers) checkMaxPerWorker(w *Worker, s assignment.Start, step job.Step) {
 	if step.MaxPerWorker == 0 {
 		return
 	}
@@ -73,15 +73,15 @@
 		}
 	}
 	if there > step.MaxPerWorker {
-		ws.violate("ROUTE: %v is the %d. of its step on %s", s.Task, there, w.name)
+		ws.addViolation("ROUTE: %v is task %d of its step on %s", s.Task, there, w.name)
 	}
 }
 
-// CordonBound is how long after operators were told that an availability zone is cordoned a run may
-// still start there.
+// CordonBound is the time after the acknowledgement of a cordon within which runs may still start
+// in the cordoned availability zone.
 const CordonBound = 5 * time.Second
 
-// Cordon records that operators were told that an availability zone is cordoned.
+// Cordon records that an operator's cordon of an availability zone was acknowledged.
 func (ws *Workers) Cordon(zone string) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
@@ -90,33 +90,33 @@
 	}
 }
 
-// Uncordon ends a Cordon.
+// Uncordon ends a cordon.
 func (ws *Workers) Uncordon(zone string) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
 	delete(ws.cordoned, zone)
 }
 
-// ExpectDelays says that orders may arrive late for a time, because their sender or the link to the
-// worker stands still.
+// ExpectDelays excuses late orders for a time, because their sender or its link to the worker is
+// stalled.
 func (w *Worker) ExpectDelays(length time.Duration) {
-	w.all.mu.Lock()
-	defer w.all.mu.Unlock()
+	w.workers.mu.Lock()
+	defer w.workers.mu.Unlock()
 	if until := time.Now().Add(length); until.After(w.delaysUntil) {
 		w.delaysUntil = until
 	}
 }
 
 // checkCordon checks a start in an availability zone that may be cordoned. Orders that arrive late,
-// or that the worker carries out late, are excused.
+// or that the worker executes late, are excused.
 func (ws *Workers) checkCordon(w *Worker, s assignment.Start) {
 	at, ok := ws.cordoned[w.state.Zone]
-	if since := time.Since(at); ok && since > CordonBound && !w.late && time.Now().After(w.delaysUntil) {
-		ws.violate("EVAC: %v run %d starts on %s %v after its zone was cordoned", s.Task, s.Run, w.name, since)
+	if since := time.Since(at); ok && since > CordonBound && !w.executingLate && time.Now().After(w.delaysUntil) {
+		ws.addViolation("EVAC: %v run %d starts on %s %v after its zone was cordoned", s.Task, s.Run, w.name, since)
 	}
 }
 
-// acknowledge records that the leader has stored an end. The lock must be held.
+// acknowledge records that the leader has stored an end. The caller must hold the lock.
 func (ws *Workers) acknowledge(e assignment.End) {
 	switch e.Reason {
 	case job.EndDone:
@@ -129,14 +129,14 @@
 	}
 }
 
-// Report returns the violations.
+// Report returns the violations found so far.
 func (ws *Workers) Report() []string {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
 	return slices.Clone(ws.Violations)
 }
 
-// AllDone reports whether each task of a job has succeeded.
+// AllDone reports whether all tasks of a job have succeeded.
 func (ws *Workers) AllDone(id job.ID) bool {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
@@ -153,10 +153,10 @@
 	return true
 }
 
-// AnyRun reports whether a task of a job is running.
+// AnyRun reports whether any task of a job is running.
 func (ws *Workers) AnyRun(id job.ID) bool { return ws.Running(id) > 0 }
 
-// Running counts the running tasks of a job.
+// Running returns the number of running tasks of a job.
 func (ws *Workers) Running(id job.ID) int {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
@@ -171,7 +171,8 @@
 	return n
 }
 
-// EndedAt returns when the last run of a job ended, and false while one runs or if none ever did.
+// EndedAt returns the time at which the last run of a job ended, and false if a run of it is active
+// or none has ever ended.
 func (ws *Workers) EndedAt(id job.ID) (time.Time, bool) {
 	if ws.AnyRun(id) {
 		return time.Time{}, false
@@ -182,14 +183,14 @@
 	return at, ok
 }
 
-// StartsIn counts the runs that were started in an availability zone.
+// StartsIn returns the number of runs that were started in an availability zone.
 func (ws *Workers) StartsIn(zone string) int {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
 	return ws.startsIn[zone]
 }
 
-// RunningIn counts the running tasks in an availability zone.
+// RunningIn returns the number of running tasks in an availability zone.
 func (ws *Workers) RunningIn(zone string) int {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
@@ -204,8 +205,8 @@
 
 // Runs reports whether a task of a job is running on the worker.
 func (w *Worker) Runs(id job.ID) bool {
-	w.all.mu.Lock()
-	defer w.all.mu.Unlock()
+	w.workers.mu.Lock()
+	defer w.workers.mu.Unlock()
 	for name := range w.runs {
 		if name.Job == id {
 			return true
@@ -214,7 +215,7 @@
 	return false
 }
 
-// EverRan reports whether a task of a job was ever started.
+// EverRan reports whether any task of a job was ever started.
 func (ws *Workers) EverRan(id job.ID) bool {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
--- a/jobs/jobtest/run.go
+++ b/jobs/jobtest/run.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// stopTime is how long a run takes to stop.
+	// stopTime is the time that a run takes to stop.
 	stopTime = 300 * time.Millisecond
-	// gangTimeout is how long the first member of a gang waits for the others.
+	// gangTimeout is the time that a member of a gang waits for the other members.
 	gangTimeout = 3 * time.Second
-	// checkpointWork is the work between two checkpoints.
+	// checkpointWork is the amount of work between two checkpoints.
 	checkpointWork = 500 * time.Millisecond
 )
 
@@ -20,22 +20,24 @@
 type run struct {
 	id        assignment.RunID
 	resources job.Resources
-	// arrivedAt is when it was ordered; startedAt, when it began to work, which for a gang is
-	// later.
+	// arrivedAt is the time of the start order; startedAt is the time at which the work began,
+	// which is later for the members of a gang.
 	arrivedAt time.Time
 	startedAt time.Time
-	// work is what it has to do; resumedFrom, what of that its checkpoint holds.
+	// work is the total work of the run; resumedFrom is the part that its checkpoint covers.
 	work        time.Duration
 	resumedFrom time.Duration
-	// stopsAt is when it ends because it was told to stop, zero if it was not.
+	// stopsAt is the time at which the run ends in response to a stop order, or zero.
 	stopsAt time.Time
 	fails   bool
-	// speed is in percent; lost is the work not done because of it, up to the time lostUntil.
-	speed     int
-	lost      time.Duration
-	lostUntil time.Time
-	// harmed is since when it has missed its latency target because of best-effort tasks beside it.
-	harmed time.Time
+	// speed is a percentage; lostWork is the work not done because of throttling, up to the time
+	// advancedAt.
+	speed      int
+	lostWork   time.Duration
+	advancedAt time.Time
+	// overTargetSince is the time at which the run began to miss its latency target because of
+	// best-effort tasks on the same worker, or zero.
+	overTargetSince time.Time
 }
 
 // member is a run of a gang, with its worker.
@@ -44,50 +46,50 @@
 	run    *run
 }
 
-// worked returns the work that the run has done, its checkpoint included.
+// worked returns the work that the run has done, including the work covered by its checkpoint.
 func (r *run) worked(now time.Time) time.Duration {
 	if r.startedAt.IsZero() {
 		return r.resumedFrom
 	}
-	return now.Sub(r.startedAt) + r.resumedFrom - r.lost
+	return now.Sub(r.startedAt) + r.resumedFrom - r.lostWork
 }
 
-// advance adds up the work that is lost by a speed below 100 %.
+// advance adds up the work that is lost to speeds below 100 %.
 func (r *run) advance(now time.Time) {
 	if !r.startedAt.IsZero() {
-		r.lost += now.Sub(r.lostUntil) * time.Duration(100-r.speed) / 100
+		r.lostWork += now.Sub(r.advancedAt) * time.Duration(100-r.speed) / 100
 	}
-	r.lostUntil = now
+	r.advancedAt = now
 }
 
-// finish ends a run that has done its work, and the rest of its gang.
+// finish ends a run whose work is done, together with the other members of its gang.
 func (w *Worker) finish(r *run, now time.Time) {
 	if r.fails {
 		w.end(r, job.EndFailed, now)
 		return
 	}
-	if !w.all.stepOf(r.id.Task).Gang {
-		w.all.done[r.id.Task] = true
+	if !w.workers.stepOf(r.id.Task).Gang {
+		w.workers.done[r.id.Task] = true
 		w.end(r, job.EndDone, now)
 		return
 	}
-	members := w.all.members(r.id)
+	members := w.workers.members(r.id)
 	for _, m := range members {
-		w.all.done[m.run.id.Task] = true
+		w.workers.done[m.run.id.Task] = true
 	}
 	for _, m := range members {
 		m.worker.addEnd(m.run, job.EndDone)
 	}
 }
 
-// end ends a run; the other members of its gang break.
+// end ends a run. Unless the run succeeded, the other running members of its gang end as broken.
 func (w *Worker) end(r *run, how job.EndReason, now time.Time) {
-	gang := w.all.stepOf(r.id.Task).Gang
+	gang := w.workers.stepOf(r.id.Task).Gang
 	w.addEnd(r, how)
 	if !gang || how == job.EndDone {
 		return
 	}
-	for _, m := range w.all.members(r.id) {
+	for _, m := range w.workers.members(r.id) {
 		if !m.run.startedAt.IsZero() {
 			m.worker.addEnd(m.run, job.EndGangBroken)
 		}
@@ -100,13 +102,14 @@
 	w.highestRun[r.id.Task] = max(w.highestRun[r.id.Task], r.id.Run)
 	w.lastEnd++
 	w.endedAt[w.lastEnd] = time.Now()
-	w.all.lastEnd[r.id.Task.Job] = time.Now()
-	w.ends = append(w.ends, assignment.End{RunID: r.id, Number: w.lastEnd, Reason: how, Checkpoint: w.saved(r)})
+	w.workers.lastEnd[r.id.Task.Job] = time.Now()
+	w.ends = append(w.ends,
+		assignment.End{RunID: r.id, Number: w.lastEnd, Reason: how, Checkpoint: w.lastCheckpoint(r)})
 }
 
-// saved returns the newest checkpoint of a run.
-func (w *Worker) saved(r *run) string {
-	if !w.all.stepOf(r.id.Task).Checkpoint || r.startedAt.IsZero() {
+// lastCheckpoint returns the newest checkpoint of a run.
+func (w *Worker) lastCheckpoint(r *run) string {
+	if !w.workers.stepOf(r.id.Task).Checkpoint || r.startedAt.IsZero() {
 		return ""
 	}
 	return r.worked(time.Now()).Truncate(checkpointWork).String()
--- a/jobs/jobtest/starts_test.go
+++ b/jobs/jobtest/starts_test.go
@@ -11,30 +11,30 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// TestEndsAfterANewStart: the ends of runs on a worker that has restarted under its ID are read,
-// however many were read of the incarnation before.
+// TestEndsAfterANewStart checks that the ends of runs are read from a worker that has restarted
+// under its ID, regardless of the number of ends that were read from its previous incarnation.
 //
-// Users saw a task that must run once start again 1 s after it had succeeded, and another start for
-// the fourth time after three failed runs. Incarnations of a worker were told apart by the ID
-// alone. After a restart under the same ID the number of the newest end that was read stayed as it
-// was, and ends with lower numbers were skipped, or forgotten by the worker when the agent
-// acknowledged them.
+// It guards against a task that must run once but starts again 1 s after it has succeeded, and one
+// that starts for the fourth time after three failed runs. This happened when incarnations were
+// identified by the worker's ID alone: after a restart under the same ID, the number of the newest
+// end that was read stayed the same, so ends with lower numbers were skipped, or dropped by the
+// worker when the agent acknowledged them.
 func TestEndsAfterANewStart(t *testing.T) {
 	tests := []struct {
 		name  string
 		fails bool
-		// strike ends the incarnations of all workers.
-		strike func(s *system)
+		// inject ends the incarnations of all workers.
+		inject func(s *system)
 	}{
-		{name: "done", strike: crashAll},
-		{name: "failed", fails: true, strike: crashAll},
-		{name: "done, three starts within a second", strike: func(s *system) {
+		{name: "done", inject: crashAll},
+		{name: "failed", fails: true, inject: crashAll},
+		{name: "done, three starts within a second", inject: func(s *system) {
 			for range 3 {
 				crashAll(s)
 				time.Sleep(330 * time.Millisecond)
 			}
 		}},
-		{name: "done, the leader is killed too", strike: func(s *system) {
+		{name: "done, the leader is killed too", inject: func(s *system) {
 			crashAll(s)
 			for i, e := range s.entries {
 				if e == s.leader() {
@@ -42,7 +42,7 @@
 				}
 			}
 		}},
-		{name: "failed, the agents are killed too", fails: true, strike: func(s *system) {
+		{name: "failed, the agents are killed too", fails: true, inject: func(s *system) {
 			crashAll(s)
 			for i, a := range s.agents {
 				s.restart(a, func() { s.startAgent(i) }, 100*time.Millisecond)
@@ -51,21 +51,21 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			play := func(t *testing.T, s *system) { playNewStart(t, s, test.strike, test.fails) }
-			withinShape(t, shape{sameID: 1}, play)
+			run := func(t *testing.T, s *system) { testNewStart(t, s, test.inject, test.fails) }
+			runWithOptions(t, systemOptions{sameID: 1}, run)
 		})
 	}
 }
 
-// playNewStart runs a job, ends the incarnations of all workers by strike, and checks the ends of a
+// testNewStart runs a job, ends the incarnations of all workers by inject, and checks the ends of a
 // second job, whose runs fail if fails is set.
-func playNewStart(t *testing.T, s *system, strike func(s *system), fails bool) {
+func testNewStart(t *testing.T, s *system, inject func(s *system), fails bool) {
 	t.Helper()
 	before := s.simpleJob(4*workerCount, time.Second)
 	s.submit(before, 1)
-	s.completed(before.ID, 20*time.Second)
+	s.awaitCompleted(before.ID, 20*time.Second)
 	time.Sleep(time.Second)
-	strike(s)
+	inject(s)
 	time.Sleep(3 * time.Second)
 	want := job.Completed
 	if fails {
@@ -90,57 +90,57 @@
 	}
 }
 
-// TestSystemOfSameIDs plays days as TestSystem does, with workers that mostly restart under the ID
-// that they had.
+// TestSystemOfSameIDs is TestSystem with workers that mostly restart under their previous ID.
 func TestSystemOfSameIDs(t *testing.T) {
-	playDrawn(t, shape{sameID: sameIDShare}, func(*system, uint64) {})
+	simulateDays(t, systemOptions{sameID: sameIDShare}, func(*system, uint64) {})
 }
 
-// TestSystemOfManyStarts plays days on which workers restart under their ID all the time: while
-// orders to them are late or lost, several times within a second, by the rack, and together with
-// their agents.
+// TestSystemOfManyStarts simulates days on which workers keep restarting under the same ID: while
+// orders to them are late or lost, several times within a second, all workers of a rack at once,
+// and together with their agents.
 func TestSystemOfManyStarts(t *testing.T) {
-	playDrawn(t, shape{sameID: 0.9}, func(s *system, seed uint64) {
+	simulateDays(t, systemOptions{sameID: 0.9}, func(s *system, seed uint64) {
 		restarting, stop := context.WithCancel(s.ctx)
 		go s.restartWorkers(restarting, rand.New(rand.NewPCG(seed, 4)))
 		time.AfterFunc(20*time.Second, stop)
 	})
 }
 
-// playDrawn plays drawn days with systems of a shape. begin is called at the start of each.
-func playDrawn(t *testing.T, sh shape, begin func(s *system, seed uint64)) {
+// simulateDays simulates random days with systems of the given options. It calls begin at the start
+// of each day.
+func simulateDays(t *testing.T, opts systemOptions, begin func(s *system, seed uint64)) {
 	t.Helper()
-	playSeeds(t, drawnSeeds(*seeds), sh, begin)
+	simulateSeeds(t, consecutiveSeeds(*seeds), opts, begin)
 }
 
-// playFew plays a third as many drawn days as playDrawn does.
-func playFew(t *testing.T, sh shape, begin func(s *system, seed uint64)) {
+// simulateFewDays simulates a third as many random days as simulateDays.
+func simulateFewDays(t *testing.T, opts systemOptions, begin func(s *system, seed uint64)) {
 	t.Helper()
-	playSeeds(t, drawnSeeds((*seeds+2)/3), sh, begin)
+	simulateSeeds(t, consecutiveSeeds((*seeds+2)/3), opts, begin)
 }
 
-// drawnSeeds returns seeds from that of the flag on.
-func drawnSeeds(n int) []uint64 {
-	drawn := make([]uint64, n)
-	for i := range drawn {
-		drawn[i] = *firstSeed + uint64(i)
+// consecutiveSeeds returns n consecutive seeds, starting at the value of the -jobtest.seed flag.
+func consecutiveSeeds(n int) []uint64 {
+	list := make([]uint64, n)
+	for i := range list {
+		list[i] = *firstSeed + uint64(i)
 	}
-	return drawn
+	return list
 }
 
-// playSeeds plays the days of these seeds with systems of a shape. begin is called at the start of
-// each.
-func playSeeds(t *testing.T, seeds []uint64, sh shape, begin func(s *system, seed uint64)) {
+// simulateSeeds simulates the days of these seeds with systems of the given options. It calls begin
+// at the start of each day.
+func simulateSeeds(t *testing.T, seeds []uint64, opts systemOptions, begin func(s *system, seed uint64)) {
 	t.Helper()
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				s := newSystem(ctx, t, seed, sh)
+				s := newSystem(ctx, t, seed, opts)
 				begin(s, seed)
-				s.play()
+				s.simulate()
 				s.check()
-				t.Logf("%d starts, %d of them strays", s.workers.Starts, s.workers.Strays)
+				t.Logf("%d starts, %d of them stale", s.workers.Starts, s.workers.StaleStarts)
 				cancel()
 				time.Sleep(30 * time.Second)
 			})
@@ -148,7 +148,7 @@
 	}
 }
 
-// restartWorkers restarts workers in drawn ways until ctx ends.
+// restartWorkers restarts workers in random ways until ctx ends.
 func (s *system) restartWorkers(ctx context.Context, r *rand.Rand) {
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(500+r.IntN(2500)) * time.Millisecond)
@@ -181,5 +181,6 @@
 	}
 }
 
-// sameIDShare is the share of restarts under the same ID, so that both kinds of restart meet.
+// sameIDShare is the share of restarts under the same ID. It is below 1 so that both kinds of
+// restart occur together.
 const sameIDShare = 0.75
--- a/jobs/jobtest/system_test.go
+++ b/jobs/jobtest/system_test.go
@@ -11,9 +11,9 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// play submits jobs under faults for a while, ends all faults, and waits until all jobs should have
-// ended.
-func (s *system) play() {
+// simulate submits jobs while faults are injected, ends all faults, and waits until all jobs should
+// have ended.
+func (s *system) simulate() {
 	time.Sleep(3 * time.Second)
 	for range 25 {
 		j, queue := s.drawJob()
@@ -33,32 +33,34 @@
 		w.Heal()
 	}
 	time.Sleep(20 * time.Second)
-	s.endLasting()
+	s.cancelLongRunning()
 	time.Sleep(70 * time.Second)
 }
 
-// endLasting checks that all long-running jobs run after the faults, and cancels them.
-func (s *system) endLasting() {
-	for _, j := range s.lasting {
-		if s.cancelled[j.ID] || !s.accepted[j.ID] || s.mayBeGivenUp(j.ID) {
+// cancelLongRunning checks that all long-running jobs run after the faults have ended, and cancels
+// them.
+func (s *system) cancelLongRunning() {
+	for _, j := range s.longRunning {
+		if s.cancelled[j.ID] || !s.accepted[j.ID] || s.mayHaveFailed(j.ID) {
 			continue
 		}
 		if got, want := s.workers.Running(j.ID), j.Steps[0].Tasks; got != want {
-			s.t.Errorf("LOST: %d of %d tasks of lasting job %s are at work 20 s after all faults", got, want, j.ID)
+			s.t.Errorf("LOST: %d of %d tasks of long-running job %s are running 20 s after all faults ended",
+				got, want, j.ID)
 		}
 	}
-	for _, j := range s.lasting {
+	for _, j := range s.longRunning {
 		s.cancel(j.ID, j.Priority)
 	}
 }
 
-// mayBeGivenUp reports whether a job has failed and may have: while workers crash all the time, a
-// sound task can be on so many of them that it is suspected.
-func (s *system) mayBeGivenUp(id job.ID) bool {
+// mayHaveFailed reports whether a job has failed and was allowed to: while workers crash all the
+// time, a healthy task can be on so many of them that it is suspected.
+func (s *system) mayHaveFailed(id job.ID) bool {
 	return s.phase(id) == job.Failed && s.workers.MayFail(id)
 }
 
-// check compares what callers were told with what the workers saw.
+// check compares the responses that callers got with what happened on the workers.
 func (s *system) check() {
 	t := s.t
 	for _, b := range s.workers.Report() {
@@ -66,7 +68,7 @@
 	}
 	for id := range s.refused {
 		if s.refused[id] && s.workers.EverRan(id) {
-			t.Errorf("REFUSED: %s ran, but every try to hand it in was refused", id)
+			t.Errorf("REFUSED: job %s ran, but every attempt to submit it was refused", id)
 		}
 	}
 	for id := range s.accepted {
@@ -75,22 +77,22 @@
 			phase, err := e.admission.Phase(s.ctx, a)
 			switch {
 			case err != nil:
-				t.Errorf("LOST: %s says of accepted job %s: %v", e.name, id, err)
+				t.Errorf("LOST: %s returned an error for accepted job %s: %v", e.name, id, err)
 			case phase == job.Completed && !s.workers.AllDone(id):
-				t.Errorf("MIXED: job %s is completed but not all of its tasks ended so", id)
+				t.Errorf("MIXED: job %s is completed but not all of its tasks succeeded", id)
 			case phase == job.Failed, phase == job.Cancelled && s.cancelled[id], phase == job.Completed:
 			default:
-				t.Errorf("LOST: %s says that job %s is %v long after all faults", e.name, id, phase)
+				t.Errorf("LOST: %s reports job %s as %v long after all faults ended", e.name, id, phase)
 			}
 			if phase.Final() && s.workers.AnyRun(id) {
-				t.Errorf("MIXED: job %s is %v and still runs", id, phase)
+				t.Errorf("MIXED: job %s is %v but still runs", id, phase)
 			}
 		}
 	}
 }
 
-// TestSystem plays drawn days of jobs and faults against the real entries and agents, and checks
-// the rules that workers and callers can see. Replay a failing seed with -jobtest.seed=N
+// TestSystem simulates random days of jobs and faults against the real entries and agents, and
+// checks the rules that workers and callers can observe. Replay a failing seed with -jobtest.seed=N
 // -jobtest.seeds=1.
 func TestSystem(t *testing.T) {
 	for n := range *seeds {
@@ -98,13 +100,14 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				// Every other day reads are paced as with many entries, and every third one workers
-				// don't report when they started.
-				s := newSystem(ctx, t, seed, shape{readers: entryCount + int(seed%2)*50, unborn: seed%3 == 0})
-				s.play()
+				// With odd seeds, reads are paced as with many entries; with every third seed,
+				// workers do not report their start times.
+				s := newSystem(ctx, t, seed,
+					systemOptions{readers: entryCount + int(seed%2)*50, noStartTimes: seed%3 == 0})
+				s.simulate()
 				s.check()
 				if len(s.accepted) < 5 || s.workers.Starts < 20 {
-					t.Errorf("only %d jobs were accepted and %d runs started: the day proves nothing",
+					t.Errorf("only %d jobs were accepted and %d runs started: the simulation is inconclusive",
 						len(s.accepted), s.workers.Starts)
 				}
 				cancel()
--- a/jobs/jobtest/worker.go
+++ b/jobs/jobtest/worker.go
@@ -13,54 +13,54 @@
 const (
 	// maxLease is the longest lease that a worker grants, by its own clock.
 	maxLease = 6 * time.Second
-	// slowClock is how much slower than real time a worker's clock runs, as a share.
+	// slowClock is the fraction by which a worker's clock runs slower than real time.
 	slowClock = 0.02
 )
 
-// Worker is one worker. It implements runner.Worker.
+// Worker is one fake worker. It implements runner.Worker.
 type Worker struct {
-	all   *Workers
-	name  string
-	state assignment.WorkerState
-	// leavesAt is when a draining worker goes.
+	workers *Workers
+	name    string
+	state   assignment.WorkerState
+	// leavesAt is the time at which a draining worker goes down.
 	leavesAt time.Time
-	// startedAt is when the incarnation started; incarnations counts the IDs that the worker has
-	// had.
+	// startedAt is the start time of the incarnation; incarnations counts the IDs that the worker
+	// has had.
 	startedAt    time.Time
 	incarnations int
 	up           bool
-	// overcommits lets it start whatever it is told to. formerCapacities are those that it had
-	// before.
+	// overcommits makes the worker accept starts beyond its capacity. formerCapacities lists the
+	// capacities that it had before.
 	overcommits      bool
 	formerCapacities []formerCapacity
-	// refusing lets calls fail at once while the worker is not up; otherwise they get no answer.
+	// refusing makes calls fail at once while the worker is down; otherwise they get no response.
 	refusing bool
-	// unreachable drops what the agent sends.
+	// unreachable drops the agent's calls.
 	unreachable bool
-	// lateShare is the share of orders that get no answer and are carried out later; late is set
-	// while one is.
-	lateShare float64
-	late      bool
-	// startDelay, if set, is how late starts are carried out, without an answer; delayedStarts counts
-	// those.
+	// lateShare is the share of orders that get no response and are executed later; executingLate
+	// is set while such an order is executed.
+	lateShare     float64
+	executingLate bool
+	// startDelay, if not zero, delays the execution of starts, which then get no response;
+	// delayedStarts counts them.
 	startDelay    time.Duration
 	delayedStarts int
-	// stray is set while an order is carried out that was sent to an earlier incarnation, before a
-	// higher fence.
-	stray bool
-	// delaysUntil is until when orders may arrive late because their sender, or the link to here,
-	// stands still.
+	// staleOrder is set while the worker executes a late order that was sent to an earlier
+	// incarnation and that the fence does not reject.
+	staleOrder bool
+	// delaysUntil is the end of the time in which late orders are excused because their sender, or
+	// its link to the worker, is stalled.
 	delaysUntil time.Time
 	fence       int64
-	// leaseEnd is the end of the lease by the worker's clock, in milliseconds; leaseOverAt, when it
-	// was last found over.
+	// leaseEnd is the end of the lease by the worker's clock, in milliseconds; leaseOverAt is the
+	// last time at which the lease was found expired.
 	leaseEnd    int64
 	leaseOverAt time.Time
 	runs        map[job.TaskName]*run
 	// highestRun is the highest run of each task that was started or stopped here.
 	highestRun map[job.TaskName]int
-	// ends are those that were not acknowledged yet; lastEnd is the number of the newest, endedAt
-	// the time of each.
+	// ends lists the ends that are not acknowledged yet; lastEnd is the number of the newest end,
+	// and endedAt holds the time of each.
 	ends    []assignment.End
 	lastEnd int64
 	endedAt map[int64]time.Time
@@ -68,7 +68,8 @@
 
 var _ runner.Worker = (*Worker)(nil)
 
-// startIncarnation begins the next incarnation of the worker, without runs, lease or fence. The lock must be held.
+// startIncarnation begins the next incarnation of the worker, without runs, lease or fence. The
+// caller must hold the lock.
 func (w *Worker) startIncarnation() {
 	w.state.ID = w.nextID()
 	w.state.Draining, w.state.DrainMillis = false, 0
@@ -77,72 +78,75 @@
 	w.fence, w.leaseEnd, w.leaseOverAt = 0, 0, time.Time{}
 	w.runs, w.highestRun = map[job.TaskName]*run{}, map[job.TaskName]int{}
 	w.ends, w.lastEnd, w.endedAt = nil, 0, map[int64]time.Time{}
-	w.all.Logger.Info().Str("step", "jobtest.start").Str("worker", w.name).Stringer("incarnation", w.state.ID).
-		Msg("incarnation starts")
+	w.workers.Logger.Info().Str("step", "jobtest.start").Str("worker", w.name).Stringer("incarnation", w.state.ID).
+		Msg("incarnation started")
 }
 
-// nextID returns the ID of the next incarnation. The lock must be held.
+// nextID returns the ID of the next incarnation. The caller must hold the lock.
 func (w *Worker) nextID() incarnation.ID {
 	id := w.state.ID
-	if id.IsZero() || w.all.NoStartTimes || w.all.SameIDShare == 0 || w.all.random.Float64() >= w.all.SameIDShare {
+	if id.IsZero() || w.workers.NoStartTimes || w.workers.SameIDShare == 0 ||
+		w.workers.random.Float64() >= w.workers.SameIDShare {
 		w.incarnations++
 		id.Instance = fmt.Sprintf("%s-life-%d", w.name, w.incarnations)
 	}
-	if !w.all.NoStartTimes {
+	if !w.workers.NoStartTimes {
 		id.StartMillis = time.Now().UnixMilli()
 	}
 	return id
 }
 
-// Crash ends all runs, and the machine stops answering. The worker restarts after the time.
+// Crash ends all runs, and the machine stops responding. The worker restarts after the downtime
+// away.
 func (w *Worker) Crash(away time.Duration) {
-	w.all.mu.Lock()
-	defer w.all.mu.Unlock()
+	w.workers.mu.Lock()
+	defer w.workers.mu.Unlock()
 	w.crash(away)
 }
 
-// SetUnreachable drops what the agent sends while lost is true. Runs go on.
+// SetUnreachable drops the agent's calls while lost is true. Runs continue.
 func (w *Worker) SetUnreachable(lost bool) {
-	w.all.mu.Lock()
-	defer w.all.mu.Unlock()
+	w.workers.mu.Lock()
+	defer w.workers.mu.Unlock()
 	w.unreachable = lost
 }
 
-// SetLate makes a share of the orders get no answer and be carried out late.
+// SetLate makes a share of the orders get no response and execute late.
 func (w *Worker) SetLate(share float64) {
-	w.all.mu.Lock()
-	defer w.all.mu.Unlock()
+	w.workers.mu.Lock()
+	defer w.workers.mu.Unlock()
 	w.lateShare = share
 }
 
-// DelayStarts lets starts get no answer and be carried out after a time; zero ends it. It returns
-// how many there were.
+// DelayStarts makes starts get no response and execute after the delay; zero ends this. It returns
+// the number of delayed starts so far.
 func (w *Worker) DelayStarts(delay time.Duration) int {
-	w.all.mu.Lock()
-	defer w.all.mu.Unlock()
+	w.workers.mu.Lock()
+	defer w.workers.mu.Unlock()
 	w.startDelay = delay
 	return w.delayedStarts
 }
 
-// Leave announces that the worker goes after a time. It restarts a second after that.
-func (w *Worker) Leave(after time.Duration) {
-	w.all.mu.Lock()
+// Drain announces that the worker goes down after the given time. It restarts one second later.
+func (w *Worker) Drain(after time.Duration) {
+	w.workers.mu.Lock()
 	w.state.Draining, w.leavesAt = true, time.Now().Add(after)
-	w.all.mu.Unlock()
+	w.workers.mu.Unlock()
 	time.AfterFunc(after, func() { w.Crash(time.Second) })
 }
 
 // Heal ends the faults of the worker's link.
 func (w *Worker) Heal() {
-	w.all.mu.Lock()
-	defer w.all.mu.Unlock()
+	w.workers.mu.Lock()
+	defer w.workers.mu.Unlock()
 	w.unreachable, w.lateShare = false, 0
 }
 
-// Beat returns what a heartbeat of the worker says, and false while it sends none.
-func (w *Worker) Beat() (assignment.WorkerState, bool) {
-	w.all.mu.Lock()
-	defer w.all.mu.Unlock()
+// Heartbeat returns the state that a heartbeat of the worker reports, and false while the worker
+// sends none.
+func (w *Worker) Heartbeat() (assignment.WorkerState, bool) {
+	w.workers.mu.Lock()
+	defer w.workers.mu.Unlock()
 	state := w.state
 	if state.Draining {
 		state.DrainMillis = time.Until(w.leavesAt).Milliseconds()
@@ -155,7 +159,7 @@
 	return 1000 + int64(float64(now.Sub(w.startedAt).Milliseconds())*(1-slowClock))
 }
 
-// advance ends what is due at the time. The lock must be held.
+// advance brings the worker's runs and lease up to the given time. The caller must hold the lock.
 func (w *Worker) advance(now time.Time) {
 	if !w.up {
 		return
@@ -173,16 +177,16 @@
 			w.end(r, job.EndStopped, now)
 		case r.startedAt.IsZero():
 			w.startGang(r, now)
-		case !w.all.stepOf(r.id.Task).LongRunning && r.worked(now) >= r.work:
+		case !w.workers.stepOf(r.id.Task).LongRunning && r.worked(now) >= r.work:
 			w.finish(r, now)
 		}
 	}
 }
 
-// startGang starts the work of a gang once all its members are here.
+// startGang starts the work of a gang once all its members have arrived.
 func (w *Worker) startGang(r *run, now time.Time) {
-	members := w.all.members(r.id)
-	if len(members) == w.all.stepOf(r.id.Task).Tasks {
+	members := w.workers.members(r.id)
+	if len(members) == w.workers.stepOf(r.id.Task).Tasks {
 		for _, m := range members {
 			m.run.startedAt = now
 		}
--- a/jobs/jobtest/workers.go
+++ b/jobs/jobtest/workers.go
@@ -12,56 +12,59 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// tick is how often the workers' state advances.
+// tick is the interval at which the workers' state advances.
 const tick = 20 * time.Millisecond
 
-// Workers are all workers of a test. They check the rules for what they are told to do against what
-// they know of each other, and record what breaks one. One mutex guards them all; the exported
-// fields must be set before Run.
+// Workers is the set of all workers of a test. It checks the orders that the workers receive
+// against the state of all of them, and records violations of the rules. One mutex guards all
+// workers; the exported fields must be set before Run.
 type Workers struct {
-	// FailureShare is the share of runs that fail by themselves.
+	// FailureShare is the share of runs that fail on their own.
 	FailureShare float64
-	// SameIDShare is the share of restarts after which a worker reports the ID that it had before.
+	// SameIDShare is the share of restarts after which a worker reports its previous ID.
 	SameIDShare float64
-	// NoStartTimes lets workers not report when they started. Then every incarnation has a new ID.
+	// NoStartTimes makes workers omit their start times. Every incarnation then has a new ID.
 	NoStartTimes bool
-	// Work is how long each task works. Zero draws a time from the task's name.
+	// Work is the duration of each task. If it is zero, the duration depends on the task's name.
 	Work time.Duration
-	// Logger gets what the agents can't see: new incarnations, and orders that come late.
+	// Logger receives events that agents cannot observe, such as new incarnations and late orders.
 	Logger zerolog.Logger
-	// Violations lists the rules that were broken, and Starts counts the runs that were started.
+	// Violations lists the violations of rules, and Starts counts the runs that were started.
 	Violations []string
 	Starts     int
-	// Strays counts the starts that would break a rule but were sent to an earlier incarnation
-	// under the same ID and carried out late: until a higher fence arrives, the worker can't know
-	// that they are void.
-	Strays int
+	// StaleStarts counts the starts that would violate a rule but were sent to an earlier
+	// incarnation under the same ID and executed late. Until a higher fence arrives, the worker
+	// cannot know that they are void.
+	StaleStarts int
 
 	mu      sync.Mutex
 	random  *rand.Rand
 	started time.Time
 	jobs    map[job.ID]*job.Job
 	workers map[string]*Worker
-	// done holds the tasks that succeeded, acked those whose success the leader has acknowledged.
+	// done holds the tasks that succeeded, and acked those whose success the leader has
+	// acknowledged.
 	done  map[job.TaskName]bool
 	acked map[job.TaskName]bool
 	// failures holds the failed runs of each task that the leader has acknowledged.
 	failures map[job.TaskName]map[int]bool
-	// everStarted holds the jobs of which anything was ever started.
+	// everStarted holds the jobs of which any task was ever started.
 	everStarted map[job.ID]bool
-	// lastEnd is when a run of each job last ended.
+	// lastEnd holds the time at which a run of each job last ended.
 	lastEnd map[job.ID]time.Time
-	// cordoned is when operators were told that an availability zone is cordoned, while it is.
+	// cordoned holds the cordoned availability zones and the times at which their cordons were
+	// acknowledged.
 	cordoned map[string]time.Time
 	// startsIn counts the runs that were started in each availability zone.
 	startsIn map[string]int
-	// crashers are the tasks that crash the workers that start them; crashes counts the crashes of
-	// workers by task.
+	// crashers holds the tasks that crash the workers that start them; crashes counts the worker
+	// crashes of each task.
 	crashers map[job.TaskName]crasher
 	crashes  map[job.TaskName]*crashes
 }
 
-// NewWorkers returns an empty set of workers. The seed draws failures and the IDs of incarnations.
+// NewWorkers returns an empty set of workers. The seed determines failures and the IDs of
+// incarnations.
 func NewWorkers(seed uint64) *Workers {
 	return &Workers{
 		Logger:      zerolog.Nop(),
@@ -81,14 +84,14 @@
 	}
 }
 
-// SetWork sets how long tasks work that start from now on.
+// SetWork sets the duration of tasks that start from now on.
 func (ws *Workers) SetWork(work time.Duration) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
 	ws.Work = work
 }
 
-// Expect adds a job that is about to be submitted.
+// Expect registers a job that is about to be submitted.
 func (ws *Workers) Expect(j *job.Job) {
 	ws.mu.Lock()
 	defer ws.mu.Unlock()
@@ -97,7 +100,7 @@
 
 // Add adds a worker and starts its first incarnation.
 func (ws *Workers) Add(name, service, zone, rack string, capacity job.Resources, labels ...string) *Worker {
-	w := &Worker{all: ws, name: name}
+	w := &Worker{workers: ws, name: name}
 	w.state = assignment.WorkerState{
 		Service:  service,
 		Zone:     zone,
@@ -112,7 +115,7 @@
 	return w
 }
 
-// Run lets all workers work until ctx ends.
+// Run advances all workers until ctx ends.
 func (ws *Workers) Run(ctx context.Context) {
 	for sleep(ctx, tick) == nil {
 		ws.mu.Lock()
@@ -138,7 +141,7 @@
 
 func (ws *Workers) stepOf(name job.TaskName) job.Step { return ws.jobs[name.Job].Steps[name.Step] }
 
-// sameStep reports whether two tasks are of the same step, in the same round.
+// sameStep reports whether two tasks belong to the same step and round of a job.
 func sameStep(a, b job.TaskName) bool {
 	return a.Job == b.Job && a.Round == b.Round && a.Step == b.Step
 }
--- a/jobs/runner/fixture_test.go
+++ b/jobs/runner/fixture_test.go
@@ -145,7 +145,7 @@
 	})
 	go a.workers.Run(ctx)
 	go a.runner.Run(ctx)
-	first, _ := a.worker.Beat()
+	first, _ := a.worker.Heartbeat()
 	a.runner.Heartbeat(t.Context(), first)
 	return a
 }
--- a/jobs/runner/incarnations_test.go
+++ b/jobs/runner/incarnations_test.go
@@ -16,10 +16,10 @@
 		a.leader.set(func(answer *assignment.Answer) { answer.Start = []assignment.Start{{RunID: id(1)}} })
 		time.Sleep(500 * time.Millisecond)
 		a.leader.set(func(answer *assignment.Answer) { answer.Start = nil })
-		old, _ := a.worker.Beat()
+		old, _ := a.worker.Heartbeat()
 		a.worker.Crash(time.Millisecond)
 		time.Sleep(50 * time.Millisecond)
-		next, _ := a.worker.Beat()
+		next, _ := a.worker.Heartbeat()
 		if !a.runner.Heartbeat(t.Context(), next) || a.runner.Heartbeat(t.Context(), old) {
 			t.Error("want the heartbeat of the new incarnation to be accepted and that of the old one to be rejected")
 		}
@@ -54,8 +54,8 @@
 		{"a start crashes it", crashAfter(0), ending(assignment.InterruptedRun{RunID: id(1)})},
 		{"it leaves", func(a *agent, instance string) {
 			time.AfterFunc(600*time.Millisecond, func() {
-				a.worker.Leave(time.Minute)
-				leaving, _ := a.worker.Beat()
+				a.worker.Drain(time.Minute)
+				leaving, _ := a.worker.Heartbeat()
 				a.runner.Heartbeat(context.Background(), leaving)
 			})
 			time.AfterFunc(700*time.Millisecond, func() { a.runner.Deregister(instance); a.worker.Crash(3 * time.Second) })
@@ -65,12 +65,12 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			withAgent(t, func(t *testing.T, a *agent) {
-				present, _ := a.worker.Beat()
+				present, _ := a.worker.Heartbeat()
 				test.want.ID, test.want.Complete = present.ID, true
 				test.act(a, present.ID.Instance)
 				a.leader.set(func(answer *assignment.Answer) { answer.Start = []assignment.Start{{RunID: id(1)}} })
 				time.Sleep(3500 * time.Millisecond)
-				next, _ := a.worker.Beat()
+				next, _ := a.worker.Heartbeat()
 				a.runner.Heartbeat(t.Context(), next)
 				time.Sleep(300 * time.Millisecond)
 				p := a.leader.last()
@@ -96,7 +96,7 @@
 		a.workers.SetWork(time.Minute)
 		a.leader.set(func(answer *assignment.Answer) { answer.Start = []assignment.Start{{RunID: id(1)}} })
 		time.Sleep(500 * time.Millisecond)
-		present, _ := a.worker.Beat()
+		present, _ := a.worker.Heartbeat()
 		late := present
 		late.ID = incarnation.ID{Instance: "an incarnation that the agent never knew"}
 		if a.runner.Heartbeat(t.Context(), late) {
--- a/jobs/runner/open_orders_test.go
+++ b/jobs/runner/open_orders_test.go
@@ -171,7 +171,7 @@
 		go workers.Run(ctx)
 		go r.Run(ctx)
 		beat := func() {
-			reported, _ := m.Worker.(*jobtest.Worker).Beat()
+			reported, _ := m.Worker.(*jobtest.Worker).Heartbeat()
 			r.Heartbeat(t.Context(), reported)
 		}
 		beat()
--- a/jobs/runner/reports_test.go
+++ b/jobs/runner/reports_test.go
@@ -16,7 +16,7 @@
 // comes twice in a row, because processes other than the worker may send heartbeats.
 func TestOddHeartbeats(t *testing.T) {
 	withAgent(t, func(t *testing.T, a *agent) {
-		sound, _ := a.worker.Beat()
+		sound, _ := a.worker.Heartbeat()
 		odd := sound
 		odd.Service, odd.Draining = "another", true
 		other := odd
--- a/jobs/runner/restarts_test.go
+++ b/jobs/runner/restarts_test.go
@@ -130,7 +130,7 @@
 // beat sends a heartbeat of the worker, and returns its content.
 func (a *restartingAgent) beat(t *testing.T) assignment.WorkerState {
 	t.Helper()
-	reported, _ := a.worker.Beat()
+	reported, _ := a.worker.Heartbeat()
 	a.runner.Heartbeat(t.Context(), reported)
 	return reported
 }
@@ -306,7 +306,7 @@
 		if fresh.Heartbeat(ctx, former) {
 			t.Error("a second heartbeat of the former incarnation was accepted")
 		}
-		present, _ := a.worker.Beat()
+		present, _ := a.worker.Heartbeat()
 		if !fresh.Heartbeat(ctx, present) {
 			t.Error("the heartbeat of the present incarnation was rejected")
 		}
@@ -323,7 +323,7 @@
 		if p := a.leader.last(); p.State == nil || p.State.ID != present.ID || len(p.EndedIncarnations) != 0 {
 			t.Errorf("after a late deregistration the agent polls state %+v, ended %+v", p.State, p.EndedIncarnations)
 		}
-		a.worker.Leave(time.Minute)
+		a.worker.Drain(time.Minute)
 		a.beat(t)
 		a.leader.mu.Lock()
 		a.leader.acks = false
--- a/jobs/runner/starts_test.go
+++ b/jobs/runner/starts_test.go
@@ -126,7 +126,7 @@
 	})
 	go workers.Run(ctx)
 	go r.Run(ctx)
-	reported, _ := worker.Beat()
+	reported, _ := worker.Heartbeat()
 	if anonymous {
 		reported.ID.StartMillis = 0
 	}
@@ -202,7 +202,7 @@
 func (a *agent) reconnect(t *testing.T) {
 	t.Helper()
 	a.worker.SetUnreachable(false)
-	reported, _ := a.worker.Beat()
+	reported, _ := a.worker.Heartbeat()
 	a.runner.Heartbeat(t.Context(), reported)
 }
 
@@ -243,7 +243,7 @@
 		a.leader.set(func(answer *assignment.Answer) { answer.Start = []assignment.Start{{RunID: id(1)}} })
 		time.Sleep(500 * time.Millisecond)
 		a.worker.SetUnreachable(false)
-		reported, _ := a.worker.Beat()
+		reported, _ := a.worker.Heartbeat()
 		reported.Capacity.Accelerators--
 		for range 3 {
 			a.runner.Heartbeat(t.Context(), reported)
@@ -280,7 +280,7 @@
 				time.Sleep(2 * time.Second)
 				a.leader.set(func(answer *assignment.Answer) { answer.Start = nil })
 				time.Sleep(2 * time.Second)
-				next, _ := a.worker.Beat()
+				next, _ := a.worker.Heartbeat()
 				a.runner.Heartbeat(t.Context(), next)
 				time.Sleep(time.Second)
 				ended := a.leader.last().EndedIncarnations
