--- a/cmd/soak/callers.go
+++ b/cmd/soak/callers.go
@@ -162,7 +162,7 @@
 	return j, queue
 }
 
-// submit submits a job and retries at the next entries, up to maxSubmitAttempts times.
+// submit submits a job in up to maxSubmitAttempts attempts, each at the next entry.
 func (cs *callers) submit(ctx context.Context, j *job.Job, queue, first int) {
 	cs.cluster.platform.Workers.Expect(j)
 	uncertain := false
--- a/cmd/soak/endings_test.go
+++ b/cmd/soak/endings_test.go
@@ -55,8 +55,8 @@
 	fmt.Fprintf(w, `{"state": %q}`, string(s))
 }
 
-// TestRealLossesAreCaught guards against hidden losses: that entries may forget ended jobs after
-// the retention must not excuse an entry that forgets a job too early, never knew it, or reports an
+// TestRealLossesAreCaught checks that the exception for ended jobs, which entries may forget after
+// the retention, does not hide an entry that forgets a job too early, never knew it, or reports an
 // earlier state again.
 func TestRealLossesAreCaught(t *testing.T) {
 	const id = job.ID("0000000000000001")
--- a/cmd/soak/explain_test.go
+++ b/cmd/soak/explain_test.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestExplainRefused checks that the logs explain a job that was refused while the store was down,
-// and that an earlier line of the entry names the failure.
+// TestExplainRefused checks that the logs explain a job that was refused while the store was down:
+// the entry also logs that the store does not answer, and afterwards for how long it did not.
 func TestExplainRefused(t *testing.T) {
 	t.Parallel()
 	sys := startSystem(t)
--- a/cmd/soak/faults.go
+++ b/cmd/soak/faults.go
@@ -120,7 +120,7 @@
 	})
 }
 
-// linkFault cuts, slows down or resets one of the links around a box.
+// linkFault cuts, slows down, resets or blackholes one of the links around a box.
 func (s *injector) linkFault(b *box, length time.Duration) {
 	links := b.links()
 	l := links[s.random.IntN(len(links))]
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,11 +1,11 @@
 // Command soak runs the real programs as separate processes on one machine and injects faults while
 // callers submit jobs. It checks what callers and workers observe.
 //
-// Package platform/standin plays the users' platform in this process. All traffic of the programs
-// passes through links that are cut in one or both directions, slowed down and reset. Processes are
-// paused, killed, stopped and restarted. The store fails, is slow, and loses answers. Workers
-// crash, drain, become unreachable and carry out orders late. A second process of an agent starts
-// while the first is paused, and then both run. Faults overlap.
+// Package platform/standin simulates the users' platform in this process. All traffic of the
+// programs passes through links that are cut in one or both directions, slowed down and reset.
+// Processes are paused, killed, stopped and restarted. The store fails, is slow, and loses answers.
+// Workers crash, drain, become unreachable and carry out orders late. A second process of an agent
+// starts while the first is paused, and then both run. Faults overlap.
 //
 // The run of one seed is called a scenario. A scenario whose seed is divisible by four has planned
 // work only: stops, reloads and cordons, which must not cut or delay any call.
--- a/cmd/yarrowgraded/agent.go
+++ b/cmd/yarrowgraded/agent.go
@@ -33,7 +33,8 @@
       --platform http://127.0.0.1:7000 --entries http://127.0.0.1:7100,http://127.0.0.1:7101
 `
 
-// maxConnections is the maximum of the --connections flag.
+// maxConnections is the maximum of the --connections flag, which limits the connections to the
+// target.
 const maxConnections = 10_000
 
 type agentCommand struct {
--- a/cmd/yarrowgraded/client.go
+++ b/cmd/yarrowgraded/client.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxIdlePerHost is the number of idle connections that a process keeps open to each other
-	// process.
+	// maxIdlePerHost is the maximum number of idle connections that a process keeps open to each
+	// other process.
 	maxIdlePerHost = 64
 	// clientIdleTimeout is shorter than serverIdleTimeout, so that a request is not sent on a
 	// connection that the server is closing.
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -103,7 +103,7 @@
 	answers := c.sendHeld(t, requests)
 	c.agents[0].signal(syscall.SIGTERM)
 	c.entries[1].signal(syscall.SIGTERM)
-	c.eventually("the agent is draining, according to the entry and the ledger", func() bool {
+	c.eventually("the first entry reads from the ledger that the agent is leaving", func() bool {
 		workers, err := c.client(0).Workers(t.Context())
 		return err == nil && workers[0].Leaving
 	})
--- a/internal/loopback/link.go
+++ b/internal/loopback/link.go
@@ -22,7 +22,7 @@
 // Link forwards TCP connections to an address and injects network faults. The data of a blocked
 // direction is held back and delivered later, as on a real network, where it would be
 // retransmitted; no connection is reset. Connections opened in the meantime are accepted, but carry
-// no data. Link is safe for concurrent use.
+// no data in that direction. Link is safe for concurrent use.
 type Link struct {
 	// Upstream is the direction to the address, Downstream the direction back to the client.
 	Upstream, Downstream Direction
--- a/internal/memnet/network.go
+++ b/internal/memnet/network.go
@@ -204,7 +204,7 @@
 	}
 	sender, receiver := t.network.host(t.from), t.network.host(to)
 	// A process that is frozen just before it sends a request sends it when it is thawed, even if
-	// the request's deadline has passed by then. This is the worst case for the receiver.
+	// the request's deadline has passed by then. This is the worst moment for a freeze.
 	if sender != nil && !t.network.waitThawed(context.WithoutCancel(ctx), sender) {
 		return nil, errReset
 	}
@@ -273,7 +273,7 @@
 	return errRefused
 }
 
-// waitForTimeout waits until a request whose response was dropped times out or is canceled.
+// waitForTimeout waits until a request whose response was dropped times out or is cancelled.
 func (t *transport) waitForTimeout(ctx context.Context) error {
 	wait(ctx, responseTimeout)
 	return errReset
--- a/internal/telemetry/writer.go
+++ b/internal/telemetry/writer.go
@@ -53,7 +53,7 @@
 	keep := b.sampler.keep(line)
 	b.mu.Unlock()
 	for step, n := range dropped {
-		b.enqueue(warningLine(fmt.Sprintf(`event="log lines sampled" step=%s count=%d`, step, n)))
+		b.enqueue(warningLine(fmt.Sprintf(`event="log lines dropped by sampling" step=%s count=%d`, step, n)))
 	}
 	if !keep {
 		b.countDrop()
--- a/internal/telemetry/writer_test.go
+++ b/internal/telemetry/writer_test.go
@@ -80,7 +80,7 @@
 		if strings.Count(text, "step=calm event=x") != 5 || strings.Count(text, "event=bad") != 5 {
 			t.Error("lines of another step, or warnings, are missing")
 		}
-		want := fmt.Sprintf("event=\"log lines sampled\" step=busy count=%d", flood-kept)
+		want := fmt.Sprintf("event=\"log lines dropped by sampling\" step=busy count=%d", flood-kept)
 		if !strings.Contains(text, want) {
 			t.Errorf("the log does not contain %q", want)
 		}
--- a/jobs/admission/admission_test.go
+++ b/jobs/admission/admission_test.go
@@ -77,10 +77,10 @@
 				err = s.Submit(ctx, call, &job.Job{Steps: []job.Step{{Tasks: 1}}})
 				var refusal *admission.NotReady
 				if !errors.As(err, &refusal) || refusal.RetryAfter != test.want || !errors.Is(err, admission.ErrNotReady) {
-					t.Errorf("got %v, want a refusal with a retry delay of %v", err, test.want)
+					t.Errorf("got %v, want a rejection with a retry delay of %v", err, test.want)
 				}
 				if took := time.Since(start); took > 100*time.Millisecond {
-					t.Errorf("the refusal took %v", took)
+					t.Errorf("the rejection took %v", took)
 				}
 				if !strings.Contains(lines.String(), "the log did not store the record") {
 					t.Error("the cause is not in the log")
@@ -88,7 +88,7 @@
 				log.SetFault("e", jobtest.Fault{})
 				time.Sleep(10 * time.Second)
 				if _, err := s.Phase(ctx, call); !errors.Is(err, admission.ErrUnknownJob) {
-					t.Errorf("after the outage of the log the refused job is known: %v", err)
+					t.Errorf("after the outage of the log the rejected job is known: %v", err)
 				}
 			})
 		})
--- a/jobs/catalog/catalog_test.go
+++ b/jobs/catalog/catalog_test.go
@@ -49,12 +49,12 @@
 		}
 		gap.Store(int64(6 * time.Second))
 		if age() < 6*time.Second {
-			t.Errorf("after 6 s of suspension the catalog was last confirmed %v ago", age())
+			t.Errorf("after 6 s of suspension the catalog was last confirmed %v ago, want at least 6 s", age())
 		}
 		// The read that was in flight is answered within its wait.
 		time.Sleep(501 * time.Millisecond)
 		if age() < 6*time.Second {
-			t.Errorf("a read from before the suspension confirms the catalog of %v ago", age())
+			t.Errorf("after a read sent before the suspension the catalog was last confirmed %v ago, want at least 6 s", age())
 		}
 		time.Sleep(2 * time.Second)
 		if age() > 1100*time.Millisecond {
--- a/jobs/catalog/follower.go
+++ b/jobs/catalog/follower.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// WithSuspension sets the clock that accounts for suspensions of the box.
+// WithSuspension sets the clock that measures suspensions of the box.
 func (f *Follower) WithSuspension(clock suspend.Clock) *Follower {
 	f.clock, f.relay = clock, topic.NewRelayServer(clock)
 	f.tail.WithSuspension(clock)
--- a/jobs/directory/directory.go
+++ b/jobs/directory/directory.go
@@ -34,8 +34,8 @@
 )
 
 // Key prefixes, followed by the name of an entry. The value under addressPrefix is the entry's
-// address; the value under coresPrefix is its CPU share in cores. Entries of older versions write
-// only the address.
+// address; the value under coresPrefix is its size, that is, its share of processor time in cores.
+// Entries of older versions write only the address.
 const (
 	addressPrefix = "e/"
 	coresPrefix   = "p/"
--- a/jobs/directory/standby_test.go
+++ b/jobs/directory/standby_test.go
@@ -14,8 +14,8 @@
 )
 
 // TestLine checks that there are at most five standbys, however many entries there are, that only
-// large entries are standbys if sizes differ, and that the standbys are not all in one availability
-// zone.
+// large entries are standbys if there are any, and that the standbys are not all in one
+// availability zone.
 func TestLine(t *testing.T) {
 	tests := []struct {
 		name     string
--- a/jobs/dispatch/carried_test.go
+++ b/jobs/dispatch/carried_test.go
@@ -107,7 +107,7 @@
 // A run was given up on a silent worker, whose crash should have counted once the worker was back.
 // Its agent knew that the incarnation was over but had not reported it yet, so the task's next run
 // was placed there and given up too. It replaced the first one: the crash under the first run was
-// never counted, and the task got one start too many.
+// never counted, and the task got one start too many (soak with --same-ids, seed 9217).
 func TestClosingLife(t *testing.T) {
 	b := newFixture(t, 1, 1)
 	j := b.job(1, "other", job.Step{Tasks: 1})
@@ -133,7 +133,8 @@
 // until it is gone.
 //
 // An order that reached a new incarnation under the same id late was executed there without the
-// scheduler knowing. A worker that doesn't check its capacity would then be overcommitted.
+// scheduler knowing. A worker that doesn't check its capacity would then be overcommitted (soak
+// with --same-ids, seed 9214).
 func TestStrayTakesRoom(t *testing.T) {
 	b := newFixture(t, 1, 1)
 	whole := job.Step{Tasks: 1, Resources: job.Resources{CPU: 1000, Memory: 1000, Accelerators: 8}}
@@ -171,7 +172,8 @@
 //
 // A worker fell silent, its run was given up when its lease expired, and its task started
 // elsewhere. Then the worker responded again and listed the end, which was ignored: the task was
-// executed twice.
+// executed twice (drawn days with starts under one id, seed 3031: an order that arrived late, after
+// a second start).
 func TestLateEnd(t *testing.T) {
 	tests := []struct {
 		name     string
--- a/jobs/dispatch/controller_test.go
+++ b/jobs/dispatch/controller_test.go
@@ -130,10 +130,11 @@
 	b.controller.ApplyJob(view)
 	b.plan(0)
 	if b.controller.jobs[held.ID] != nil || len(b.workersOf(other)) != 1 {
-		t.Errorf("the unreadable job is %v, the other one is placed on %v", b.controller.jobs[held.ID], b.workersOf(other))
+		t.Errorf("the unreadable job is %v, the other one is placed on %v; want nil and one worker",
+			b.controller.jobs[held.ID], b.workersOf(other))
 	}
 	if got := b.controller.TakeDesired(b.now)["w0-0"]; !got.UnreadableJobs[held.ID] || got.UnreadableJobs[other.job.ID] {
-		t.Errorf("the unreadable jobs are %v", got.UnreadableJobs)
+		t.Errorf("the unreadable jobs are %v, want the job that can't be read and not the other one", got.UnreadableJobs)
 	}
 	progress := job.NewProgress()
 	name := job.TaskName{Job: held.ID}
--- a/jobs/dispatch/effects.go
+++ b/jobs/dispatch/effects.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// assumeCrash assumes that a crash which this leader did not observe happens now.
+// assumeCrash records a crash under a task as happening now, if this leader has not observed it.
 func (p *plan) assumeCrash(t *trackedJob, name job.TaskName) {
 	if _, known := t.crashedAt[name]; !known {
 		t.crashedAt[name] = p.now
--- a/jobs/dispatch/eligibility.go
+++ b/jobs/dispatch/eligibility.go
@@ -11,7 +11,7 @@
 	// avoidFailedFor is how long a job's tasks are not placed on a worker where one of them failed.
 	avoidFailedFor = 3 * time.Second
 	// maxInterferenceWait is how long a task waits for a worker without tasks that it disturbs or
-	// that disturb it. Afterwards it shares a worker, and the agent there throttles best-effort
+	// that disturb it. Afterwards it may share one, and the agent there throttles best-effort
 	// work.
 	maxInterferenceWait = 1500 * time.Millisecond
 )
--- a/jobs/dispatch/fleet.go
+++ b/jobs/dispatch/fleet.go
@@ -28,13 +28,12 @@
 	// cordoned.
 	usable   bool
 	cordoned bool
-	// reservedUntil is when a gang is expected to need the capacity reserved for it here.
-	// freeBesideReserved is what remains for work that ends later than that; it is unused without a
-	// reservation.
+	// reservedUntil is when a gang is expected to need the capacity reserved for it here; zero
+	// without a reservation. freeBesideReserved is what remains for work that ends later than that.
 	reservedUntil      time.Time
 	freeBesideReserved job.Resources
-	// hasSuspects reports whether tasks run here that workers crashed under. trialRun is a run of
-	// such a task that has the node to itself.
+	// hasSuspects reports whether suspects run here: tasks that workers crashed under. trialRun is a
+	// run of such a task that has the node to itself.
 	hasSuspects bool
 	trialRun    *running
 
--- a/jobs/dispatch/metrics.go
+++ b/jobs/dispatch/metrics.go
@@ -15,7 +15,7 @@
 	runsLost telemetry.Counters[string]
 	// workLost counts core-seconds of discarded work.
 	workLost telemetry.Counters[lossCause]
-	// crashes counts crashes of workers by task, givenUp counts jobs that were given up.
+	// crashes counts the tasks that workers crashed under, givenUp the jobs that were given up.
 	crashes telemetry.Counters[string]
 	givenUp telemetry.Counters[string]
 	// adopted counts runs that were carried out by a later incarnation of their worker.
@@ -37,7 +37,7 @@
 	allocated map[string]tally.Gauge
 }
 
-// Labels of crashes, and of jobs that were given up.
+// Labels of crashes under tasks, and of jobs that were given up.
 const (
 	crashSure     = "sure"
 	crashDoubtful = "doubtful"
@@ -80,7 +80,7 @@
 	return m
 }
 
-// crashLabel returns the label under which a crash is counted.
+// crashLabel returns the label under which a crash under a task is counted.
 func crashLabel(v job.CrashVerdict) string {
 	if v == job.Crashed {
 		return crashSure
@@ -88,8 +88,8 @@
 	return crashDoubtful
 }
 
-// observe updates the gauges: the capacity of workers and, by team, waiting jobs and allocated
-// accelerators.
+// observe updates the gauges: workers and free accelerators, cordoned zones and the runs there, and
+// by team the waiting jobs and the allocated accelerators.
 func (m *Metrics) observe(c *Controller) {
 	free, workers, cordonedRuns := 0, 0, 0
 	cordons, _ := c.catalog.Cordons()
--- a/jobs/dispatch/moves.go
+++ b/jobs/dispatch/moves.go
@@ -99,8 +99,8 @@
 	// leaveMargin is how long before its worker may leave a run must end in order not to be
 	// stopped.
 	leaveMargin = 200 * time.Millisecond
-	// checkpointLead is how long before the worker leaves a run that saves checkpoints is stopped.
-	// It is longer than a stop takes.
+	// checkpointLead is how long before its worker may leave a run that saves checkpoints is
+	// stopped. It is longer than a stop takes.
 	checkpointLead = 1300 * time.Millisecond
 )
 
--- a/jobs/dispatch/moves_test.go
+++ b/jobs/dispatch/moves_test.go
@@ -160,7 +160,7 @@
 	cordon("r1", nil)
 	b.plan(10 * time.Millisecond)
 	if at := b.workersOf(tracked); len(at) != 2 {
-		t.Errorf("placed on %v once a zone is open, want two workers", at)
+		t.Errorf("placed on %v once a zone is open, want both tasks placed", at)
 	}
 }
 
@@ -174,6 +174,6 @@
 	gang := b.job(1, "other", job.Step{Tasks: 3, Gang: true, SameRack: true})
 	b.plan(10 * time.Millisecond)
 	if at := b.workersOf(gang); len(at) != 3 {
-		t.Errorf("placed on %v, want all three tasks in the open zones", at)
+		t.Errorf("placed on %v, want all three tasks placed", at)
 	}
 }
--- a/jobs/dispatch/open_starts.go
+++ b/jobs/dispatch/open_starts.go
@@ -64,8 +64,8 @@
 }
 
 // releaseInherited releases the tasks that an earlier leader held for starts on a worker. It does
-// so once the agent reports all open starts and these are not among them, or once no order of an
-// earlier agent can arrive. Runs that these starts began are in the worker's list.
+// so once no order of a previous agent can arrive and a poll contains the worker's list, which has
+// the runs that these starts began. Tasks with a start that the agent reports as open stay held.
 func (c *Controller) releaseInherited(now time.Time, w *worker, poll assignment.Poll) {
 	if len(c.inherited[w.name]) == 0 || !w.ordersClosed(now) || !isListed(poll) {
 		return
--- a/jobs/dispatch/open_starts_test.go
+++ b/jobs/dispatch/open_starts_test.go
@@ -157,7 +157,7 @@
 	j := b.job(1, "other", job.Step{Tasks: 1})
 	b.plan(0)
 	if at := b.workersOf(j); len(at) != 0 {
-		t.Errorf("the job is placed on %v", at)
+		t.Errorf("the job is placed on %v, whose agent sends no starts", at)
 	}
 	b.plan(6 * time.Second)
 	if at := b.workersOf(j); len(at) != 1 {
@@ -181,7 +181,7 @@
 }
 
 // TestNextLeaderHoldsForFormerAgent: if a worker has a new agent that the next leader hears from
-// first, a task that was placed there waits for the starts that the former agent may have sent.
+// first, a task that was placed there waits for the starts that the previous agent may have sent.
 //
 // Neither the new agent nor the new leader knew of the open start: the task started elsewhere at
 // once, and the late start ran concurrently.
@@ -227,14 +227,14 @@
 			next.controller.ApplyPoll(next.now, poll)
 			next.plan(0)
 			if !task.Placed() {
-				t.Error("the task still waits after the last order of the former agent can have arrived")
+				t.Error("the task still waits after the last order of the previous agent can have arrived")
 			}
 		})
 	}
 }
 
 // TestNextLeaderReleasesTask: a task held by an earlier leader starts again as soon as the next
-// leader learns that its start is closed, as it would under the former.
+// leader learns that its start is closed, as it would under the earlier one.
 //
 // It waited until the end of the hold, 20 s, even if its worker's list showed after 12 s that the
 // start had not been carried out.
--- a/jobs/dispatch/plan_test.go
+++ b/jobs/dispatch/plan_test.go
@@ -19,7 +19,7 @@
 		gang := b.job(1, "other", job.Step{Tasks: 3, Gang: true, SameRack: true})
 		b.plan(0)
 		if got := racksOf(b.workersOf(gang)); len(got) != 1 {
-			t.Errorf("placed on %v", b.workersOf(gang))
+			t.Errorf("placed on %v, want one rack", b.workersOf(gang))
 		}
 		next := b.job(1, "other", job.Step{Tasks: 3, Gang: true, SameRack: true})
 		b.plan(0)
@@ -37,7 +37,7 @@
 		gang := b.job(1, "other", job.Step{Tasks: 3, Gang: true, SameRack: true})
 		b.plan(0)
 		if got := b.workersOf(gang); len(got) != 3 {
-			t.Errorf("placed on %v", got)
+			t.Errorf("placed on %v, want all three tasks placed", got)
 		}
 	})
 	t.Run("a gang starts whole or not at all", func(t *testing.T) {
@@ -47,7 +47,7 @@
 		gang := b.job(1, "other", job.Step{Tasks: 3, Gang: true})
 		b.plan(0)
 		if got := b.workersOf(gang); len(got) != 0 {
-			t.Errorf("placed on %v", got)
+			t.Errorf("placed on %v, want it to wait", got)
 		}
 	})
 	t.Run("a gang is on as few workers as can be", func(t *testing.T) {
@@ -74,7 +74,7 @@
 		none := b.job(1, "other", job.Step{Tasks: 1, RequiredLabel: "c"})
 		b.plan(0)
 		if got := b.workersOf(j); len(got) != 1 || got[0] != "w0-1" {
-			t.Errorf("placed on %v", got)
+			t.Errorf("placed on %v, want w0-1", got)
 		}
 		if got := b.workersOf(none); len(got) != 0 {
 			t.Errorf("a task whose label no worker has is placed on %v", got)
@@ -90,7 +90,7 @@
 			count[n]++
 		}
 		if len(count) != 3 || len(b.workersOf(j)) != 3 {
-			t.Errorf("placed on %v", b.workersOf(j))
+			t.Errorf("placed on %v, want one task on each of the three workers", b.workersOf(j))
 		}
 	})
 	t.Run("near its data, for a while", func(t *testing.T) {
@@ -115,7 +115,7 @@
 		j := b.job(0, "sure", job.Step{Tasks: 4})
 		b.plan(0)
 		if got := b.workersOf(j); len(got) != 1 || got[0] != "w0-3" {
-			t.Errorf("placed on %v", got)
+			t.Errorf("placed on %v, want only one task, on w0-3", got)
 		}
 	})
 	t.Run("filling tasks keep away from those with a target", func(t *testing.T) {
@@ -198,7 +198,7 @@
 	b.finish(first, job.EndDone)
 	b.plan(time.Second)
 	if len(b.workersOf(gang)) != 2 {
-		t.Errorf("the gang is placed on %v", b.workersOf(gang))
+		t.Errorf("the gang is placed on %v, want both tasks placed", b.workersOf(gang))
 	}
 }
 
--- a/jobs/dispatch/preempt.go
+++ b/jobs/dispatch/preempt.go
@@ -23,9 +23,9 @@
 	reportingDelay = 150 * time.Millisecond
 )
 
-// preempt makes room for an urgent unit: it stops the runs with the largest net benefit, and claims
-// the freed capacity for the unit. Nothing is stopped if capacity becomes free early enough without
-// stops. It returns what the unit waits for.
+// preempt frees capacity for an urgent unit: it stops runs that may be preempted, where that has
+// the largest net benefit, and claims the freed capacity for the unit. Nothing is stopped if
+// capacity becomes free early enough without stops. It returns what the unit waits for.
 func (p *plan) preempt(w waitingUnit) waitReason {
 	if at := p.find(w, availableAfterStops); at != nil {
 		p.claimCapacity(w, at)
@@ -57,7 +57,8 @@
 	}
 }
 
-// latestStart returns how long the unit may wait for capacity that becomes free without stops.
+// latestStart returns the time until which the unit may wait for capacity that becomes free without
+// stops.
 func (p *plan) latestStart(w waitingUnit) time.Time {
 	latest := w.due.Add(-w.duration - p.stopDuration)
 	if limit := w.tracked.job.Accepted.Add(guaranteedMaxWait); w.guaranteed && latest.After(limit) {
--- a/jobs/dispatch/preempt_test.go
+++ b/jobs/dispatch/preempt_test.go
@@ -49,7 +49,7 @@
 }
 
 func TestPreemption(t *testing.T) {
-	t.Run("no more work is lostWork away than the urgent job is worth", func(t *testing.T) {
+	t.Run("no more work is lost than the urgent job is worth", func(t *testing.T) {
 		tests := []struct {
 			name     string
 			team     string
--- a/jobs/dispatch/preference.go
+++ b/jobs/dispatch/preference.go
@@ -6,10 +6,10 @@
 	"yarrowgrade.example/yarrowgrade/jobs/dispatch/estimate"
 )
 
-// preference orders nodes for a unit, preferred ones first: nodes where its tasks have not failed,
-// disturb nothing and are at the lowest risk; then by speed; then such that the remaining free
-// capacity stays contiguous. A gang takes as few workers as possible, since each worker that leaves
-// or fails breaks it, and since it then frees whole workers when it ends.
+// preference orders nodes for a unit, preferred ones first: nodes where its tasks have not failed
+// and disturb nothing, and where a crash would lose the least; then by speed; then such that the
+// remaining free capacity is not fragmented. A gang takes as few workers as possible, since each
+// worker that leaves or fails breaks it, and since it then frees whole workers when it ends.
 func (p *plan) preference(w waitingUnit, candidates []*node, available availableFunc) func(a, b *node) int {
 	avoid := p.workersToAvoid(w)
 	serving := servingOn(w, candidates)
--- a/jobs/dispatch/suspects_test.go
+++ b/jobs/dispatch/suspects_test.go
@@ -37,7 +37,7 @@
 		others[name] = true
 	}
 	if len(others) != 1 || len(b.workersOf(suspect)) != 1 || others[b.workersOf(suspect)[0]] {
-		t.Fatalf("the suspect is placed on %v, the others on %v; want it apart from the others, on one worker each",
+		t.Fatalf("the suspect is placed on %v, the others on %v; want the others on one worker and the suspect on another",
 			b.workersOf(suspect), b.workersOf(beside))
 	}
 	joining := b.job(
--- a/jobs/dispatch/unsent.go
+++ b/jobs/dispatch/unsent.go
@@ -10,7 +10,7 @@
 // by an earlier leader may have been sent.
 
 // MarkSent records which starts were contained in responses to agents. It must be called with all
-// sent starts before applying a poll or an expired lease that ends one of the runs.
+// sent starts before a poll or an expired lease is applied that ends one of the runs.
 func (c *Controller) MarkSent(starts map[assignment.RunID]bool) {
 	for id := range starts {
 		if t := c.jobs[id.Task.Job]; t != nil && t.isUnsent(id) {
--- a/jobs/dispatch/victims.go
+++ b/jobs/dispatch/victims.go
@@ -14,7 +14,8 @@
 	domain []*node
 	// nodes are those on which the unit would run.
 	nodes []*node
-	// cost is the cost of the stops, budget its upper limit, both in core-seconds.
+	// cost is the cost of the stops, budget how much work may be lost for the unit, both in
+	// core-seconds.
 	cost, budget float64
 }
 
--- a/jobs/dispatch/worker.go
+++ b/jobs/dispatch/worker.go
@@ -34,8 +34,8 @@
 	// noStartsUntil.
 	openStarts    map[assignment.RunID]time.Time
 	noStartsUntil time.Time
-	// unresponsive reports whether the worker doesn't respond to its agent; failingSince is the
-	// time of the first failure, and zero while it responds.
+	// unresponsive reports whether the worker doesn't respond to its agent; failingSince is since
+	// when it has not responded, and zero while it responds.
 	unresponsive bool
 	failingSince time.Time
 	// crashedAt is when an incarnation of the worker last crashed, as far as this leader knows.
--- a/jobs/job/crashes.go
+++ b/jobs/job/crashes.go
@@ -71,8 +71,8 @@
 	At           time.Time `json:"at,omitzero"`
 }
 
-// crashes returns the number of workers known to have crashed, or to have possibly crashed,
-// while they ran the task.
+// crashes returns the number of workers that certainly or possibly crashed while they ran the task,
+// without those that are unresolved.
 func (t *Task) crashes() int { return t.Crashes + t.UncertainCrashes }
 
 // SuspectedCrashes returns the number of workers that crashed, or most likely crashed, while they
@@ -112,8 +112,9 @@
 // GivenUpForCrashes reports whether the task is given up because it has crashed too many workers.
 func (t *Task) GivenUpForCrashes() bool { return !t.Done && t.mustGiveUp() }
 
-// AwaitsVerdict reports whether the task must not start until its unresolved incarnations are
-// resolved, because it may already have used its last start.
+// AwaitsVerdict reports whether the task must not start until it is known whether its unresolved
+// incarnations crashed, or until unresolvedTTL has passed, because it may already have used its
+// last start.
 func (t *Task) AwaitsVerdict(now time.Time) bool {
 	return t.ExtraStarts >= maxExtraStarts && t.possibleCrashes(now) >= giveUpCrashes
 }
--- a/jobs/jobstore/replica.go
+++ b/jobs/jobstore/replica.go
@@ -71,7 +71,7 @@
 	return r
 }
 
-// WithSuspension sets the clock that measures suspensions of the machine.
+// WithSuspension sets the clock that measures suspensions of the box.
 func (r *Replica) WithSuspension(clock suspend.Clock) *Replica {
 	r.sync.clock = clock
 	r.tail.WithSuspension(clock)
@@ -182,7 +182,7 @@
 
 // SyncedAt returns when the replica was last in sync with the end of the topic: the time at which
 // the read was sent, or zero if no read has reached the end. The time since then includes
-// suspensions of the machine.
+// suspensions of the box.
 func (r *Replica) SyncedAt() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/jobs/jobtest/blame_test.go
+++ b/jobs/jobtest/blame_test.go
@@ -134,8 +134,9 @@
 const maxHealthyFailed = 0.01
 
 // TestBlame simulates days on which some tasks crash their workers, while workers crash, drain and
-// are partitioned for other reasons. Each job with such a task must fail, and almost no healthy job
-// may. Replay a failing seed with -jobtest.seed=N -jobtest.blame=1.
+// are partitioned for other reasons. Each job with such a task must fail within the bound on starts
+// that the workers check (see checkCrashes), and almost no healthy job may fail. Replay a failing
+// seed with -jobtest.seed=N -jobtest.blame=1.
 func TestBlame(t *testing.T) { simulateBlameDays(t, systemOptions{}) }
 
 // TestBlameOfSameIDs is TestBlame with workers that mostly restart under their previous ID.
--- a/jobs/jobtest/crash.go
+++ b/jobs/jobtest/crash.go
@@ -39,7 +39,7 @@
 }
 
 // CrashOn makes a task crash each worker that starts it. The crash follows the start after the
-// given time; if that is zero, the start gets no response. The worker restarts after the downtime
+// given time; if that is zero, the start gets no response. The worker restarts after the duration
 // away.
 func (ws *Workers) CrashOn(name job.TaskName, after, away time.Duration) {
 	ws.mu.Lock()
@@ -110,7 +110,7 @@
 }
 
 // CrashProcess ends all runs, as a crash of the worker's process does. The machine stays up, so
-// calls fail at once. The worker restarts after the downtime away.
+// calls fail at once. The worker restarts after the duration away.
 func (w *Worker) CrashProcess(away time.Duration) {
 	w.workers.mu.Lock()
 	defer w.workers.mu.Unlock()
@@ -118,7 +118,7 @@
 	w.crash(away)
 }
 
-// crash ends all runs; the worker restarts after the downtime away. The caller must hold the lock.
+// crash ends all runs; the worker restarts after the duration away. The caller must hold the lock.
 func (w *Worker) crash(away time.Duration) {
 	w.up = false
 	for name := range w.runs {
--- a/jobs/jobtest/disturb_test.go
+++ b/jobs/jobtest/disturb_test.go
@@ -31,7 +31,7 @@
 		{Lost: 0.4, Late: true},
 	}
 	d.store = stores[r.IntN(len(stores))]
-	// The order of the kinds determines what a seed draws.
+	// The order of the kinds determines which faults a seed generates.
 	kinds := []func(){
 		d.restartEntry,
 		d.restartAgent,
--- a/jobs/jobtest/golden_test.go
+++ b/jobs/jobtest/golden_test.go
@@ -72,7 +72,7 @@
 		s.workers.SetWork(20 * time.Second)
 		wide := s.wideJob(1, 20*time.Second)
 		s.submit(wide, 1)
-		// The work lost so far is worth less than the urgent job, so it is preempted.
+		// The work lost so far is worth less than the urgent job, so the wide job is preempted.
 		time.Sleep(500 * time.Millisecond)
 		s.workers.SetWork(time.Second)
 		urgent := s.wideJob(0, time.Second)
--- a/jobs/jobtest/orders.go
+++ b/jobs/jobtest/orders.go
@@ -133,8 +133,8 @@
 	return w.scheduleCrash(r)
 }
 
-// workOf returns the duration of a task: Work if it is set, and otherwise 1 to 3 s, the same in
-// each run.
+// workOf returns the duration of a task: Work if it is set, and otherwise 1 to 2.9 s, which depends
+// on the task's index and on the number of jobs so far.
 func (ws *Workers) workOf(name job.TaskName) time.Duration {
 	if ws.Work > 0 {
 		return ws.Work
--- a/jobs/jobtest/recovery_test.go
+++ b/jobs/jobtest/recovery_test.go
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// killLeader kills the entry that leads, if any, and restarts it after the downtime away.
+// killLeader kills the entry that leads, if any, and restarts it after the duration away.
 func (s *system) killLeader(away time.Duration) {
 	for i, e := range s.entries {
 		if leader, _, _ := e.replica.Leader(); leader.Address == e.name {
--- a/jobs/jobtest/rig_test.go
+++ b/jobs/jobtest/rig_test.go
@@ -312,7 +312,7 @@
 	}(p.runner)
 }
 
-// restart kills a process and restarts it after the downtime away.
+// restart kills a process and restarts it after the duration away.
 func (s *system) restart(p *process, start func(), away time.Duration) {
 	s.network.Kill("http://" + p.name)
 	p.cancel()
--- a/jobs/jobtest/two_agents_test.go
+++ b/jobs/jobtest/two_agents_test.go
@@ -44,8 +44,8 @@
 }
 
 // TestTwoEntries simulates days on which the process of an entry overlaps with its successor for up
-// to 20 s, as the processes of agents do. It guards against two processes of one entry that both
-// consider themselves the leader.
+// to 20 s, while agents overlap with their successors too. It guards against two processes of one
+// entry that both consider themselves the leader.
 func TestTwoEntries(t *testing.T) {
 	simulateFewDays(t, systemOptions{sameID: 0.9}, func(s *system, seed uint64) {
 		s.faultsUntil = time.Now().Add(overlapDuration + 7*time.Second)
--- a/jobs/jobtest/worker.go
+++ b/jobs/jobtest/worker.go
@@ -96,7 +96,7 @@
 	return id
 }
 
-// Crash ends all runs, and the machine stops responding. The worker restarts after the downtime
+// Crash ends all runs, and the machine stops responding. The worker restarts after the duration
 // away.
 func (w *Worker) Crash(away time.Duration) {
 	w.workers.mu.Lock()
--- a/jobs/jobtest/workers.go
+++ b/jobs/jobtest/workers.go
@@ -25,7 +25,7 @@
 	SameIDShare float64
 	// NoStartTimes makes workers omit their start times. Every incarnation then has a new ID.
 	NoStartTimes bool
-	// Work is the duration of each task. If it is zero, the duration depends on the task's name.
+	// Work is the duration of each task. If it is zero, the durations are 1 to 2.9 s; see workOf.
 	Work time.Duration
 	// Logger receives events that agents cannot observe, such as new incarnations and late orders.
 	Logger zerolog.Logger
--- a/jobs/leader/handover_test.go
+++ b/jobs/leader/handover_test.go
@@ -55,7 +55,8 @@
 	deps   Dependencies
 }
 
-// withTerm runs a test with a term led by one of n entries, half of which have a small CPU share.
+// withTerm runs a test with a term led by one of n entries, half of which are too small to be
+// eligible.
 func withTerm(t *testing.T, n int, f func(t *testing.T, ctx context.Context, tm *testTerm, calls *countingTransport)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -104,7 +105,7 @@
 			}
 			for _, host := range calls.hosts[:perRound] {
 				if !slices.Contains(eligible, host) || host == addressOf(1) {
-					t.Errorf("the first round of offers included %s, want only eligible entries", host)
+					t.Errorf("the first round of offers included %s, want only eligible entries other than the leader", host)
 				}
 			}
 		})
--- a/jobs/leader/leader.go
+++ b/jobs/leader/leader.go
@@ -23,7 +23,7 @@
 // stores the decision with one append, and only then publishes it to the agents. Agents therefore
 // never act on a decision that is not stored, and their polls are acknowledged only once the result
 // is stored. An append without a response is repeated with the same sequence number, and no other
-// decision is made until it succeeds.
+// decision is made in the meantime.
 //
 // # Usage
 //
--- a/jobs/leader/poll.go
+++ b/jobs/leader/poll.go
@@ -31,7 +31,8 @@
 }
 
 // serve answers a poll, and holds it while there is nothing to do. It returns false if this entry
-// does not lead in a term that the agent accepts, or if a newer process of the agent is active.
+// does not lead in a term that the agent accepts, if a newer process of the agent is active, or if
+// ctx ends.
 func (f *fleet) serve(ctx context.Context, poll assignment.Poll) (assignment.Answer, bool) {
 	arrived := time.Now()
 	poll, err := f.receive(poll)
--- a/jobs/leader/prune.go
+++ b/jobs/leader/prune.go
@@ -30,8 +30,8 @@
 	pruneTimeout = 500 * time.Millisecond
 )
 
-// pruner deregisters entries that no longer exist. Otherwise, in time, all standbys would be boxes
-// that no longer exist.
+// pruner deregisters unreachable entries. Otherwise, in time, all standbys would be boxes that no
+// longer exist.
 type pruner struct {
 	deps Dependencies
 	// self is the address of this entry.
--- a/jobs/leader/workers_test.go
+++ b/jobs/leader/workers_test.go
@@ -30,7 +30,7 @@
 		ask(t, fl, p)
 		if list, _ := fl.status(); list[0].Incarnation != next.ID || len(list[0].Former) != 1 ||
 			list[0].Former[0] != inZone.ID {
-			t.Errorf("after the worker restarted under the same name: got %+v, want one former incarnation", list)
+			t.Errorf("after the worker restarted under the same instance: got %+v, want one former incarnation", list)
 		}
 		fl.close()
 		if list, ok := fl.status(); ok {
--- a/jobs/runner/capacity.go
+++ b/jobs/runner/capacity.go
@@ -16,7 +16,7 @@
 type capacityReports struct {
 	reportedAt time.Time
 	// shrunkPoll is the number of the first poll that reported the latest decrease in capacity.
-	// ackedPoll is the number of the newest poll that the leader has processed.
+	// ackedPoll is the number of the newest poll whose content the leader has stored.
 	shrunkPoll, ackedPoll int64
 }
 
--- a/jobs/runner/heartbeat.go
+++ b/jobs/runner/heartbeat.go
@@ -42,7 +42,7 @@
 	logger := r.dependencies.Logger
 	switch {
 	case r.worker == nil:
-		logger.Info().Str("step", "runner.heartbeat").Stringer("life", reported.ID).Msg("first heartbeat of this incarnation")
+		logger.Info().Str("step", "runner.heartbeat").Stringer("life", reported.ID).Msg("worker incarnation registered")
 		r.present.contact.lastAnswer = time.Now()
 	case r.worker.Draining != reported.Draining:
 		logger.Info().Str("step", "runner.heartbeat").Stringer("life", reported.ID).
--- a/jobs/runner/leader_client_test.go
+++ b/jobs/runner/leader_client_test.go
@@ -54,7 +54,7 @@
 				time.Sleep(time.Second)
 			}
 			if got := counted.asked.Load(); got == 0 || got > 3*rounds {
-				t.Errorf("with %d entries, %d queries were sent in %d rounds, want at most 3 in each", n, got, rounds)
+				t.Errorf("with %d entries, %d queries were sent in %d rounds, want some, and at most 3 per round", n, got, rounds)
 			}
 		})
 	}
--- a/jobs/runner/metrics.go
+++ b/jobs/runner/metrics.go
@@ -10,7 +10,7 @@
 	"yarrowgrade.example/yarrowgrade/jobs/job"
 )
 
-// outcome is the result of a call to the worker or of a poll, as a metric tag.
+// outcome is the result of a call to the worker or of a poll, as a metric label.
 type outcome string
 
 const (
@@ -37,7 +37,7 @@
 	return outcomeNoAnswer
 }
 
-// endOutcome is how an incarnation of the worker ended, as a metric tag.
+// endOutcome is how an incarnation of the worker ended, as a metric label.
 type endOutcome string
 
 const (
--- a/jobs/runner/open_orders_test.go
+++ b/jobs/runner/open_orders_test.go
@@ -70,8 +70,8 @@
 	return slices.Clone(m.sentStarts), slices.Clone(m.sentForgets)
 }
 
-// TestOpenStartsAndForgets checks that a start and a sync that lets the worker forget ends are
-// never both open, that is, without an answer.
+// TestOpenStartsAndForgets checks that an unanswered start and an unanswered sync that lets the
+// worker forget ends are never open at the same time.
 //
 // The next incarnation could carry out both late: the run would start and end, its end would be
 // forgotten unread, and the task would be executed once more.
--- a/jobs/runner/restarts_test.go
+++ b/jobs/runner/restarts_test.go
@@ -232,8 +232,8 @@
 	})
 }
 
-// TestReportsOfNoStart checks that heartbeats of a former incarnation, without a start time, or
-// with one that no list confirms have no effect.
+// TestReportsOfNoStart checks that heartbeats of a former incarnation, heartbeats without a start
+// time, and heartbeats with a start time that no list confirms have no effect.
 func TestReportsOfNoStart(t *testing.T) {
 	withSharedInstance(t, func(t *testing.T, a *restartingAgent) {
 		former := a.beat(t)
--- a/jobs/runner/runs.go
+++ b/jobs/runner/runs.go
@@ -92,7 +92,7 @@
 	return running
 }
 
-// anyUncertain reports whether the outcome of a start is unknown.
+// anyUncertain reports whether the outcome of any start is unknown.
 func (t *runTable) anyUncertain() bool {
 	for _, k := range t.known {
 		if !k.uncertainAt.IsZero() {
--- a/jobs/runner/superseded_test.go
+++ b/jobs/runner/superseded_test.go
@@ -45,7 +45,7 @@
 		time.Sleep(time.Second)
 		last := a.leader.last()
 		if !last.Complete || len(last.Runs) != 0 {
-			t.Errorf("after resuming the agent polls %+v, want the worker's list", last)
+			t.Errorf("after resuming the agent polls %+v, want the worker's list without runs", last)
 		}
 		if last.AgentMillis == 0 {
 			t.Error("after resuming the agent does not report that starts of another process may be open")
--- a/jobs/runner/worker.go
+++ b/jobs/runner/worker.go
@@ -11,9 +11,9 @@
 	"yarrowgrade.example/yarrowgrade/jobs/incarnation"
 )
 
-// Order identifies the target of a call to a worker. On the wire, the call names only the instance
-// of the incarnation, so a later incarnation with the same instance, which has seen no fence yet,
-// may carry it out.
+// Order holds the incarnation for which a call to a worker is meant, and the fence of the call. The
+// call names only the instance of the incarnation, so a later incarnation with the same instance,
+// which has seen no fence yet, may carry it out.
 type Order struct {
 	Incarnation incarnation.ID
 	Fence       int64
--- a/jobs/topic/hedged_read.go
+++ b/jobs/topic/hedged_read.go
@@ -8,8 +8,8 @@
 )
 
 // minFullReadInterval is the time after which a full read that is still running is repeated; it
-// doubles with each repetition. After an outage a log has to send many records to many readers, and
-// could not if they repeated their reads at the interval of probes.
+// doubles with each repetition. After an outage the log has many records to send to many readers,
+// and would not finish if they repeated their reads at the interval of probes.
 const minFullReadInterval = time.Second
 
 // errReadRunning is the result of a probe that found records which a running read is already
--- a/jobs/topic/relay_server.go
+++ b/jobs/topic/relay_server.go
@@ -25,7 +25,7 @@
 	changed  broadcast.Signal
 }
 
-// NewRelayServer returns a server without records. The clock measures suspensions of the machine.
+// NewRelayServer returns a server without records. The clock measures suspensions of the box.
 func NewRelayServer(clock suspend.Clock) *RelayServer {
 	return &RelayServer{clock: clock}
 }
--- a/jobs/topic/tail.go
+++ b/jobs/topic/tail.go
@@ -90,7 +90,7 @@
 	return t
 }
 
-// WithSuspension sets the clock that measures suspensions of the machine.
+// WithSuspension sets the clock that measures suspensions of the box.
 func (t *Tail) WithSuspension(clock suspend.Clock) *Tail {
 	t.clock = clock
 	return t
--- a/sessions/agent/agent.go
+++ b/sessions/agent/agent.go
@@ -66,7 +66,7 @@
 	return s.Timing.Validate()
 }
 
-// Dependencies are what an agent works with.
+// Dependencies are the components that an agent uses.
 type Dependencies struct {
 	Target    request.Target
 	Platform  hosting.Workers
--- a/sessions/agent/control.go
+++ b/sessions/agent/control.go
@@ -73,7 +73,7 @@
 		}
 		g.members[as.Token] = m
 		if as.Phase == ledger.Stopping || as.Token < a.joined.Load() {
-			// The token is older than this incarnation, so the member that held it was lost with
+			// A token from before this incarnation joined belongs to a member that was lost with
 			// the previous incarnation. Its task must end.
 			m.Stop()
 		}
--- a/sessions/entry/callers.go
+++ b/sessions/entry/callers.go
@@ -18,7 +18,7 @@
 	Service string `json:"service"`
 }
 
-// KeyAnswer contains an idempotency key for one request that must not be repeated.
+// KeyAnswer contains a key for one request that must not be repeated.
 type KeyAnswer struct {
 	Key string `json:"key"`
 }
--- a/sessions/entry/entry.go
+++ b/sessions/entry/entry.go
@@ -106,7 +106,7 @@
 	return nil
 }
 
-// Dependencies are what an entry works with.
+// Dependencies are the components that an entry uses.
 type Dependencies struct {
 	Platform  hosting.Platform
 	Client    *http.Client
--- a/sessions/entry/polls.go
+++ b/sessions/entry/polls.go
@@ -129,7 +129,7 @@
 }
 
 // pollWindow is a period during which the entry holds polls open. At its end all open polls are
-// answered. It ends when the entry is cut off from the log or starts to leave.
+// answered. It ends when the entry redirects its agents (see redirectIfCutOff) or starts to leave.
 type pollWindow struct {
 	ctx context.Context
 	end context.CancelFunc
@@ -155,7 +155,7 @@
 }
 
 // serveLeaving handles the leaving notice of an agent: the entry stops routing requests to it. The
-// agent's next poll causes the record in the ledger.
+// ledger is updated only after the agent's next poll, which reports the same.
 func (e *Entry) serveLeaving(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	var in membership.LeavingNotice
 	if err := jsonhttp.Read(w, r, &in); err != nil {
--- a/sessions/entry/router.go
+++ b/sessions/entry/router.go
@@ -205,7 +205,7 @@
 	return request.UnknownAnswer(id, err.Error(), noTargetRetry), true
 }
 
-// errInvalidAnswer means that an agent's answer belongs to another request or is truncated.
+// errInvalidAnswer means that an agent's answer belongs to another request or is corrupt.
 var errInvalidAnswer = errors.New("the agent's answer was crossed or cut")
 
 // send sends the request to one agent once.
--- a/sessions/entry/router_test.go
+++ b/sessions/entry/router_test.go
@@ -18,7 +18,7 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// agentFunc is a fake agent. It answers a hop, or returns an error to abort the connection.
+// agentFunc is a fake agent. It answers a request, or returns an error to abort the connection.
 type agentFunc func(hop request.AgentRequest) (request.Answer, error)
 
 func succeed(hop request.AgentRequest) (request.Answer, error) {
@@ -231,7 +231,7 @@
 	}
 	retries := called()[0] + called()[1] - requests
 	if limit := int(maxRetryBudget) + requests/10; retries > limit || retries < requests/20 {
-		t.Errorf("%d retries for %d requests, want at most %d", retries, requests, limit)
+		t.Errorf("%d retries for %d requests, want at most %d, and at least one per 20 requests", retries, requests, limit)
 	}
 }
 
--- a/sessions/entry/snapshots.go
+++ b/sessions/entry/snapshots.go
@@ -8,8 +8,8 @@
 )
 
 // snapshotIfDue writes a snapshot if enough records or enough time have passed since the last one.
-// The entry of rank zero uses the limits of the settings. For each further rank the limits grow by
-// half, so that an entry writes a snapshot only if those of lower rank have failed.
+// The entry of rank zero uses the limits of the settings. Each further rank adds half of these
+// limits, so that an entry writes a snapshot only if those of lower rank have failed.
 func (e *Entry) snapshotIfDue(ctx context.Context) {
 	if !e.ready.Load() {
 		return
--- a/sessions/gang/gang.go
+++ b/sessions/gang/gang.go
@@ -22,8 +22,8 @@
 //
 // # Dependencies
 //
-// hosting.Workers runs the tasks. The agent reads the phase of the placement from the ledger and
-// calls Leader.SetRunning and Member.Stop.
+// hosting.Workers runs the tasks. The agent receives the ledger's phase of the placement from an
+// entry, and calls Leader.SetRunning and Member.Stop.
 //
 // # Usage
 //
@@ -125,7 +125,7 @@
 // Report is the state of a gang that its leader reports to an entry.
 type Report struct {
 	Token int64 `json:"token"`
-	// Ready means that all members have reached the stage Ready.
+	// Ready means that all members are Ready, Running or Finished.
 	Ready bool `json:"ready,omitempty"`
 	// Finished means that all members have completed their work.
 	Finished bool `json:"finished,omitempty"`
--- a/sessions/gang/gang_test.go
+++ b/sessions/gang/gang_test.go
@@ -69,8 +69,8 @@
 	return g, nil
 }
 
-// frozenWorkers blocks every call of one member while it is frozen, like a suspended process. While
-// it is down, every call fails.
+// frozenWorkers blocks the StartTask and RenewTask calls of one member while it is frozen, like a
+// suspended process. While it is down, these calls fail.
 type frozenWorkers struct {
 	hosting.Workers
 	mu     sync.Mutex
@@ -78,7 +78,7 @@
 	down   bool
 }
 
-// errDown is returned by a platform that refuses every call.
+// errDown is the error of calls through frozenWorkers while it is down.
 var errDown = errors.New("platform is down")
 
 func (f *frozenWorkers) setDown() {
@@ -207,8 +207,8 @@
 	})
 }
 
-// TestMemberIsLost checks that the other members stop within MaxStopDelay after one member is lost,
-// whatever the cause, and that none of them starts again.
+// TestMemberIsLost checks that the gang runs partially for at most MaxStopDelay after one member is
+// lost, whatever the cause, and that in the end either none or all of its members run.
 func TestMemberIsLost(t *testing.T) {
 	tests := []struct {
 		name string
@@ -253,7 +253,7 @@
 					t.Errorf("ran partially for %v, want at most %v", partial, DefaultTiming().MaxStopDelay())
 				}
 				if n := g.running(); n != 0 && n != 3 {
-					t.Errorf("%d members are still running", n)
+					t.Errorf("%d members are running at the end, want none or all 3", n)
 				}
 				cancel()
 				wg.Wait()
@@ -334,8 +334,8 @@
 	})
 }
 
-// TestCheckpoints checks that members save checkpoints while the gang runs and before they stop,
-// and that the leader reports the work that all members have saved.
+// TestCheckpoints checks that members save checkpoints while the gang runs, that the leader reports
+// the work that all members have saved, and that no member has saved less when it stops.
 func TestCheckpoints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var wg sync.WaitGroup
--- a/sessions/gang/leader.go
+++ b/sessions/gang/leader.go
@@ -23,7 +23,8 @@
 	mu sync.Mutex
 	// members contains all members by worker, including those that have sent no heartbeat yet.
 	members map[string]memberState
-	// running is set at runningSince, when the ledger has recorded the start of the gang.
+	// running is set when the leader learns that the ledger has recorded the start of the gang.
+	// runningSince is the time at which it learned this.
 	running      bool
 	runningSince time.Time
 	// failed is the reason why the gang must stop. It is never cleared.
--- a/sessions/ledger/placing.go
+++ b/sessions/ledger/placing.go
@@ -10,7 +10,7 @@
 
 func decimal(n int64) string { return strconv.FormatInt(n, 10) }
 
-// place assigns all members of a gang or rejects the record.
+// place assigns accelerators to all members of a gang, or rejects the record.
 func (s State) place(offset, at int64, p Place) (State, error) {
 	session, found := s.sessions.Get(p.Session)
 	if !found {
--- a/sessions/ledger/proposer_test.go
+++ b/sessions/ledger/proposer_test.go
@@ -40,9 +40,9 @@
 	return r
 }
 
-// TestProposerUnderFaults proposes through a log that loses responses, is slow, or is down. An
-// accepted record must take effect exactly once. A withdrawn record must have no effect, even after
-// the log recovers.
+// TestProposerUnderFaults proposes through a log that loses responses, is slow, or is down. A
+// record that is reported as accepted must be in the state after the log recovers. If the log is
+// too slow or down, Propose must return an error; whether that record takes effect is not checked.
 func TestProposerUnderFaults(t *testing.T) {
 	tests := []struct {
 		name   string
--- a/sessions/ledger/record.go
+++ b/sessions/ledger/record.go
@@ -103,8 +103,8 @@
 	Session string `json:"session"`
 }
 
-// Place assigns all members of a gang to a waiting session, or none. The offset of the record
-// becomes the token of the placement.
+// Place assigns accelerators to all members of a waiting session's gang, or to none. The offset of
+// the record becomes the token of the placement.
 type Place struct {
 	Session  string             `json:"session"`
 	Members  []placement.Member `json:"members"`
@@ -132,7 +132,8 @@
 // ReleaseCause is the evidence that accelerators are free.
 type ReleaseCause string
 
-// The release causes. Silence is not one, because an unresponsive worker may still run its task.
+// The release causes. That a worker does not respond is not a cause, because it may still run its
+// task.
 const (
 	// StoppedByAgent means that the worker's agent reported the end of the task.
 	StoppedByAgent ReleaseCause = "agent"
--- a/sessions/ledger/snapshot.go
+++ b/sessions/ledger/snapshot.go
@@ -24,7 +24,8 @@
 // exhaust memory.
 const maxStateBytes = 64 << 20
 
-// storedState is the JSON form of a State in a snapshot.
+// storedState is the stored form of a State, as JSON. Snapshots and the states that entries send to
+// their peers contain it in compressed form.
 type storedState struct {
 	Revision       int64            `json:"revision"`
 	ConfigRevision int64            `json:"config_revision"`
--- a/sessions/ledger/state.go
+++ b/sessions/ledger/state.go
@@ -62,9 +62,9 @@
 // its writer's clock in ms since 1970.
 func (s State) LastSnapshot() (revision, at int64) { return s.savedRevision, s.savedAt }
 
-// Apply returns the state after the record, and the verdict on the record. The offset must follow
-// the state's revision. A record that is not accepted changes only the revision and the remembered
-// IDs.
+// Apply returns the state after the record, and the verdict on the record. The offset must be the
+// one directly after the state's revision. A record that is not accepted changes only the revision
+// and the remembered IDs.
 func (s State) Apply(offset int64, data []byte) (State, Verdict) {
 	s.revision, s.changedWorkers = offset, nil
 	r, err := DecodeRecord(data)
--- a/sessions/ledger/worker.go
+++ b/sessions/ledger/worker.go
@@ -12,7 +12,7 @@
 	maxSlots        = 1024
 )
 
-// Worker is a machine with a target and its agent.
+// Worker is a box with a target and its agent.
 type Worker struct {
 	Name string `json:"name"`
 	// Region may be empty if there is only one region.
--- a/sessions/membership/poll.go
+++ b/sessions/membership/poll.go
@@ -83,7 +83,7 @@
 	Trace string `json:"trace,omitempty"`
 }
 
-// ConfigItem is a configuration item without its history.
+// ConfigItem is a ledger.ConfigEntry without its history.
 type ConfigItem struct {
 	Key      string          `json:"key"`
 	Revision int64           `json:"revision"`
--- a/sessions/oracle/plan_test.go
+++ b/sessions/oracle/plan_test.go
@@ -17,9 +17,9 @@
 	"yarrowgrade.example/yarrowgrade/sessions/request"
 )
 
-// step is one action of a plan with its parameters. A and B select processes, teams, shapes or
-// faults, depending on the action. For is the duration of a fault or a measure of work, and Wait is
-// the delay before the next step.
+// step is one action of a plan with its parameters. Depending on the action, A and B select
+// processes, teams, shapes or faults, or scale a fault. For is the duration of a fault or a measure
+// of work, and Wait is the delay before the next step.
 type step struct {
 	Do   string
 	A, B int
--- a/sessions/oracle/watch_test.go
+++ b/sessions/oracle/watch_test.go
@@ -11,8 +11,8 @@
 )
 
 // watchGangs records a violation for each gang of which only some members run for longer than
-// timing.Bound plus one second, until ctx ends. It compares the platform's list of tasks with the
-// number of members in the placement.
+// timing.MaxStopDelay plus one second, until ctx ends. It compares the platform's list of tasks
+// with the number of members in the placement.
 func (s *system) watchGangs(ctx context.Context, sizes *sizes) {
 	since := make(map[int64]time.Time)
 	for ctx.Err() == nil {
--- a/sessions/placement/reclaim.go
+++ b/sessions/placement/reclaim.go
@@ -33,9 +33,9 @@
 	return true
 }
 
-// awaitReclaimed holds free accelerators in the domain where placements are being reclaimed for the
-// session. It reports false if there will not be enough accelerators, or if none are being
-// reclaimed.
+// awaitReclaimed holds free accelerators for a session for which placements are being reclaimed, in
+// the domain with the most accelerators that are free or being reclaimed for it. It reports false
+// if these are not enough, or if none are being reclaimed.
 func (d *decider) awaitReclaimed(w Waiting) bool {
 	if !d.reclaimingFor[w.Session] {
 		return false
--- a/sessions/policy/policy.go
+++ b/sessions/policy/policy.go
@@ -5,9 +5,10 @@
 // is a request or a session:
 //
 //	allow           boolean: whether the subject may use the system. All allow policies must be true.
-//	not_repeatable  boolean: whether the subject must run at most once. One true policy is sufficient.
-//	yield_rank      integer from 0 to 100: subjects with a lower rank are reclaimed first. The highest
-//	                rank of all policies applies.
+//	not_repeatable  boolean: whether the subject must run at most once. One true policy is
+//	                sufficient.
+//	yield_rank      integer from 0 to 100: subjects with a lower rank are reclaimed first. The
+//	                highest rank of all policies applies.
 //
 // The package owns no state; the ledger stores the policies. The only dependency is the expr
 // library.
--- a/sessions/request/admission_test.go
+++ b/sessions/request/admission_test.go
@@ -66,8 +66,8 @@
 	shares := func(team string) int { return map[string]int{"owner": 9}[team] + 1 }
 	tests := []struct {
 		name string
-		// Four requests with the service time first occupy the slots. Then 30 requests of 100 ms
-		// are queued, and the owner sends its requests.
+		// Four requests that each take the time in first occupy the slots. Then 30 requests of
+		// 100 ms are queued, and the owner sends its requests, whose number is owners.
 		first  string
 		owners int
 		within time.Duration
--- a/sessions/request/request_test.go
+++ b/sessions/request/request_test.go
@@ -17,7 +17,7 @@
 	"pgregory.net/rapid"
 )
 
-// fakeTarget takes the duration in the body of each request to run it, and counts the runs.
+// fakeTarget runs each request for the duration given in its body, and counts the runs.
 type fakeTarget struct {
 	mu   sync.Mutex
 	runs map[string]int
@@ -64,8 +64,8 @@
 	return AgentRequest{ID: uuid.NewString(), Team: "a", Body: body, Key: key, LeftMillis: 5000}
 }
 
-// TestKeys checks that a request with a key runs at most once, in each case in which the key could
-// be run again or must be refused.
+// TestKeys checks that a request with a key runs at most once, in each case in which the request
+// could run a second time or must be refused.
 func TestKeys(t *testing.T) {
 	tests := []struct {
 		name  string
